--- a/crates/pearfront-cli/src/carry.rs
+++ b/crates/pearfront-cli/src/carry.rs
@@ -1,7 +1,7 @@
 //! `pearfront move`: a node's file of the old shape, written again for a node beside one caller's process.
 
 use crate::Trouble;
-use pearfront_settings::moving::{Moved, Place, moved};
+use pearfront_settings::sidecar::{SidecarConfig, SidecarTarget, to_sidecar};
 use std::fs::OpenOptions;
 use std::io::Write;
 use std::path::PathBuf;
@@ -44,20 +44,20 @@
         let text = std::fs::read(&self.file).map_err(|error| input(error.to_string()))?;
         let old = serde_json::from_slice(&text).map_err(|error| input(error.to_string()))?;
         let (nodes, streams) = (self.nodes, self.streams);
-        let place = Place {
+        let target = SidecarTarget {
             nodes,
             zones: self.zones.clone(),
             zone: self.zone.clone(),
             streams,
             seed: self.seed.clone(),
         };
-        let Moved { file, left } = moved(&old, &place).map_err(input)?;
+        let SidecarConfig { file, not_carried_over } = to_sidecar(&old, &target).map_err(input)?;
         match &self.out {
             Some(out) if !self.dry_run => self.write(out, &(format!("{file:#}\n")))?,
             _ => println!("nothing written"),
         }
         println!("not carried over as it was:");
-        left.iter().for_each(|line| println!("  {line}"));
+        not_carried_over.iter().for_each(|line| println!("  {line}"));
         Ok(())
     }
 
--- a/crates/pearfront-drill/src/wire.rs
+++ b/crates/pearfront-drill/src/wire.rs
@@ -1,6 +1,6 @@
 //! Frames of the bench's wire; its names, codes and units end here.
 
-use pearfront::interface::{Address, Ending, Listing, Standing, Writer};
+use pearfront::interface::{Address, AttemptOutcome, DecisionWriter, ServerEntry, ServerState};
 use pearfront::policy::Balancer;
 use std::io::Read;
 use std::ops::Range;
@@ -43,16 +43,16 @@
     std::array::from_fn(|byte| bytes[at + byte])
 }
 
-fn ending(code: u8, at: usize) -> Result<Ending, String> {
+fn ending(code: u8, at: usize) -> Result<AttemptOutcome, String> {
     Ok(match code {
-        10 => Ending::Served,
-        20 => Ending::Error,
-        30 => Ending::Full,
-        40 => Ending::TimedOut,
-        50 => Ending::Unconnected,
-        60 => Ending::Broken,
-        70 => Ending::CalledOff,
-        80 => Ending::NeverSent,
+        10 => AttemptOutcome::Served,
+        20 => AttemptOutcome::Error,
+        30 => AttemptOutcome::Full,
+        40 => AttemptOutcome::TimedOut,
+        50 => AttemptOutcome::ConnectFailed,
+        60 => AttemptOutcome::ConnectionLost,
+        70 => AttemptOutcome::Cancelled,
+        80 => AttemptOutcome::NeverSent,
         _ => return Err(format!("event {at}: unknown state code {code}")),
     })
 }
@@ -195,26 +195,26 @@
     Ok(())
 }
 
-fn standing(code: u8) -> Option<Standing> {
+fn standing(code: u8) -> Option<ServerState> {
     match code {
-        0 => Some(Standing::Ready),
-        1 => Some(Standing::Gone),
-        2 => Some(Standing::Draining),
+        0 => Some(ServerState::Ready),
+        1 => Some(ServerState::Gone),
+        2 => Some(ServerState::Draining),
         _ => None,
     }
 }
 
-fn listing(line: &[u8], started: u64) -> Listing {
+fn listing(line: &[u8], started: u64) -> ServerEntry {
     let since = int::<8>(line, 16);
     let share = f64::from(f32::from_le_bytes(std::array::from_fn(|byte| line[byte])));
-    Listing {
-        server: address(line, 4),
-        standing: standing(line[10]).unwrap_or(Standing::Gone),
+    ServerEntry {
+        address: address(line, 4),
+        state: standing(line[10]).unwrap_or(ServerState::Gone),
         cell: int::<2>(line, 11) as u16,
-        make: usize::from(line[13]),
+        machine_type: usize::from(line[13]),
         zone: int::<2>(line, 14) as u16,
-        size: Some(share).filter(|share| share.is_normal() && *share > 0.0).unwrap_or(1.0),
-        started: match since {
+        weight: Some(share).filter(|share| share.is_normal() && *share > 0.0).unwrap_or(1.0),
+        started_at: match since {
             0 => f64::NEG_INFINITY,
             since => since.wrapping_sub(started) as i64 as f64 / NS_PER_MS,
         },
@@ -243,9 +243,9 @@
             let table = tables.get(number).ok_or_else(|| format!("event {at}: no table {number}"))?;
             let lines = table.chunks_exact(ENTRY).map(|line| listing(line, started));
             match kind {
-                0 => balancer.listed(false, false, lines),
-                1 => balancer.listed(true, false, lines),
-                2 => balancer.listed(true, true, lines),
+                0 => balancer.list_received(false, false, lines),
+                1 => balancer.list_received(true, false, lines),
+                2 => balancer.list_received(true, true, lines),
                 _ => return Err(format!("event {at}: unknown list kind {kind}")),
             }
         }
@@ -255,7 +255,7 @@
             if profile >= profiles {
                 return Err(format!("event {at}: unknown class {profile}"));
             }
-            balancer.job(id, profile, customer, limit);
+            balancer.request_received(id, profile, customer, limit);
         }
         5 => {
             let (attempt, took) = (int::<2>(record, 6) as usize, int::<8>(record, 15) as f64 / NS_PER_MS);
@@ -263,7 +263,7 @@
         }
         6 => balancer.client_left(id),
         8 => {
-            let good = ending(record[16], at)? == Ending::Served;
+            let good = ending(record[16], at)? == AttemptOutcome::Served;
             let count = usize::from(record[17]).min(4);
             let value =
                 |place: usize| f32::from_le_bytes(std::array::from_fn(|b| record[18 + place * 4 + b]));
@@ -322,13 +322,13 @@
     }
 }
 
-impl Writer for Reply {
+impl DecisionWriter for Reply {
     fn attempt(&mut self, job: u32, server: Address, limit: f64) {
         let limit = ((limit * NS_PER_MS).floor() as u64).max(1);
         self.action(1, &[&job.to_le_bytes(), &server, &limit.to_le_bytes()]);
     }
 
-    fn call_off(&mut self, job: u32, attempt: u16) {
+    fn cancel(&mut self, job: u32, attempt: u16) {
         self.action(4, &[&job.to_le_bytes(), &attempt.to_le_bytes()]);
     }
 
@@ -344,12 +344,12 @@
         self.action(6, &[&server]);
     }
 
-    fn wake(&mut self, delay: f64) {
+    fn wake_after(&mut self, delay: f64) {
         let delay = (delay.min(LONGEST_WAKE) * NS_PER_MS).ceil() as u64;
         self.action(5, &[&delay.to_le_bytes(), &0u64.to_le_bytes()]);
     }
 
-    fn watch(&mut self) {
+    fn watch_list(&mut self) {
         self.action(11, &[&[1]]);
     }
 
--- a/crates/pearfront-drill/src/wire/tests.rs
+++ b/crates/pearfront-drill/src/wire/tests.rs
@@ -65,7 +65,7 @@
 fn actions_look_as_on_the_wire_page() {
     let mut reply = Reply { node: 3, ..Reply::default() };
     reply.attempt(0x5d3a_91c4, [0x0a, 0x12, 0x4a, 0x07, 0xc3, 0x2b], 80.0);
-    reply.wake(500.0);
+    reply.wake_after(500.0);
     reply.node = 5;
     reply.log("two servers known");
     let bytes = reply.finish().to_vec();
--- a/crates/pearfront-emulator/src/decide.rs
+++ b/crates/pearfront-emulator/src/decide.rs
@@ -1,7 +1,9 @@
 //! Who decides in a model play: the decision module, or a baseline put in its place. All get the same words and give
 //! the same acts; only `sees-all` is shown what no node can see.
 
-use pearfront::interface::{Address, Effect, Ending, Listing, Profile, Settings, Standing, Writer};
+use pearfront::interface::{
+    Address, AttemptOutcome, DecisionWriter, Effect, Profile, ServerEntry, ServerState, Settings,
+};
 use pearfront::policy::Balancer;
 use rand::prelude::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -18,10 +20,10 @@
 #[derive(Debug, Clone)]
 pub enum Word {
     Job { id: u32, profile: usize, customer: usize, limit: f64 },
-    AttemptEnded { id: u32, attempt: usize, ending: Ending, took: f64, done: bool },
+    AttemptEnded { id: u32, attempt: usize, ending: AttemptOutcome, took: f64, done: bool },
     ProbeAnswered { server: Address, good: bool, report: Vec<f64>, took: f64 },
     Left { id: u32 },
-    Listed { whole: bool, cached: bool, lines: Vec<Listing> },
+    Listed { whole: bool, cached: bool, lines: Vec<ServerEntry> },
     ListFailed,
     Closing { at: f64 },
 }
@@ -123,7 +125,7 @@
 
 fn tell(balancer: &mut Balancer, word: Word) {
     match word {
-        Word::Job { id, profile, customer, limit } => balancer.job(id, profile, customer, limit),
+        Word::Job { id, profile, customer, limit } => balancer.request_received(id, profile, customer, limit),
         Word::AttemptEnded { id, attempt, ending, took, done } => {
             balancer.attempt_ended(id, attempt, ending, took, done)
         }
@@ -131,20 +133,20 @@
             balancer.probe_answered(server, good, &report, took);
         }
         Word::Left { id } => balancer.client_left(id),
-        Word::Listed { whole, cached, lines } => balancer.listed(whole, cached, lines.into_iter()),
+        Word::Listed { whole, cached, lines } => balancer.list_received(whole, cached, lines.into_iter()),
         Word::ListFailed => balancer.list_failed(),
-        Word::Closing { at } => balancer.closing(at),
+        Word::Closing { at } => balancer.shutdown_at(at),
     }
 }
 
 #[derive(Default)]
 struct Acts(Vec<Act>);
 
-impl Writer for Acts {
+impl DecisionWriter for Acts {
     fn attempt(&mut self, job: u32, server: Address, limit: f64) {
         self.0.push(Act::Attempt { job, server, limit });
     }
-    fn call_off(&mut self, job: u32, attempt: u16) {
+    fn cancel(&mut self, job: u32, attempt: u16) {
         self.0.push(Act::CallOff { job, attempt: usize::from(attempt) });
     }
     fn reject(&mut self, job: u32, wait: f64) {
@@ -156,10 +158,10 @@
     fn probe(&mut self, server: Address) {
         self.0.push(Act::Probe { server });
     }
-    fn wake(&mut self, delay: f64) {
+    fn wake_after(&mut self, delay: f64) {
         self.0.push(Act::Wake { delay });
     }
-    fn watch(&mut self) {
+    fn watch_list(&mut self) {
         self.0.push(Act::Watch);
     }
     fn log(&mut self, line: &str) {
@@ -171,7 +173,7 @@
 struct PlainJob {
     profile: usize,
     limit: f64,
-    attempts: Vec<(Address, f64, Option<Ending>)>,
+    attempts: Vec<(Address, f64, Option<AttemptOutcome>)>,
 }
 
 /// A textbook balancer: picks by one rule, tries again within the rules, refuses nothing that it can send.
@@ -180,7 +182,7 @@
     fault: Option<Fault>,
     settings: Settings,
     chance: ChaCha8Rng,
-    servers: BTreeMap<Address, Listing>,
+    servers: BTreeMap<Address, ServerEntry>,
     held: BTreeMap<Address, u32>,
     jobs: BTreeMap<u32, PlainJob>,
     /// Limits, in bits so that they order as times do, and jobs.
@@ -243,7 +245,9 @@
                 lines.into_iter().for_each(|line| self.list(line));
                 self.asked = !cached;
             }
-            Word::ListFailed => (self.asked, self.ask_at) = (false, now + self.settings.ask_within * 0.2),
+            Word::ListFailed => {
+                (self.asked, self.ask_at) = (false, now + self.settings.list_request_deadline * 0.2)
+            }
             Word::ProbeAnswered { .. } => {}
             Word::Closing { at } => {
                 for job in self.jobs.values_mut() {
@@ -254,11 +258,11 @@
         }
     }
 
-    fn list(&mut self, line: Listing) {
-        if line.standing == Standing::Ready {
-            self.servers.insert(line.server, line);
+    fn list(&mut self, line: ServerEntry) {
+        if line.state == ServerState::Ready {
+            self.servers.insert(line.address, line);
         } else if self.fault != Some(Fault::SendsToDrained) {
-            self.servers.remove(&line.server);
+            self.servers.remove(&line.address);
         }
     }
 
@@ -279,16 +283,18 @@
             return;
         }
         let profile = &self.settings.profiles[job.profile];
-        let may_have_run = job.attempts.iter().find(|attempt| !attempt.2.is_some_and(Ending::never_ran));
+        let may_have_run =
+            job.attempts.iter().find(|attempt| !attempt.2.is_some_and(AttemptOutcome::never_ran));
         let late = self.fault == Some(Fault::RepeatsLate);
         let again = match (may_have_run, profile.effect) {
             (None, _) | (Some(_), Effect::Idempotent) => true,
             (Some(_), Effect::NonIdempotent) => false,
             (Some(first), Effect::Keyed) => {
-                profile.group == pearfront::interface::Group::All && (late || now < first.1 + profile.window)
+                profile.dedup_scope == pearfront::interface::DedupScope::All
+                    && (late || now < first.1 + profile.dedup_window)
             }
         };
-        let tries = job.attempts.len() < self.settings.most_attempts;
+        let tries = job.attempts.len() < self.settings.max_attempts;
         let target = if again && tries { self.pick(id) } else { None };
         let Some(server) = target else { return self.end(id, acts) };
         self.attempt(now, id, server, acts);
@@ -307,7 +313,7 @@
 
     fn end(&mut self, id: u32, acts: &mut Vec<Act>) {
         let job = &self.jobs[&id];
-        let proven = job.attempts.iter().all(|attempt| attempt.2.is_some_and(Ending::never_ran));
+        let proven = job.attempts.iter().all(|attempt| attempt.2.is_some_and(AttemptOutcome::never_ran));
         let profile: &Profile = &self.settings.profiles[job.profile];
         let harmless = proven || profile.effect == Effect::Idempotent;
         if harmless || self.fault == Some(Fault::RejectsWhatRan) {
@@ -325,11 +331,11 @@
     }
 
     fn pick(&mut self, id: u32) -> Option<Address> {
-        let new = self.servers.values().filter(|line| line.started.is_finite());
-        if let Some(coldest) = new.max_by(|a, b| a.started.total_cmp(&b.started))
+        let new = self.servers.values().filter(|line| line.started_at.is_finite());
+        if let Some(coldest) = new.max_by(|a, b| a.started_at.total_cmp(&b.started_at))
             && self.fault == Some(Fault::FloodsCold)
         {
-            return Some(coldest.server);
+            return Some(coldest.address);
         }
         let job = &self.jobs[&id];
         let tried = |server: &Address| job.attempts.iter().any(|attempt| attempt.0 == *server);
@@ -381,11 +387,11 @@
     fn round(&mut self, now: f64, words: Vec<Word>) -> Vec<Act> {
         let mut acts = Vec::new();
         words.into_iter().for_each(|word| self.hear(now, word, &mut acts));
-        if !self.asked && self.settings.listed_on_request && now >= self.ask_at {
-            self.ask_at = now + self.settings.ask_within * 0.4;
+        if !self.asked && self.settings.discovery_on_request && now >= self.ask_at {
+            self.ask_at = now + self.settings.list_request_deadline * 0.4;
             acts.push(Act::Watch);
         }
-        let soon = now + 2.0 * self.settings.round;
+        let soon = now + 2.0 * self.settings.round_interval;
         while let Some((_, id)) = self.limits.first().copied().filter(|due| f64::from_bits(due.0) <= soon) {
             if self.fault == Some(Fault::AnswersLate) {
                 self.limits.remove(&(self.jobs[&id].limit.max(0.0).to_bits(), id));
@@ -400,8 +406,8 @@
         let due = self
             .limits
             .first()
-            .map_or(f64::INFINITY, |due| f64::from_bits(due.0) - 2.0 * self.settings.round);
-        let ask = if self.asked || !self.settings.listed_on_request { f64::INFINITY } else { self.ask_at };
+            .map_or(f64::INFINITY, |due| f64::from_bits(due.0) - 2.0 * self.settings.round_interval);
+        let ask = if self.asked || !self.settings.discovery_on_request { f64::INFINITY } else { self.ask_at };
         let next = due.min(ask);
         if next.is_finite() {
             acts.push(Act::Wake { delay: (next - now).max(0.0) });
--- a/crates/pearfront-emulator/src/judge.rs
+++ b/crates/pearfront-emulator/src/judge.rs
@@ -5,7 +5,7 @@
 use crate::scenario::{Effect, Group, Scenario};
 use crate::server::grown;
 use hdrhistogram::Histogram;
-use pearfront::interface::Standing;
+use pearfront::interface::ServerState;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -298,7 +298,7 @@
     /// Rule 3: nothing new to a server that the node knows to drain or to be gone.
     fn drains(&mut self) {
         let mut ends: BTreeMap<(usize, usize), f64> = BTreeMap::new();
-        for told in self.records.told.iter().filter(|told| told.standing != Standing::Ready) {
+        for told in self.records.told.iter().filter(|told| told.standing != ServerState::Ready) {
             let at = ends.entry((told.node, told.server)).or_insert(told.at);
             *at = at.min(told.at);
         }
--- a/crates/pearfront-emulator/src/list.rs
+++ b/crates/pearfront-emulator/src/list.rs
@@ -2,7 +2,7 @@
 
 use crate::platform::lifecycle;
 use crate::scenario::Scenario;
-use pearfront::interface::{Address, Listing, Standing};
+use pearfront::interface::{Address, ServerEntry, ServerState};
 use serde_json::{Value, json};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -15,22 +15,22 @@
     pub zone: u16,
     pub cell: u16,
     pub make: usize,
-    pub standing: Standing,
+    pub standing: ServerState,
     pub started: f64,
     pub life: usize,
 }
 
 impl Line {
     /// As a node takes it whose time began at `from`.
-    pub fn listing(&self, from: f64) -> Listing {
-        Listing {
-            server: self.address,
-            standing: self.standing,
+    pub fn listing(&self, from: f64) -> ServerEntry {
+        ServerEntry {
+            address: self.address,
+            state: self.standing,
             cell: self.cell,
             zone: self.zone,
-            make: self.make,
-            size: 1.0,
-            started: self.started - from,
+            machine_type: self.make,
+            weight: 1.0,
+            started_at: self.started - from,
         }
     }
 
--- a/crates/pearfront-emulator/src/model/directory.rs
+++ b/crates/pearfront-emulator/src/model/directory.rs
@@ -6,7 +6,7 @@
 use crate::decide::Word;
 use crate::list::Line;
 use crate::scenario::Scenario;
-use pearfront::interface::Standing;
+use pearfront::interface::ServerState;
 use rand::prelude::Rng;
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -30,7 +30,7 @@
 
     pub fn publish_all(&mut self, fleet: &Fleet) {
         for host in fleet.hosts.borrow().iter() {
-            let line = line(host, Standing::Ready);
+            let line = line(host, ServerState::Ready);
             self.published.insert(line.id.clone(), line);
         }
     }
@@ -51,7 +51,7 @@
     }
 }
 
-pub fn line(host: &Host, standing: Standing) -> Line {
+pub fn line(host: &Host, standing: ServerState) -> Line {
     Line {
         id: host.id.borrow().clone(),
         address: host.address,
@@ -67,7 +67,7 @@
 
 impl World {
     /// Something about a server has changed; discovery notices after a while.
-    pub fn announce(&mut self, host: &Host, standing: Standing, after: f64) {
+    pub fn announce(&mut self, host: &Host, standing: ServerState, after: f64) {
         let (soonest, latest) = self.scenario.discovery.late_ms;
         let late = soonest + (latest - soonest) * self.net.random::<f64>();
         self.agenda.put(self.now + after + late, Event::Publish(line(host, standing)));
@@ -82,7 +82,7 @@
         if known.is_some_and(|known| known.life > line.life) {
             return;
         }
-        if line.standing == Standing::Gone {
+        if line.standing == ServerState::Gone {
             self.directory.published.remove(&line.id);
         } else {
             self.directory.published.insert(line.id.clone(), line.clone());
--- a/crates/pearfront-emulator/src/model/hosts.rs
+++ b/crates/pearfront-emulator/src/model/hosts.rs
@@ -8,7 +8,7 @@
 use crate::scenario::{Effect, Scenario, What};
 use crate::server::{Arrival, Happened, Need, Server};
 use crate::struck::{State, Struck};
-use pearfront::interface::{Address, Ending};
+use pearfront::interface::{Address, AttemptOutcome};
 use rand::prelude::Rng;
 use rand_distr::{Distribution, Exp};
 use std::cell::{Cell, RefCell};
@@ -195,7 +195,7 @@
                 Happened::Began => {}
                 Happened::Calls => self.call_next_tier(host, &flight),
                 Happened::Done => self.served(host, &flight),
-                Happened::Failed => self.server_ends(host, &flight, AttemptEnd::Error, Ending::Error),
+                Happened::Failed => self.server_ends(host, &flight, AttemptEnd::Error, AttemptOutcome::Error),
             }
         }
     }
@@ -247,11 +247,13 @@
         let arrival = host.server.borrow_mut().arrive(Ticket(flight.clone()), need);
         match arrival {
             Arrival::Began | Arrival::Waits => {}
-            Arrival::TurnedAway => self.server_ends(&host, flight, AttemptEnd::TurnedAway, Ending::Full),
+            Arrival::TurnedAway => {
+                self.server_ends(&host, flight, AttemptEnd::TurnedAway, AttemptOutcome::Full)
+            }
             Arrival::Fell => {
                 self.records.servers[host.life.get()].fell = Some(self.now);
                 self.note(format!("{} falls over: cold and sent too much", host.id.borrow()));
-                self.lose_all(&host, Ending::Broken);
+                self.lose_all(&host, AttemptOutcome::ConnectionLost);
             }
         }
         self.watch_host(&host);
@@ -277,11 +279,11 @@
         if let Some(attempt) = flight.attempt.get() {
             self.records.attempts[attempt].effect = first || !keyed;
         }
-        self.server_ends(host, flight, AttemptEnd::Served, Ending::Served);
+        self.server_ends(host, flight, AttemptEnd::Served, AttemptOutcome::Served);
     }
 
     /// The server is done with an attempt: books it and answers, unless nobody listens or the answer is lost.
-    fn server_ends(&mut self, host: &Rc<Host>, flight: &Rc<Flight>, end: AttemptEnd, ending: Ending) {
+    fn server_ends(&mut self, host: &Rc<Host>, flight: &Rc<Flight>, end: AttemptEnd, ending: AttemptOutcome) {
         host.flights.borrow_mut().retain(|other| !Rc::ptr_eq(other, flight));
         if let Some(attempt) = flight.attempt.get() {
             self.records.attempts[attempt].ended = Some((self.now, end));
@@ -312,7 +314,7 @@
         }
         let ended = host.server.borrow_mut().call_ended(&Ticket(flight.clone()), good);
         if ended.is_some() {
-            self.server_ends(host, flight, AttemptEnd::Error, Ending::Error);
+            self.server_ends(host, flight, AttemptEnd::Error, AttemptOutcome::Error);
         }
     }
 
@@ -336,7 +338,7 @@
     }
 
     /// The process is gone, and all that it held; its connections are reset.
-    pub fn lose_all(&mut self, host: &Rc<Host>, ending: Ending) {
+    pub fn lose_all(&mut self, host: &Rc<Host>, ending: AttemptOutcome) {
         for flight in host.flights.take() {
             if let Some(attempt) =
                 flight.attempt.get().filter(|attempt| self.records.attempts[*attempt].ended.is_none())
--- a/crates/pearfront-emulator/src/model/mod.rs
+++ b/crates/pearfront-emulator/src/model/mod.rs
@@ -18,7 +18,7 @@
 use directory::Directory;
 use hosts::{Fleet, Host};
 use nodes::{Flight, HeldJob, Node, Seat};
-use pearfront::interface::{Address, Ending, Settings};
+use pearfront::interface::{Address, AttemptOutcome, Settings};
 use rand::prelude::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::rc::Rc;
@@ -49,7 +49,7 @@
     AttemptArrives(Rc<Flight>),
     AttemptTimesOut(Rc<Flight>),
     /// Told to its node, which may know better by now.
-    AttemptEnds(Rc<Flight>, Ending, u64),
+    AttemptEnds(Rc<Flight>, AttemptOutcome, u64),
     CallOffArrives(Rc<Flight>),
     HostDue(Rc<Host>, u64),
     ProbeArrives(Rc<Node>, Address, f64),
--- a/crates/pearfront-emulator/src/model/nodes.rs
+++ b/crates/pearfront-emulator/src/model/nodes.rs
@@ -7,7 +7,7 @@
 use crate::list::Line;
 use crate::record::{Answer, Job, NodeEnd, NodeLife, Told};
 use crate::struck::State;
-use pearfront::interface::{Address, Ending, Listing, Standing};
+use pearfront::interface::{Address, AttemptOutcome, ServerEntry, ServerState};
 use rand::prelude::Rng;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -224,7 +224,7 @@
             Act::CallOff { job: number, attempt } => {
                 let flight = job(number).and_then(|job| job.attempts.borrow().get(attempt).cloned());
                 if let Some(flight) = flight.filter(|flight| !flight.ended.get()) {
-                    self.attempt_over(&flight, Ending::CalledOff, true);
+                    self.attempt_over(&flight, AttemptOutcome::Cancelled, true);
                 }
             }
             Act::Reject { job: number, wait } => {
@@ -331,21 +331,22 @@
             }
             if closed || !host.is_up() {
                 // The server ended it unannounced: that shows once the job has been written.
-                return self.agenda.put(self.now + there + back, ends(Ending::Broken));
+                return self.agenda.put(self.now + there + back, ends(AttemptOutcome::ConnectionLost));
             }
             host.flights.borrow_mut().push(flight.clone());
             return self.agenda.put(self.now + there, Event::AttemptArrives(flight));
         }
         match host.state.get() {
             State::Silent => {
-                self.agenda.put(self.now + self.scenario.nodes.connect_ms, ends(Ending::Unconnected));
+                self.agenda
+                    .put(self.now + self.scenario.nodes.connect_ms, ends(AttemptOutcome::ConnectFailed));
             }
             State::Up if host.server.borrow_mut().connect() => {
                 self.records.connections += 1;
                 host.flights.borrow_mut().push(flight.clone());
                 self.agenda.put(self.now + 2.0 * there + back, Event::AttemptArrives(flight));
             }
-            _ => self.agenda.put(self.now + there + back, ends(Ending::Unconnected)),
+            _ => self.agenda.put(self.now + there + back, ends(AttemptOutcome::ConnectFailed)),
         }
     }
 
@@ -355,7 +356,7 @@
         let word = Word::AttemptEnded {
             id: job.number.get(),
             attempt,
-            ending: Ending::Unconnected,
+            ending: AttemptOutcome::ConnectFailed,
             took: 0.0,
             done: false,
         };
@@ -396,28 +397,28 @@
     pub fn attempt_times_out(&mut self, flight: &Rc<Flight>) {
         if !flight.ended.get() {
             // Never written where the connection has not come up: then it was told as unconnected before.
-            self.attempt_over(flight, Ending::TimedOut, true);
+            self.attempt_over(flight, AttemptOutcome::TimedOut, true);
         }
     }
 
     /// What the server or the network had to say of an attempt has come to its node.
-    pub fn attempt_ends(&mut self, flight: &Rc<Flight>, ending: Ending, body: u64) {
+    pub fn attempt_ends(&mut self, flight: &Rc<Flight>, ending: AttemptOutcome, body: u64) {
         if flight.ended.get() || !flight.job.node.alive.get() {
             return;
         }
         let node = flight.job.node.clone();
-        if matches!(ending, Ending::Served | Ending::Error | Ending::Full) {
+        if matches!(ending, AttemptOutcome::Served | AttemptOutcome::Error | AttemptOutcome::Full) {
             let kept = (self.now, flight.starts);
             node.idle.borrow_mut().entry(flight.host.address).or_default().push(kept);
         }
-        if ending == Ending::Served {
+        if ending == AttemptOutcome::Served {
             self.give(&flight.job.clone(), Answer::Served, body, 0.0);
         }
         self.attempt_over(flight, ending, false);
     }
 
     /// An attempt is over for its node; `gives_up` closes its connection, so that the server hears of it.
-    fn attempt_over(&mut self, flight: &Rc<Flight>, ending: Ending, gives_up: bool) {
+    fn attempt_over(&mut self, flight: &Rc<Flight>, ending: AttemptOutcome, gives_up: bool) {
         flight.ended.set(true);
         let (job, host) = (&flight.job, &flight.host);
         if gives_up {
@@ -502,7 +503,7 @@
             return;
         }
         let mut known = node.known.borrow_mut();
-        let mut out: Vec<Listing> = Vec::new();
+        let mut out: Vec<ServerEntry> = Vec::new();
         if whole {
             // Who the whole list lacks is gone, as far as this node is told.
             let listed: BTreeSet<usize> = lines.iter().map(|line| line.life).collect();
@@ -512,7 +513,7 @@
                 self.records.told.push(Told {
                     node: node.life,
                     server,
-                    standing: Standing::Gone,
+                    standing: ServerState::Gone,
                     at: self.now,
                 });
             }
@@ -526,15 +527,15 @@
                 at: self.now,
             });
             let newcomer = known.get(&line.address).is_some_and(|old| old.id != line.id);
-            if newcomer && line.standing == Standing::Gone {
+            if newcomer && line.standing == ServerState::Gone {
                 continue;
             }
             let listing = line.listing(node.started);
             if newcomer {
                 // Whoever comes to another's address is told of after that one has gone.
-                out.push(Listing { standing: Standing::Gone, ..listing });
+                out.push(ServerEntry { state: ServerState::Gone, ..listing });
             }
-            if line.standing == Standing::Gone {
+            if line.standing == ServerState::Gone {
                 known.remove(&line.address);
             } else {
                 known.insert(line.address, line);
--- a/crates/pearfront-emulator/src/model/script.rs
+++ b/crates/pearfront-emulator/src/model/script.rs
@@ -8,7 +8,7 @@
 use crate::scenario::{Trouble, What};
 use crate::server::Server;
 use crate::struck::State;
-use pearfront::interface::{Ending, Standing};
+use pearfront::interface::{AttemptOutcome, ServerState};
 use rand::seq::SliceRandom;
 use std::rc::Rc;
 
@@ -120,7 +120,7 @@
 
     fn silence(&mut self, host: &Rc<Host>) {
         host.state.set(State::Silent);
-        self.announce(host, Standing::Gone, self.scenario.discovery.silent_s * 1000.0);
+        self.announce(host, ServerState::Gone, self.scenario.discovery.silent_s * 1000.0);
         if let Some(node) = host.node.take() {
             self.stop_node(&node, NodeEnd::Killed);
         }
@@ -131,9 +131,9 @@
         if host.state.get() != State::Silent {
             return;
         }
-        self.lose_all(host, Ending::Broken);
+        self.lose_all(host, AttemptOutcome::ConnectionLost);
         if new_id {
-            self.announce(host, Standing::Gone, 0.0);
+            self.announce(host, ServerState::Gone, 0.0);
             let id = format!("{}'", host.id.borrow());
             *host.id.borrow_mut() = id;
         }
@@ -160,12 +160,12 @@
         if host.tier + 1 < scenario.tiers.len() {
             self.start_node_beside(host);
         }
-        self.announce(host, Standing::Ready, 0.0);
+        self.announce(host, ServerState::Ready, 0.0);
     }
 
     fn drain(&mut self, host: &Rc<Host>) {
         host.draining.set(true);
-        self.announce(host, Standing::Draining, 0.0);
+        self.announce(host, ServerState::Draining, 0.0);
         let ends = self.scenario.drains_for();
         self.agenda.put(self.now + ends, Event::EndHost(host.clone(), host.starts.get()));
     }
@@ -176,11 +176,11 @@
         }
         self.catch_up(host);
         host.state.set(State::Down);
-        self.lose_all(host, Ending::Broken);
+        self.lose_all(host, AttemptOutcome::ConnectionLost);
         if let Some(node) = host.node.take() {
             self.stop_node(&node, NodeEnd::Killed);
         }
-        self.announce(host, Standing::Gone, 0.0);
+        self.announce(host, ServerState::Gone, 0.0);
     }
 
     /// A rolling release: some at a time drain, end, and are replaced at new addresses.
--- a/crates/pearfront-emulator/src/platform.rs
+++ b/crates/pearfront-emulator/src/platform.rs
@@ -2,7 +2,7 @@
 //! The model play decodes the same object, so both plays decide by the same figures.
 
 use crate::scenario::{Effect, Group, Scenario};
-use pearfront::interface::Standing;
+use pearfront::interface::ServerState;
 use serde_json::{Value, json};
 
 const NS_PER_MS: f64 = 1e6;
@@ -55,10 +55,10 @@
     }
 }
 
-pub fn lifecycle(standing: Standing) -> &'static str {
+pub fn lifecycle(standing: ServerState) -> &'static str {
     match standing {
-        Standing::Ready => "Ready",
-        Standing::Draining => "Terminating",
-        Standing::Gone => "Gone",
+        ServerState::Ready => "Ready",
+        ServerState::Draining => "Terminating",
+        ServerState::Gone => "Gone",
     }
 }
--- a/crates/pearfront-emulator/src/record.rs
+++ b/crates/pearfront-emulator/src/record.rs
@@ -3,7 +3,7 @@
 
 use crate::scenario::Scenario;
 use hdrhistogram::Histogram;
-use pearfront::interface::Standing;
+use pearfront::interface::ServerState;
 
 /// One thing that a caller wants done, whatever number of tries it takes.
 #[derive(Debug, Clone)]
@@ -112,7 +112,7 @@
 pub struct Told {
     pub node: usize,
     pub server: usize,
-    pub standing: Standing,
+    pub standing: ServerState,
     pub at: f64,
 }
 
--- a/crates/pearfront-emulator/src/sockets/callers.rs
+++ b/crates/pearfront-emulator/src/sockets/callers.rs
@@ -10,7 +10,7 @@
 use crate::record::{Answer, Answered, Ask, Job, NodeEnd, NodeLife, Records};
 use crate::scenario::{Scenario, Trouble, What};
 use hdrhistogram::Histogram;
-use pearfront::interface::Standing;
+use pearfront::interface::ServerState;
 use rand::prelude::SeedableRng;
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
@@ -133,7 +133,7 @@
         let node = seat.life.get();
         // Lives of servers are numbered in the order in which they were first started.
         for line in &lines {
-            let (server, standing) = (line.life, Standing::Ready);
+            let (server, standing) = (line.life, ServerState::Ready);
             records.told.push(crate::record::Told { node, server, standing, at: from });
         }
         Ok(())
@@ -148,7 +148,7 @@
             zone: machine.zone,
             cell: machine.cell,
             make: machine.kind,
-            standing: Standing::Ready,
+            standing: ServerState::Ready,
             started: f64::NEG_INFINITY,
             life: place,
         };
--- a/crates/pearfront-emulator/src/sockets/discovery.rs
+++ b/crates/pearfront-emulator/src/sockets/discovery.rs
@@ -12,7 +12,7 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use pearfront::interface::Standing;
+use pearfront::interface::ServerState;
 use serde_json::json;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -66,7 +66,7 @@
     /// The list of a tier as it is published.
     pub fn lines(&self, tier: usize) -> Vec<Line> {
         let lines = self.lines.borrow();
-        let fits = |line: &&Line| line.tier == tier && line.standing != Standing::Gone;
+        let fits = |line: &&Line| line.tier == tier && line.standing != ServerState::Gone;
         lines.values().map(|(_, line)| line).filter(fits).cloned().collect()
     }
 
@@ -184,7 +184,7 @@
         if whole {
             // Who the whole list lacks is gone, as far as this node is told.
             let all = self.directory.lines.borrow();
-            for (_, line) in all.values().filter(|(_, line)| line.standing == Standing::Gone) {
+            for (_, line) in all.values().filter(|(_, line)| line.standing == ServerState::Gone) {
                 self.book(asker, line, at);
             }
         }
--- a/crates/pearfront-emulator/src/sockets/fleet.rs
+++ b/crates/pearfront-emulator/src/sockets/fleet.rs
@@ -15,7 +15,7 @@
 use crate::server::Server;
 use crate::struck::{State, Struck};
 use hdrhistogram::Histogram;
-use pearfront::interface::Standing;
+use pearfront::interface::ServerState;
 use rand::prelude::{Rng, SeedableRng};
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
@@ -132,7 +132,7 @@
             host.state.set(State::Up);
             self.record_life(&host);
             self.listen(&host)?;
-            self.directory.put(&line(&host, Standing::Ready));
+            self.directory.put(&line(&host, ServerState::Ready));
         }
         for number in 0..self.scenario.nodes.count {
             let at = self.places.at(SEAT_DISCOVERY, number);
@@ -329,7 +329,7 @@
             match trouble.what {
                 What::Silent => {
                     host.state.set(State::Silent);
-                    self.announce(&host, Standing::Gone, self.scenario.discovery.silent_s * 1000.0);
+                    self.announce(&host, ServerState::Gone, self.scenario.discovery.silent_s * 1000.0);
                     self.stop_node(&host).await;
                 }
                 What::Stall => host.server.borrow_mut().stand_still(now + trouble.for_s * 1000.0),
@@ -350,7 +350,7 @@
             if trouble.what == What::Silent && host.state.get() == State::Silent {
                 self.lose_all(&host);
                 if trouble.new_ids {
-                    self.announce(&host, Standing::Gone, 0.0);
+                    self.announce(&host, ServerState::Gone, 0.0);
                     let id = format!("{}'", host.id.borrow());
                     *host.id.borrow_mut() = id;
                 }
@@ -382,17 +382,17 @@
                 if let Err(problem) = started.and(side.node_up(&of).await) {
                     log::warn!("{problem}");
                 }
-                side.announce(&of, Standing::Ready, 0.0);
+                side.announce(&of, ServerState::Ready, 0.0);
             });
         } else {
-            self.announce(host, Standing::Ready, 0.0);
+            self.announce(host, ServerState::Ready, 0.0);
         }
         host.bell.notify_one();
     }
 
     fn drain(self: &Rc<Self>, host: &Rc<Host>) {
         host.draining.set(true);
-        self.announce(host, Standing::Draining, 0.0);
+        self.announce(host, ServerState::Draining, 0.0);
         let ends = self.clock.get().now() + self.scenario.drains_for();
         let (side, host) = (self.clone(), host.clone());
         spawn_local(async move {
@@ -404,7 +404,7 @@
             }
             side.lose_all(&host);
             side.stop_node(&host).await;
-            side.announce(&host, Standing::Gone, 0.0);
+            side.announce(&host, ServerState::Gone, 0.0);
         });
     }
 
@@ -430,7 +430,7 @@
     }
 
     /// Something about a server has changed; discovery notices after a while.
-    fn announce(self: &Rc<Self>, host: &Host, standing: Standing, after: f64) {
+    fn announce(self: &Rc<Self>, host: &Host, standing: ServerState, after: f64) {
         let (soonest, latest) = self.scenario.discovery.late_ms;
         let late = soonest + (latest - soonest) * self.chance.borrow_mut().random::<f64>();
         let at = self.clock.get().now() + after + late;
@@ -457,7 +457,7 @@
     }
 }
 
-fn line(host: &Host, standing: Standing) -> Line {
+fn line(host: &Host, standing: ServerState) -> Line {
     Line {
         id: host.id.borrow().clone(),
         address: host.address,
--- a/crates/pearfront-node/src/config.rs
+++ b/crates/pearfront-node/src/config.rs
@@ -4,7 +4,7 @@
 use crate::message::{self, List};
 use crate::terms::Terms;
 use pearfront_cluster::Cluster;
-use pearfront_settings::{At, Surroundings};
+use pearfront_settings::{JsonField, NodeSettings};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::os::fd::RawFd;
@@ -66,33 +66,33 @@
     let text = std::fs::read(&path).map_err(|error| format!("ROUTER_CONFIG: {path}: {error}"))?;
     let json: Value =
         serde_json::from_slice(&text).map_err(|error| format!("ROUTER_CONFIG: {path}: {error}"))?;
-    let top = At::top(&json, "config");
+    let top = JsonField::root(&json, "config");
     // Discovery may have moved since the variable was set: the file, which can be replaced, says where it is now.
-    let discovery = match top.maybe("discovery") {
-        Some(at) => at.text()?.parse().or_else(|_| at.problem("is no address and port"))?,
+    let discovery = match top.optional("discovery") {
+        Some(at) => at.string()?.parse().or_else(|_| at.error("is no address and port"))?,
         None => discovery,
     };
     // At an upgrade two processes may share the file, and each has variables of its own.
-    let admin = match (maybe(ADMIN), top.maybe("admin")) {
+    let admin = match (maybe(ADMIN), top.optional("admin")) {
         (Some(value), _) => Some(parsed(ADMIN, value)?),
-        (None, Some(at)) => Some(at.text()?.parse().or_else(|_| at.problem("is no address and port"))?),
+        (None, Some(at)) => Some(at.string()?.parse().or_else(|_| at.error("is no address and port"))?),
         (None, None) => None,
     };
     let number = |value: String| value.parse().ok().filter(|number| *number > 2);
     let inherited = maybe(INHERITED)
         .map(|value| number(value.clone()).ok_or(format!("{INHERITED}: {value:?} is no descriptor")))
         .transpose()?;
-    let seed = top.needed("seed")?;
-    let limits = top.maybe("limits");
+    let seed = top.required("seed")?;
+    let limits = top.optional("limits");
     let limit = |key: &str, default: f64| {
-        limits.as_ref().and_then(|at| at.maybe(key)).map_or(Ok(default), |at| at.above_0())
+        limits.as_ref().and_then(|at| at.optional(key)).map_or(Ok(default), |at| at.positive_number())
     };
     let kept = if admin.is_some() { crate::admin::DESCRIPTORS } else { 0 };
-    let cluster = top.maybe("cluster").map(|_| cluster(&json["cluster"])).transpose()?;
+    let cluster = top.optional("cluster").map(|_| cluster(&json["cluster"])).transpose()?;
     let kept = kept + if cluster.is_some() { Cluster::descriptors() } else { 0 };
-    let settings = top.needed("settings")?;
-    let around = Surroundings::decode(&settings)?;
-    let known = message::decode_known(&top.needed("known")?, &around)?;
+    let settings = top.required("settings")?;
+    let around = NodeSettings::decode(&settings)?;
+    let known = message::decode_known(&top.required("known")?, &around)?;
     if let Some((_, problem)) = known.dropped.first() {
         return Err(problem.clone());
     }
@@ -102,7 +102,7 @@
         admin,
         inherited,
         discovery,
-        seed: u64::from_str_radix(seed.text()?, 16).or_else(|_| seed.problem("is no hexadecimal number"))?,
+        seed: u64::from_str_radix(seed.string()?, 16).or_else(|_| seed.error("is no hexadecimal number"))?,
         memory_mb: limit("memory_mb", MEMORY_MB)?,
         sockets: (limit("sockets", SOCKETS)? as usize).saturating_sub(kept),
         known,
--- a/crates/pearfront-node/src/confirm.rs
+++ b/crates/pearfront-node/src/confirm.rs
@@ -8,8 +8,8 @@
 use crate::probe::Prober;
 use crate::route::Inbox;
 use crate::terms::InForce;
-use pearfront::chance::Chance;
-use pearfront::interface::{Address, Listing, Standing};
+use pearfront::interface::{Address, ServerEntry, ServerState};
+use pearfront::rng::SeededRng;
 use rand::seq::SliceRandom;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -65,7 +65,7 @@
     }
 
     /// Looks at the leases as long as the node runs.
-    pub async fn run(self, mut chance: Chance) {
+    pub async fn run(self, mut chance: SeededRng) {
         loop {
             sleep(SPACING).await;
             let pause = (self.discovery.own_word_lasts() * LOOK_PART).clamp(LOOK.0, LOOK.1);
@@ -79,7 +79,7 @@
     }
 
     /// Looks once; the next look comes after such a pause, ms.
-    fn look(&self, pause: f64, chance: &mut Chance) {
+    fn look(&self, pause: f64, chance: &mut SeededRng) {
         let (now, lasts) = (self.clock.now(), self.discovery.own_word_lasts());
         let ahead = (lasts * AHEAD_PART).min(MOST_AHEAD);
         let old = self.discovery.list_lease() <= now + ahead;
@@ -94,46 +94,46 @@
         }
     }
 
-    fn lease(&self, line: &Listing) -> f64 {
-        self.discovery.lease(discovery::address(line.server))
+    fn lease(&self, line: &ServerEntry) -> f64 {
+        self.discovery.lease(discovery::address(line.address))
     }
 
     /// Tells the module which servers have no lease to that time, and which have one again.
-    fn suspend(&self, ready: &[Listing], until: f64) {
-        let lost = |line: &&Listing| Guard::is_enforced() && self.lease(line) <= until;
-        let suspended: BTreeSet<_> = ready.iter().filter(lost).map(|line| line.server).collect();
+    fn suspend(&self, ready: &[ServerEntry], until: f64) {
+        let lost = |line: &&ServerEntry| Guard::is_enforced() && self.lease(line) <= until;
+        let suspended: BTreeSet<_> = ready.iter().filter(lost).map(|line| line.address).collect();
         let before = self.suspended.replace(suspended.clone());
         let changed =
-            ready.iter().filter(|line| suspended.contains(&line.server) != before.contains(&line.server));
-        let standing = |line: &Listing| match suspended.contains(&line.server) {
-            true => Listing { standing: Standing::Draining, ..*line },
+            ready.iter().filter(|line| suspended.contains(&line.address) != before.contains(&line.address));
+        let standing = |line: &ServerEntry| match suspended.contains(&line.address) {
+            true => ServerEntry { state: ServerState::Draining, ..*line },
             false => *line,
         };
-        let lines: Vec<Listing> = changed.map(standing).collect();
+        let lines: Vec<ServerEntry> = changed.map(standing).collect();
         if !lines.is_empty() {
             let age = self.clock.now() - self.discovery.list_lease();
             let (without, all) = (suspended.len(), ready.len());
             self.changes.info(|| {
                 format!("{without} of {all} servers without a lease, that of the list ended {age:.0} ms ago")
             });
-            self.inbox.tell(move |balancer| balancer.suspended(lines.into_iter()));
+            self.inbox.tell(move |balancer| balancer.states_overridden(lines.into_iter()));
         }
     }
 
     /// Probes servers whose lease ends by that time, and that were not probed within the last `again` ms, until enough have one.
-    fn probe(&self, ready: &[Listing], now: f64, until: f64, again: f64, chance: &mut Chance) {
-        let ends = |line: &&Listing| self.lease(line) <= until;
-        let mut ending: Vec<&Listing> = ready.iter().filter(ends).collect();
+    fn probe(&self, ready: &[ServerEntry], now: f64, until: f64, again: f64, chance: &mut SeededRng) {
+        let ends = |line: &&ServerEntry| self.lease(line) <= until;
+        let mut ending: Vec<&ServerEntry> = ready.iter().filter(ends).collect();
         // Where there is hardly a descriptor left one probe at a time has one.
         let at_once = if self.prober.has_room() { MOST_PROBES } else { usize::from(!self.prober.is_out()) };
         let wanted = ENOUGH.saturating_sub(ready.len() - ending.len()).min(at_once);
         let mut probed = self.probed.borrow_mut();
         probed.retain(|_, at| now - *at < again);
-        ending.retain(|line| !probed.contains_key(&line.server));
+        ending.retain(|line| !probed.contains_key(&line.address));
         ending.shuffle(&mut chance.0);
         for line in ending.into_iter().take(wanted) {
-            probed.insert(line.server, now);
-            spawn_local(self.prober.clone().probe(line.server, discovery::address(line.server)));
+            probed.insert(line.address, now);
+            spawn_local(self.prober.clone().probe(line.address, discovery::address(line.address)));
         }
     }
 }
--- a/crates/pearfront-node/src/discovery.rs
+++ b/crates/pearfront-node/src/discovery.rs
@@ -17,9 +17,9 @@
 use crate::terms::InForce;
 use crate::wall_clock::{self, WallClock};
 use crate::watch::{self, CallReport, Failure, Pauses, Service};
-use pearfront::chance::Chance;
-use pearfront::interface::{Address, Listing, Standing};
-use pearfront_settings::At;
+use pearfront::interface::{Address, ServerEntry, ServerState};
+use pearfront::rng::SeededRng;
+use pearfront_settings::JsonField;
 use roster::Roster;
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
@@ -63,19 +63,19 @@
 /// How changes count as told by the settings in force.
 fn rules(terms: &InForce) -> Rules {
     let terms = terms.now();
-    Rules { pushed: !terms.settings.listed_on_request, grace: terms.around.drain_grace }
+    Rules { pushed: !terms.settings.discovery_on_request, grace: terms.around.drain_grace }
 }
 
 /// A line in the module's terms; `start` gives its start in the node's time.
-pub fn listing(line: &Line, start: impl Fn(f64) -> f64) -> Listing {
-    Listing {
-        server: token(line.address),
-        standing: line.standing,
+pub fn listing(line: &Line, start: impl Fn(f64) -> f64) -> ServerEntry {
+    ServerEntry {
+        address: token(line.address),
+        state: line.standing,
         cell: line.cell,
         zone: line.zone,
-        make: line.make,
-        size: line.size,
-        started: line.started.map_or(f64::NEG_INFINITY, start),
+        machine_type: line.make,
+        weight: line.size,
+        started_at: line.started.map_or(f64::NEG_INFINITY, start),
     }
 }
 
@@ -115,7 +115,7 @@
     /// The watch's connection between its calls.
     link: RefCell<Option<Link>>,
     /// What spreads the watch's pauses, until it begins.
-    chance: Cell<Option<Chance>>,
+    chance: Cell<Option<SeededRng>>,
     /// Rung when a list has come from the service.
     heard: Notify,
     unread: Seldom,
@@ -145,7 +145,7 @@
             roster: RefCell::default(),
             version: Cell::new(0),
             link: RefCell::default(),
-            chance: Cell::new(Some(Chance::default())),
+            chance: Cell::new(Some(SeededRng::default())),
             heard: Notify::new(),
             unread: Seldom::default(),
             failing: Seldom::default(),
@@ -202,11 +202,11 @@
     }
 
     /// The servers that the list has as ready, in the module's terms.
-    pub fn ready(&self) -> Vec<Listing> {
+    pub fn ready(&self) -> Vec<ServerEntry> {
         self.roster.borrow().ready().map(|line| self.listing(line)).collect()
     }
 
-    fn listing(&self, line: &Line) -> Listing {
+    fn listing(&self, line: &Line) -> ServerEntry {
         let (now, lacked) = (self.clock.now(), self.heard_at.get());
         listing(line, |unix| self.wall.start_of(&line.id, unix, now, lacked))
     }
@@ -229,7 +229,7 @@
         let mut left = self.left.borrow_mut();
         left.retain(|_, at| now - *at < KEPT_LEFT);
         for line in &lines {
-            if line.standing == Standing::Ready {
+            if line.standing == ServerState::Ready {
                 left.remove(&line.address.into());
                 continue;
             }
@@ -241,8 +241,8 @@
             self.leases.forget(server);
         }
         self.wall.look(wall_clock::unix_now(), now);
-        let lines: Vec<Listing> = lines.iter().map(|line| self.listing(line)).collect();
-        if lines.iter().any(|line| line.standing == Standing::Gone) {
+        let lines: Vec<ServerEntry> = lines.iter().map(|line| self.listing(line)).collect();
+        if lines.iter().any(|line| line.state == ServerState::Gone) {
             self.wall.keep(|server| self.roster.borrow().lines.contains_key(server));
         }
         if !known {
@@ -250,7 +250,7 @@
             self.heard.notify_waiters();
         }
         self.inbox.tell(move |balancer| {
-            balancer.listed(false, known, lines.into_iter());
+            balancer.list_received(false, known, lines.into_iter());
         });
     }
 
@@ -262,7 +262,7 @@
 
     /// Another process of this node has this list; what this one has been told since may be newer.
     pub fn told_by_other(&self, list: &Value) -> Result<(), String> {
-        let list = message::decode_known(&At::top(list, "list"), &self.terms.now().around)?;
+        let list = message::decode_known(&JsonField::root(list, "list"), &self.terms.now().around)?;
         if list.version > self.version.get() {
             self.tell(list, true);
         }
@@ -275,7 +275,7 @@
     }
 
     /// The watch's pauses are spread by this chance, if it has not begun.
-    pub fn spread_by(&self, chance: Chance) {
+    pub fn spread_by(&self, chance: SeededRng) {
         if self.chance.take().is_some() {
             self.chance.set(Some(chance));
         }
@@ -371,8 +371,8 @@
 
     fn pauses(&self) -> Pauses {
         let terms = self.terms.now();
-        if terms.settings.listed_on_request {
-            Pauses { first: ASKED_FIRST, longest: terms.settings.ask_within * ASKED_PART }
+        if terms.settings.discovery_on_request {
+            Pauses { first: ASKED_FIRST, longest: terms.settings.list_request_deadline * ASKED_PART }
         } else {
             Pauses {
                 first: PUSHED_FIRST,
--- a/crates/pearfront-node/src/discovery/roster.rs
+++ b/crates/pearfront-node/src/discovery/roster.rs
@@ -1,7 +1,7 @@
 //! The servers that discovery's lists have told of so far.
 
 use crate::message::{Line, List};
-use pearfront::interface::Standing;
+use pearfront::interface::ServerState;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
@@ -21,7 +21,7 @@
 impl Roster {
     /// The servers that the list has as ready.
     pub(super) fn ready(&self) -> impl Iterator<Item = &Line> {
-        self.lines.values().filter(|line| line.standing == Standing::Ready)
+        self.lines.values().filter(|line| line.standing == ServerState::Ready)
     }
 
     /// Where the server at this address stands.
@@ -33,7 +33,7 @@
     /// Does the list have the server as ready?
     pub(super) fn is_ready(&self, server: SocketAddr) -> bool {
         let at = |line: &&Line| SocketAddr::from(line.address) == server;
-        self.lines.values().filter(at).any(|line| line.standing == Standing::Ready)
+        self.lines.values().filter(at).any(|line| line.standing == ServerState::Ready)
     }
 
     /// Takes in a list. Returns what the module is to be told, and the servers whose connections are stale.
@@ -56,9 +56,9 @@
             let other = self.lines.values().find(at).map(|other| other.id.clone());
             // The rest of what is told of a server may come after its successor at that address.
             let stays = match line.standing {
-                Standing::Ready => true,
-                Standing::Draining => other.is_none(),
-                Standing::Gone => false,
+                ServerState::Ready => true,
+                ServerState::Draining => other.is_none(),
+                ServerState::Gone => false,
             };
             if let Some(old) = before {
                 if !stays || old.address != line.address {
@@ -74,7 +74,7 @@
             }
         }
         stale.extend(gone.iter().map(|line| SocketAddr::from(line.address)));
-        let gone = gone.into_iter().map(|line| Line { standing: Standing::Gone, ..line });
+        let gone = gone.into_iter().map(|line| Line { standing: ServerState::Gone, ..line });
         let now = changed.iter().filter_map(|id| self.lines.get(id).cloned());
         (gone.chain(now).collect(), stale)
     }
--- a/crates/pearfront-node/src/discovery/roster/tests.rs
+++ b/crates/pearfront-node/src/discovery/roster/tests.rs
@@ -3,10 +3,19 @@
 
 fn line(id: &str, port: u16, started: Option<f64>) -> Line {
     let address = SocketAddrV4::new(Ipv4Addr::LOCALHOST, port);
-    Line { id: id.into(), address, standing: Standing::Ready, cell: 0, zone: 0, make: 0, size: 1.0, started }
+    Line {
+        id: id.into(),
+        address,
+        standing: ServerState::Ready,
+        cell: 0,
+        zone: 0,
+        make: 0,
+        size: 1.0,
+        started,
+    }
 }
 
-fn update(roster: &mut Roster, whole: bool, lines: Vec<Line>) -> (Vec<(u16, Standing)>, Vec<u16>) {
+fn update(roster: &mut Roster, whole: bool, lines: Vec<Line>) -> (Vec<(u16, ServerState)>, Vec<u16>) {
     let (told, stale) = roster.update(List { version: 1, whole, lines, dropped: Vec::new() });
     let told = told.iter().map(|line| (line.address.port(), line.standing)).collect();
     (told, stale.iter().map(SocketAddr::port).collect())
@@ -18,7 +27,7 @@
     let mut roster = Roster::default();
     update(&mut roster, true, vec![line("a", 1, None), line("b", 2, None)]);
     let (told, stale) = update(&mut roster, false, vec![line("a", 2, None), line("b", 1, None)]);
-    let (gone, ready) = (Standing::Gone, Standing::Ready);
+    let (gone, ready) = (ServerState::Gone, ServerState::Ready);
     assert_eq!(told, [(1, gone), (2, gone), (2, ready), (1, ready)]);
     assert_eq!(stale, [1, 2]);
 }
@@ -32,18 +41,18 @@
     assert_eq!(update(&mut roster, false, vec![line("b", 2, Some(6.0))]).1, [2]);
     assert_eq!(update(&mut roster, true, vec![line("b", 2, Some(6.0))]).1, [1, 3]);
     assert!(roster.is_ready("127.0.0.1:2".parse().unwrap()));
-    let draining = Line { standing: Standing::Draining, ..line("b", 2, Some(6.0)) };
+    let draining = Line { standing: ServerState::Draining, ..line("b", 2, Some(6.0)) };
     update(&mut roster, false, vec![draining]);
     assert!(!roster.is_ready("127.0.0.1:2".parse().unwrap()));
-    let gone = Line { standing: Standing::Gone, ..line("b", 2, Some(6.0)) };
-    assert_eq!(update(&mut roster, false, vec![gone]), (vec![(2, Standing::Gone)], vec![2]));
+    let gone = Line { standing: ServerState::Gone, ..line("b", 2, Some(6.0)) };
+    assert_eq!(update(&mut roster, false, vec![gone]), (vec![(2, ServerState::Gone)], vec![2]));
 }
 
 // A new server where another has gone is cold and has no history, whoever of the two is told first and also if
 // a whole list hides the change; what is told of the old one later must not take it down.
 #[test]
 fn a_new_server_at_the_address_of_another_is_a_new_one() {
-    let (gone, ready) = (Standing::Gone, Standing::Ready);
+    let (gone, ready) = (ServerState::Gone, ServerState::Ready);
     let old = |standing| Line { standing, ..line("old", 1, None) };
     for (whole, lines) in [
         (false, vec![old(gone), line("new", 1, None)]),
@@ -53,7 +62,7 @@
         let mut roster = Roster::default();
         update(&mut roster, true, vec![old(ready)]);
         assert_eq!(update(&mut roster, whole, lines), (vec![(1, gone), (1, ready)], vec![1]));
-        for later in [old(Standing::Draining), old(gone)] {
+        for later in [old(ServerState::Draining), old(gone)] {
             assert_eq!(update(&mut roster, false, vec![later]), (vec![], vec![]));
         }
         assert!(roster.is_ready("127.0.0.1:1".parse().unwrap()));
--- a/crates/pearfront-node/src/discovery/tests.rs
+++ b/crates/pearfront-node/src/discovery/tests.rs
@@ -6,15 +6,24 @@
 
 fn line(id: &str, port: u16, started: Option<f64>) -> Line {
     let address = SocketAddrV4::new(Ipv4Addr::LOCALHOST, port);
-    Line { id: id.into(), address, standing: Standing::Ready, cell: 0, zone: 0, make: 0, size: 1.0, started }
+    Line {
+        id: id.into(),
+        address,
+        standing: ServerState::Ready,
+        cell: 0,
+        zone: 0,
+        make: 0,
+        size: 1.0,
+        started,
+    }
 }
 
 #[test]
 fn addresses_and_starts_are_put_in_the_modules_terms() {
     let listed = listing(&line("a", 8443, Some(1500.0)), |unix| unix - 1000.0);
-    assert_eq!((listed.server, listed.started), ([127, 0, 0, 1, 0x20, 0xfb], 500.0));
-    assert_eq!(address(listed.server), "127.0.0.1:8443".parse().unwrap());
-    assert_eq!(listing(&line("a", 1, None), |unix| unix - 1000.0).started, f64::NEG_INFINITY);
+    assert_eq!((listed.address, listed.started_at), ([127, 0, 0, 1, 0x20, 0xfb], 500.0));
+    assert_eq!(address(listed.address), "127.0.0.1:8443".parse().unwrap());
+    assert_eq!(listing(&line("a", 1, None), |unix| unix - 1000.0).started_at, f64::NEG_INFINITY);
 }
 
 // While a call is held, another process of the node tells of a later list. What the call is answered with may be older: it does
@@ -26,13 +35,13 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let stages = Stages::new(address);
-        stages.list(3, address, Standing::Ready);
+        stages.list(3, address, ServerState::Ready);
         let discovery = stages.discovery.clone();
         let answer = async {
             let (mut stream, _) = listener.accept().await.unwrap();
             let mut call = [0; 1024];
             assert!(stream.read(&mut call).await.unwrap() > 0);
-            stages.list(5, address, Standing::Draining);
+            stages.list(5, address, ServerState::Draining);
             let body = list_of(answered, address, lifecycle);
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
             stream.write_all((head + &body).as_bytes()).await.unwrap();
--- a/crates/pearfront-node/src/guard.rs
+++ b/crates/pearfront-node/src/guard.rs
@@ -11,7 +11,7 @@
 use crate::logger::Limited;
 use crate::route::Held;
 use crate::wire::WritePermit;
-use pearfront::interface::{Effect, Group};
+use pearfront::interface::{DedupScope, Effect};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -160,16 +160,16 @@
             Effect::NonIdempotent => Some(Refusal::MayHaveRun),
             Effect::Keyed => {
                 let place = self.guard.discovery.place_of(self.server);
-                let within = match profile.group {
-                    Group::All => true,
-                    Group::Zone => {
+                let within = match profile.dedup_scope {
+                    DedupScope::All => true,
+                    DedupScope::Zone => {
                         place.zip(earlier.place).is_some_and(|(own, first)| own.zone == first.zone)
                     }
-                    Group::Cell => {
+                    DedupScope::Cell => {
                         place.zip(earlier.place).is_some_and(|(own, first)| own.cell == first.cell)
                     }
                 };
-                (!within || now >= earlier.written + profile.window).then_some(Refusal::OutsideWindow)
+                (!within || now >= earlier.written + profile.dedup_window).then_some(Refusal::OutsideWindow)
             }
         }
     }
--- a/crates/pearfront-node/src/main.rs
+++ b/crates/pearfront-node/src/main.rs
@@ -52,8 +52,8 @@
 use handover::Peers;
 use lifecycle::Lifecycle;
 use logger::{Limited, Seldom};
-use pearfront::chance::Chance;
 use pearfront::policy::Balancer;
+use pearfront::rng::SeededRng;
 use pearfront_cluster::Cluster;
 use probe::Prober;
 use route::{Inbox, Route};
@@ -169,11 +169,11 @@
         {
             log::warn!("ends without a permit: {problem}");
         }
-        let longest = terms.now().around.longest_deadline.min(LONGEST_COUNTED) + AFTER_LIMIT;
+        let longest = terms.now().around.max_deadline.min(LONGEST_COUNTED) + AFTER_LIMIT;
         last.set(clock.now() + longest);
         let answered = last.get() - LAST_ANSWERS;
         life.end(clock.at(answered - take_in::LAST_SERVED).saturating_duration_since(Instant::now()));
-        take_in.route.inbox.tell(move |balancer| balancer.closing(answered));
+        take_in.route.inbox.tell(move |balancer| balancer.shutdown_at(answered));
         answered
     };
     Acceptor::new(listener, shared, take_in.clone()).run(ended).await;
@@ -281,7 +281,7 @@
 fn retune(in_force: &InForce, terms: Terms, take_in: &TakeIn) {
     let terms = Rc::new(terms);
     in_force.swap(terms.clone());
-    take_in.route.inbox.tell(move |balancer| balancer.retune(terms.settings.clone()));
+    take_in.route.inbox.tell(move |balancer| balancer.update_settings(terms.settings.clone()));
 }
 
 /// Puts the stages together and starts what runs by itself.
@@ -306,7 +306,7 @@
     );
     // The module's seed, and other streams of it.
     let stream = |number| {
-        let mut chance = Chance::seeded(config.seed);
+        let mut chance = SeededRng::from_seed(config.seed);
         chance.0.set_stream(number);
         chance
     };
@@ -327,7 +327,7 @@
     let confirmer = Confirmer::new(discovery.clone(), prober.clone(), inbox.clone(), terms.clone(), clock);
     let route = Route::new(clock, inbox, senders.clone(), discovery.clone(), prober, book.clone(), peers);
     discovery.tell(config.known, true);
-    if !settings.listed_on_request {
+    if !settings.discovery_on_request {
         discovery.watch();
     }
     spawn_local(senders.clone().sweep());
--- a/crates/pearfront-node/src/message/discovery.rs
+++ b/crates/pearfront-node/src/message/discovery.rs
@@ -2,8 +2,8 @@
 
 use super::body::{Body, get};
 use hyper::Request;
-use pearfront::interface::Standing;
-use pearfront_settings::{At, Surroundings};
+use pearfront::interface::ServerState;
+use pearfront_settings::{JsonField, NodeSettings};
 use serde_json::Value;
 use std::net::SocketAddrV4;
 
@@ -28,7 +28,7 @@
 pub struct Line {
     pub id: String,
     pub address: SocketAddrV4,
-    pub standing: Standing,
+    pub standing: ServerState,
     pub cell: u16,
     pub zone: u16,
     pub make: usize,
@@ -39,45 +39,45 @@
 }
 
 /// A server of no size would never be drawn, or always.
-fn size(at: &At) -> Result<f64, String> {
+fn size(at: &JsonField) -> Result<f64, String> {
     let size = at.number_or("weight", 1.0)?;
-    if size > 0.0 { Ok(size) } else { at.problem("has a weight of 0") }
+    if size > 0.0 { Ok(size) } else { at.error("has a weight of 0") }
 }
 
 /// Decodes discovery's answer. The error says what is wrong with it.
-pub fn decode_list(text: &[u8], around: &Surroundings) -> Result<List, String> {
+pub fn decode_list(text: &[u8], around: &NodeSettings) -> Result<List, String> {
     let json: Value = serde_json::from_slice(text).map_err(|error| format!("list: {error}"))?;
-    decode_known(&At::top(&json, "list"), around)
+    decode_known(&JsonField::root(&json, "list"), around)
 }
 
 /// Decodes a list that is JSON already. A line that can't be read is dropped, and the others hold.
-pub fn decode_known(top: &At, around: &Surroundings) -> Result<List, String> {
+pub fn decode_known(top: &JsonField, around: &NodeSettings) -> Result<List, String> {
     let mut lines = Vec::new();
     let mut dropped = Vec::new();
-    for at in top.needed("instances")?.list()? {
+    for at in top.required("instances")?.list()? {
         match decode_line(&at, around) {
             Ok(line) => lines.push(line),
             Err(problem) => {
-                let id = at.maybe("instanceId").and_then(|id| id.text().ok().map(str::to_string));
+                let id = at.optional("instanceId").and_then(|id| id.string().ok().map(str::to_string));
                 dropped.push((id, problem));
             }
         }
     }
-    let version = top.needed("generation")?.number()? as u64;
-    Ok(List { version, whole: top.needed("reset")?.flag()?, lines, dropped })
+    let version = top.required("generation")?.number()? as u64;
+    Ok(List { version, whole: top.required("reset")?.boolean()?, lines, dropped })
 }
 
 /// A whole list in discovery's form.
-pub fn encode_list<'a>(version: u64, lines: impl Iterator<Item = &'a Line>, around: &Surroundings) -> Value {
+pub fn encode_list<'a>(version: u64, lines: impl Iterator<Item = &'a Line>, around: &NodeSettings) -> Value {
     let name = |names: &[String], place: usize| names.get(place).cloned().unwrap_or_default();
     let line = |line: &Line| {
         let lifecycle = match line.standing {
-            Standing::Ready => "Ready",
-            Standing::Draining => "Terminating",
-            Standing::Gone => "Gone",
+            ServerState::Ready => "Ready",
+            ServerState::Draining => "Terminating",
+            ServerState::Gone => "Gone",
         };
         serde_json::json!({"instanceId": line.id, "hostPort": line.address.to_string(),
-            "zone": name(&around.zones, line.zone.into()), "machineType": name(&around.makes, line.make),
+            "zone": name(&around.zones, line.zone.into()), "machineType": name(&around.machine_types, line.make),
             "cell": line.cell, "lifecycle": lifecycle, "weight": line.size,
             "startedAtMs": line.started.unwrap_or(0.0)})
     };
@@ -85,30 +85,30 @@
     serde_json::json!({"generation": version, "reset": true, "instances": lines})
 }
 
-fn decode_line(at: &At, around: &Surroundings) -> Result<Line, String> {
-    let lifecycle = at.needed("lifecycle")?;
-    let standing = match lifecycle.text()? {
-        "Ready" => Standing::Ready,
-        "Terminating" => Standing::Draining,
-        "Gone" => Standing::Gone,
-        other => return lifecycle.problem(format!("{other:?} is unknown")),
+fn decode_line(at: &JsonField, around: &NodeSettings) -> Result<Line, String> {
+    let lifecycle = at.required("lifecycle")?;
+    let standing = match lifecycle.string()? {
+        "Ready" => ServerState::Ready,
+        "Terminating" => ServerState::Draining,
+        "Gone" => ServerState::Gone,
+        other => return lifecycle.error(format!("{other:?} is unknown")),
     };
-    let address = at.needed("hostPort")?;
+    let address = at.required("hostPort")?;
     let named = |key: &str, names: &[String]| -> Result<usize, String> {
-        let Some(name) = at.maybe(key) else { return Ok(0) };
-        let name = name.text()?;
+        let Some(name) = at.optional(key) else { return Ok(0) };
+        let name = name.string()?;
         // A name that the settings lack is none of theirs: one more.
         Ok(names.iter().position(|known| known == name).unwrap_or(names.len()))
     };
     let started = at.number_or("startedAtMs", 0.0)?;
     Ok(Line {
-        id: at.needed("instanceId")?.text()?.to_string(),
-        address: address.text()?.parse().or_else(|_| address.problem("is no address and port"))?,
+        id: at.required("instanceId")?.string()?.to_string(),
+        address: address.string()?.parse().or_else(|_| address.error("is no address and port"))?,
         standing,
         cell: at.number_or("cell", 0.0)? as u16,
         size: size(at)?,
         zone: named("zone", &around.zones)? as u16,
-        make: named("machineType", &around.makes)?,
+        make: named("machineType", &around.machine_types)?,
         started: (started > 0.0).then_some(started),
     })
 }
--- a/crates/pearfront-node/src/message/discovery/tests.rs
+++ b/crates/pearfront-node/src/message/discovery/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use serde_json::json;
 
-fn around() -> Surroundings {
+fn around() -> NodeSettings {
     let names = |names: &[&str]| names.iter().map(|name| name.to_string()).collect();
-    Surroundings { zones: names(&["a", "b"]), makes: names(&["m1", "m2"]), ..Surroundings::default() }
+    NodeSettings { zones: names(&["a", "b"]), machine_types: names(&["m1", "m2"]), ..NodeSettings::default() }
 }
 
 // What one process tells the next must be what it knows.
@@ -19,9 +19,9 @@
         size: 0.5,
         started,
     };
-    let lines = [line("a", Standing::Ready, Some(1500.5)), line("b", Standing::Draining, None)];
+    let lines = [line("a", ServerState::Ready, Some(1500.5)), line("b", ServerState::Draining, None)];
     let list = encode_list(41, lines.iter(), &around());
-    let list = decode_known(&At::top(&list, "list"), &around()).unwrap();
+    let list = decode_known(&JsonField::root(&list, "list"), &around()).unwrap();
     assert_eq!((list.version, list.whole, list.lines.as_slice()), (41, true, lines.as_slice()));
 }
 
@@ -36,7 +36,7 @@
     assert_eq!((list.version, list.whole), (41, true));
     let address = "10.1.0.18:8443".parse().unwrap();
     // A machine type that the settings lack is one more.
-    let (standing, started) = (Standing::Ready, Some(5.0));
+    let (standing, started) = (ServerState::Ready, Some(5.0));
     assert_eq!(
         list.lines,
         [Line { id: "s-1".into(), address, standing, cell: 3, zone: 1, make: 2, size: 1.0, started }]
--- a/crates/pearfront-node/src/message/load_report.rs
+++ b/crates/pearfront-node/src/message/load_report.rs
@@ -2,16 +2,16 @@
 
 use super::headers::REPORT;
 use hyper::http::response;
-use pearfront_settings::Surroundings;
+use pearfront_settings::NodeSettings;
 
 /// The load report that came with an answer, where the deployment has them there; an error if it can't be read.
-pub fn decode_report_of(head: &response::Parts, around: &Surroundings) -> Option<Result<Vec<f64>, String>> {
-    let value = head.headers.get(REPORT).filter(|_| around.reports_in_answers)?;
+pub fn decode_report_of(head: &response::Parts, around: &NodeSettings) -> Option<Result<Vec<f64>, String>> {
+    let value = head.headers.get(REPORT).filter(|_| around.load_reports_in_responses)?;
     Some(value.to_str().map_err(|error| error.to_string()).and_then(|text| decode_report(text, around)))
 }
 
 /// A load report's values in the order of the settings; none where a server that has just started has none yet.
-pub fn decode_report(text: &str, around: &Surroundings) -> Result<Vec<f64>, String> {
+pub fn decode_report(text: &str, around: &NodeSettings) -> Result<Vec<f64>, String> {
     if text.trim().is_empty() {
         return Ok(Vec::new());
     }
--- a/crates/pearfront-node/src/message/load_report/tests.rs
+++ b/crates/pearfront-node/src/message/load_report/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use test_case::test_case;
 
-fn around() -> Surroundings {
+fn around() -> NodeSettings {
     let report = ["utilization", "backlog"].map(str::to_string).to_vec();
-    Surroundings { report, ..Surroundings::default() }
+    NodeSettings { report, ..NodeSettings::default() }
 }
 
 // A report with a gap would put one figure in another's place.
--- a/crates/pearfront-node/src/message/request.rs
+++ b/crates/pearfront-node/src/message/request.rs
@@ -11,7 +11,7 @@
 use hyper::http::request;
 use hyper::{Method, Request, Uri};
 use pearfront::interface::Effect;
-use pearfront_settings::Surroundings;
+use pearfront_settings::NodeSettings;
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -100,7 +100,7 @@
     target.path().trim_start_matches('/').split('/').next().unwrap_or_default()
 }
 
-fn decode_profile(head: &request::Parts, around: &Surroundings) -> Result<usize, String> {
+fn decode_profile(head: &request::Parts, around: &NodeSettings) -> Result<usize, String> {
     let named = profile_name(&head.uri);
     let profile = around.profiles.iter().position(|name| name == named);
     profile.ok_or_else(|| format!("unknown profile {named:?}"))
@@ -142,7 +142,7 @@
     left.ok_or_else(|| format!("no time in {TIME_LEFT}"))
 }
 
-fn decode_customer(headers: &HeaderMap, around: &Surroundings) -> Result<usize, String> {
+fn decode_customer(headers: &HeaderMap, around: &NodeSettings) -> Result<usize, String> {
     if around.customers.is_empty() {
         return Ok(0);
     }
--- a/crates/pearfront-node/src/probe.rs
+++ b/crates/pearfront-node/src/probe.rs
@@ -106,12 +106,12 @@
             self.senders.keep_link(server, link);
             return Err(Failure::Refused);
         }
-        let call = message::encode_probe(server, self.terms.now().around.reports);
+        let call = message::encode_probe(server, self.terms.now().around.load_reports);
         let (head, body) = link.ask(call, MOST_REPORT).await.map_err(|()| Failure::Broken)?;
         self.senders.keep_link(server, link);
         let report = || message::decode_report(&String::from_utf8_lossy(&body), &self.terms.now().around);
         match head.status {
-            hyper::StatusCode::OK if self.terms.now().around.reports => Ok(report()),
+            hyper::StatusCode::OK if self.terms.now().around.load_reports => Ok(report()),
             hyper::StatusCode::OK => Ok(Ok(Vec::new())),
             status => Err(Failure::Status(status)),
         }
--- a/crates/pearfront-node/src/probe/tests.rs
+++ b/crates/pearfront-node/src/probe/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::test_support::{Stages, run};
 use hyper::StatusCode;
-use pearfront::interface::Standing;
+use pearfront::interface::ServerState;
 use std::future::pending;
 use test_case::test_case;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -40,17 +40,17 @@
 
 // A server that the list has as ready is probed; of one that has begun to drain since the probe was decided on not a byte
 // is written, and it has not failed.
-#[test_case(Standing::Ready, true; "ready")]
-#[test_case(Standing::Draining, false; "draining")]
-#[test_case(Standing::Gone, false; "gone")]
-fn only_a_ready_server_is_probed(standing: Standing, is_asked: bool) {
+#[test_case(ServerState::Ready, true; "ready")]
+#[test_case(ServerState::Draining, false; "draining")]
+#[test_case(ServerState::Gone, false; "gone")]
+fn only_a_ready_server_is_probed(standing: ServerState, is_asked: bool) {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let server = listener.local_addr().unwrap();
         let read = Rc::new(Cell::new(0));
         spawn_local(serve(listener, read.clone()));
         let stages = Stages::new(server);
-        stages.list(2, server, Standing::Ready);
+        stages.list(2, server, ServerState::Ready);
         stages.list(3, server, standing);
         for _ in 0..MOST_PROBES {
             stages.prober.clone().probe([0; 6], server).await;
--- a/crates/pearfront-node/src/route.rs
+++ b/crates/pearfront-node/src/route.rs
@@ -18,7 +18,7 @@
 use crate::wire::Wire;
 use http_body_util::Either;
 use hyper::header::HeaderValue;
-use pearfront::interface::{Address, Profile, Writer};
+use pearfront::interface::{Address, DecisionWriter, Profile};
 use pearfront::policy::Balancer;
 use std::borrow::Cow;
 use std::cell::{Cell, RefCell};
@@ -238,8 +238,9 @@
         self.peers.open(text(held.job.id()).into());
         self.held.borrow_mut().insert(number, held.clone());
         self.book.taken.add();
-        self.inbox
-            .tell(move |balancer| balancer.job_under(&terms.settings, number, profile, customer, limit));
+        self.inbox.tell(move |balancer| {
+            balancer.request_received_under(&terms.settings, number, profile, customer, limit)
+        });
         (held, answer)
     }
 
@@ -264,7 +265,7 @@
         held.deadline.whole();
         let limit = held.deadline.at();
         held.whole.notify_waiters();
-        self.inbox.tell(move |balancer| balancer.body_came(number, limit));
+        self.inbox.tell(move |balancer| balancer.body_received(number, limit));
     }
 
     /// The job's caller is gone, if it had no answer yet.
@@ -355,7 +356,7 @@
                 let permit = route.guard.attempt(&held, place, to)?;
                 // From its first byte on it can't be sent again.
                 if held.job.flows() {
-                    route.inbox.tell(move |balancer| balancer.spent(number));
+                    route.inbox.tell(move |balancer| balancer.body_not_replayable(number));
                 }
                 Some(permit)
             };
@@ -459,7 +460,7 @@
             let Ok(()) = balancer.round(now, feed, &mut decisions);
             wake = decisions.wake;
             self.book.rounds.add();
-            sleep_until(self.clock.at(now + terms.now().settings.round)).await;
+            sleep_until(self.clock.at(now + terms.now().settings.round_interval)).await;
         }
     }
 }
@@ -471,12 +472,12 @@
     wake: f64,
 }
 
-impl Writer for Decisions<'_> {
+impl DecisionWriter for Decisions<'_> {
     fn attempt(&mut self, job: u32, server: Address, limit: f64) {
         self.route.attempt(job, server, limit);
     }
 
-    fn call_off(&mut self, job: u32, attempt: u16) {
+    fn cancel(&mut self, job: u32, attempt: u16) {
         if let Some(held) = self.route.held.borrow().get(&job)
             && let Some(sent) = held.attempts.borrow().get(usize::from(attempt))
         {
@@ -496,11 +497,11 @@
         spawn_local(self.route.prober.clone().probe(server, discovery::address(server)));
     }
 
-    fn wake(&mut self, delay: f64) {
+    fn wake_after(&mut self, delay: f64) {
         self.wake = self.wake.min(self.now + delay + ROUNDING);
     }
 
-    fn watch(&mut self) {
+    fn watch_list(&mut self) {
         self.route.discovery.watch();
     }
 
--- a/crates/pearfront-node/src/send.rs
+++ b/crates/pearfront-node/src/send.rs
@@ -191,7 +191,7 @@
 
     /// Neither closed by its server nor idle for so long that it soon will be.
     fn is_fresh(&self, idle: &Idle) -> bool {
-        idle.link.is_usable() && idle.since.elapsed() < ms(self.terms.now().around.conn_idle * IDLE_PART)
+        idle.link.is_usable() && idle.since.elapsed() < ms(self.terms.now().around.idle_timeout * IDLE_PART)
     }
 
     /// Closes what has been idle for long, or was closed by its server.
--- a/crates/pearfront-node/src/send/connection_end.rs
+++ b/crates/pearfront-node/src/send/connection_end.rs
@@ -1,7 +1,7 @@
 //! How the connection of an attempt ended, and what that says of the attempt.
 
 use crate::book::Book;
-use pearfront::interface::Ending;
+use pearfront::interface::AttemptOutcome;
 
 /// Every way in which an attempt's connection can end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -38,38 +38,43 @@
 
 impl ConnectionEnd {
     /// The one place where the module's word for it is found.
-    pub fn ending(self) -> Ending {
+    pub fn ending(self) -> AttemptOutcome {
         match self {
-            Self::Served => Ending::Served,
-            Self::Error | Self::Malformed => Ending::Error,
-            Self::TurnedAway => Ending::Full,
-            Self::NeverUp | Self::BrokenBefore | Self::TooLateBefore => Ending::Unconnected,
-            Self::BrokenAfter => Ending::Broken,
-            Self::TooLateAfter => Ending::TimedOut,
+            Self::Served => AttemptOutcome::Served,
+            Self::Error | Self::Malformed => AttemptOutcome::Error,
+            Self::TurnedAway => AttemptOutcome::Full,
+            Self::NeverUp | Self::BrokenBefore | Self::TooLateBefore => AttemptOutcome::ConnectFailed,
+            Self::BrokenAfter => AttemptOutcome::ConnectionLost,
+            Self::TooLateAfter => AttemptOutcome::TimedOut,
             // Over without anything learned of the server.
-            Self::CalledOffAfter | Self::TurnedDown => Ending::CalledOff,
-            Self::CalledOffBefore | Self::NotSent | Self::CallerGone | Self::Withheld => Ending::NeverSent,
+            Self::CalledOffAfter | Self::TurnedDown => AttemptOutcome::Cancelled,
+            Self::CalledOffBefore | Self::NotSent | Self::CallerGone | Self::Withheld => {
+                AttemptOutcome::NeverSent
+            }
         }
     }
 
     /// Is it proof that the request never ran?
     pub fn never_ran(self) -> bool {
-        matches!(self.ending(), Ending::Full | Ending::Unconnected | Ending::NeverSent)
+        matches!(
+            self.ending(),
+            AttemptOutcome::Full | AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent
+        )
     }
 
     /// Counted as what the module is told, but for what on-call staff look for by itself.
     pub fn count(self, book: &Book) {
         let count = match self.ending() {
-            Ending::Error if self == Self::Malformed => &book.attempt_malformed,
-            Ending::CalledOff if self == Self::TurnedDown => &book.attempt_turned_down,
-            Ending::Served => &book.attempt_served,
-            Ending::Error => &book.attempt_error,
-            Ending::Full => &book.attempt_full,
-            Ending::Unconnected => &book.attempt_unconnected,
-            Ending::Broken => &book.attempt_broken,
-            Ending::TimedOut => &book.attempt_timed_out,
-            Ending::CalledOff => &book.attempt_called_off,
-            Ending::NeverSent => &book.attempt_never_sent,
+            AttemptOutcome::Error if self == Self::Malformed => &book.attempt_malformed,
+            AttemptOutcome::Cancelled if self == Self::TurnedDown => &book.attempt_turned_down,
+            AttemptOutcome::Served => &book.attempt_served,
+            AttemptOutcome::Error => &book.attempt_error,
+            AttemptOutcome::Full => &book.attempt_full,
+            AttemptOutcome::ConnectFailed => &book.attempt_unconnected,
+            AttemptOutcome::ConnectionLost => &book.attempt_broken,
+            AttemptOutcome::TimedOut => &book.attempt_timed_out,
+            AttemptOutcome::Cancelled => &book.attempt_called_off,
+            AttemptOutcome::NeverSent => &book.attempt_never_sent,
         };
         count.add();
     }
--- a/crates/pearfront-node/src/send/tests.rs
+++ b/crates/pearfront-node/src/send/tests.rs
@@ -5,8 +5,8 @@
 use bytes::Bytes;
 use http_body_util::Either;
 use hyper::Request;
-use pearfront::interface::{Effect, Group, Profile, Settings};
-use pearfront_settings::Surroundings;
+use pearfront::interface::{DedupScope, Effect, Profile, Settings};
+use pearfront_settings::NodeSettings;
 use std::future::pending;
 use std::io::Write;
 use std::net::TcpListener;
@@ -18,7 +18,7 @@
 fn stage() -> (TcpListener, SocketAddr, Rc<Senders>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let server = listener.local_addr().unwrap();
-    let around = Surroundings { connect_timeout: 10_000.0, conn_idle: 1e6, ..Surroundings::default() };
+    let around = NodeSettings { connect_timeout: 10_000.0, idle_timeout: 1e6, ..NodeSettings::default() };
     let terms = InForce::new(Terms { around, ..Terms::default() });
     (listener, server, Senders::new(terms, Room::new(64, 1.0), Rc::default()))
 }
@@ -101,10 +101,10 @@
         let listener = TcpListener::from(socket);
         let server = listener.local_addr().unwrap();
         let crowd = std::net::TcpStream::connect(server).unwrap();
-        let around = Surroundings {
+        let around = NodeSettings {
             connect_timeout: limit.as_secs_f64() * 1000.0,
-            conn_idle: 1e6,
-            ..Surroundings::default()
+            idle_timeout: 1e6,
+            ..NodeSettings::default()
         };
         let terms = InForce::new(Terms { around, ..Terms::default() });
         let senders = Senders::new(terms, Room::new(64, 1.0), Rc::default());
@@ -180,13 +180,13 @@
     let profile = Profile {
         name: "read".into(),
         effect: Effect::Idempotent,
-        group: Group::All,
-        window: 0.0,
+        dedup_scope: DedupScope::All,
+        dedup_window: 0.0,
         latency_target: 0.0,
         gain: 0.0,
     };
     let settings = Settings { profiles: vec![profile], ..Settings::default() };
-    let around = Surroundings { profiles: vec!["read".into()], ..Surroundings::default() };
+    let around = NodeSettings { profiles: vec!["read".into()], ..NodeSettings::default() };
     let terms = Rc::new(Terms { settings: Rc::new(settings), around });
     let head = Request::get("/read/it").header("X-Trace-Id", "1").header("X-Expires-In", "60");
     match decode_call(head.body(()).unwrap().into_parts().0, &terms, false) {
--- a/crates/pearfront-node/src/terms.rs
+++ b/crates/pearfront-node/src/terms.rs
@@ -2,7 +2,7 @@
 //! moment, as a job does to the end of its last attempt, keeps the one that it came under.
 
 use pearfront::interface::Settings;
-use pearfront_settings::Surroundings;
+use pearfront_settings::NodeSettings;
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -11,7 +11,7 @@
     /// What the module decides by.
     pub settings: Rc<Settings>,
     /// What the node needs beside it.
-    pub around: Surroundings,
+    pub around: NodeSettings,
 }
 
 /// The terms in force.
--- a/crates/pearfront-node/src/test_support.rs
+++ b/crates/pearfront-node/src/test_support.rs
@@ -12,8 +12,8 @@
 use crate::route::Inbox;
 use crate::send::Senders;
 use crate::terms::{InForce, Terms};
-use pearfront::interface::Standing;
-use pearfront_settings::Surroundings;
+use pearfront::interface::ServerState;
+use pearfront_settings::NodeSettings;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -28,11 +28,11 @@
 impl Stages {
     /// Stages whose discovery service has this address; only within `run`.
     pub fn new(service: SocketAddr) -> Self {
-        let around = Surroundings {
+        let around = NodeSettings {
             connect_timeout: 1000.0,
-            conn_idle: 1000.0,
+            idle_timeout: 1000.0,
             drain_grace: 400.0,
-            ..Surroundings::default()
+            ..NodeSettings::default()
         };
         let terms = InForce::new(Terms { around, ..Terms::default() });
         let (clock, inbox) = (Clock::start(), Rc::new(Inbox::default()));
@@ -65,7 +65,7 @@
     }
 
     /// Tells the stages that a list of this version has the server so.
-    pub fn list(&self, version: u64, server: SocketAddr, standing: Standing) {
+    pub fn list(&self, version: u64, server: SocketAddr, standing: ServerState) {
         let SocketAddr::V4(address) = server else { panic!("no such addresses here") };
         let line =
             Line { id: "s0".into(), address, standing, cell: 0, zone: 0, make: 0, size: 1.0, started: None };
--- a/crates/pearfront-node/src/watch.rs
+++ b/crates/pearfront-node/src/watch.rs
@@ -5,7 +5,7 @@
 
 use crate::clock::ms;
 use crate::lease::{TOLD, TOLD_MOVED};
-use pearfront::chance::Chance;
+use pearfront::rng::SeededRng;
 use rand::Rng;
 use std::pin::pin;
 use tokio::time::{Instant, sleep, timeout};
@@ -141,7 +141,7 @@
     }
 
     /// A call failed: the pause before the next one, ms.
-    fn failed(&mut self, now: f64, problem: &Failure, pauses: Pauses, chance: &mut Chance) -> f64 {
+    fn failed(&mut self, now: f64, problem: &Failure, pauses: Pauses, chance: &mut SeededRng) -> f64 {
         let lasted = self.up.take().is_some_and(|up| now - up > LASTED);
         self.missed |= self.begun >= self.due;
         if self.missed {
@@ -163,7 +163,7 @@
 }
 
 /// Calls the service again and again, for good.
-pub async fn keep(service: &impl Service, mut chance: Chance) -> ! {
+pub async fn keep(service: &impl Service, mut chance: SeededRng) -> ! {
     let started = Instant::now();
     let now = || started.elapsed().as_secs_f64() * 1000.0;
     let mut deadline = Deadline::new(now());
--- a/crates/pearfront-node/src/watch/tests.rs
+++ b/crates/pearfront-node/src/watch/tests.rs
@@ -157,7 +157,7 @@
         (came - begun, told)
     };
     tokio::select! {
-        never = keep(&service, Chance::seeded(seed)) => never,
+        never = keep(&service, SeededRng::from_seed(seed)) => never,
         told = plays => told,
     }
 }
@@ -224,7 +224,7 @@
             service.next_list().await - back
         };
         let took = tokio::select! {
-            never = keep(&service, Chance::seeded(seed)) => never,
+            never = keep(&service, SeededRng::from_seed(seed)) => never,
             took = plays => took,
         };
         assert!(took <= TOLD, "{down:?} for {away:.0} ms, seed {seed}: {took:.0} ms");
@@ -244,7 +244,7 @@
         let service = Played::new(ASKED);
         service.down.set(Some((AWAY, how)));
         tokio::select! {
-            never = keep(&service, Chance::seeded(seed)) => never,
+            never = keep(&service, SeededRng::from_seed(seed)) => never,
             _ = service.next_list() => {}
         }
         all += service.begun.borrow().len();
@@ -266,7 +266,7 @@
 async fn a_service_that_is_well_is_called_once_in_three_seconds() {
     let service = Played::new(ASKED);
     tokio::select! {
-        never = keep(&service, Chance::seeded(1)) => never,
+        never = keep(&service, SeededRng::from_seed(1)) => never,
         () = sleep(Duration::from_secs(300)) => {}
     }
     let calls = service.begun.borrow().len();
--- a/crates/pearfront-node/tests/node.rs
+++ b/crates/pearfront-node/tests/node.rs
@@ -493,10 +493,10 @@
 
 /// A file of the old shape, as the command line moves it.
 fn moved_config(servers: &[std::net::SocketAddr]) -> serde_json::Value {
-    use pearfront_settings::moving::{Place, moved};
+    use pearfront_settings::sidecar::{SidecarTarget, to_sidecar};
     let zones = ["a", "b", "c"].map(str::to_string).to_vec();
-    let place = Place { nodes: 300, zones, zone: "b".into(), streams: 100, seed: "1f".into() };
-    moved(&config(servers), &place).unwrap().file
+    let target = SidecarTarget { nodes: 300, zones, zone: "b".into(), streams: 100, seed: "1f".into() };
+    to_sidecar(&config(servers), &target).unwrap().file
 }
 
 #[test]
--- a/crates/pearfront-node/tests/rehearsal.rs
+++ b/crates/pearfront-node/tests/rehearsal.rs
@@ -140,7 +140,7 @@
     let ended =
         |how| records.attempts.iter().any(|attempt| attempt.ended.is_some_and(|(_, ended)| ended == how));
     assert!(ended(AttemptEnd::Error) && ended(AttemptEnd::Served));
-    assert!(records.told.iter().any(|told| told.standing == pearfront::interface::Standing::Draining));
+    assert!(records.told.iter().any(|told| told.standing == pearfront::interface::ServerState::Draining));
     assert!(back(&records).is_some(), "one that came back");
     assert!(back_is_used(&records));
     let starts = |name| records.nodes.iter().filter(|life| life.name == name).count();
--- a/crates/pearfront-scale/src/measure/caller.rs
+++ b/crates/pearfront-scale/src/measure/caller.rs
@@ -2,7 +2,8 @@
 //! drawn by chance. Rounds come as a node has them: once something came in or a wake is due, no two closer than `ROUND`.
 
 use pearfront::interface::{
-    Address, Effect, Ending, Group, Listing, Profile, ReportField, Settings, Standing, Writer,
+    Address, AttemptOutcome, DecisionWriter, DedupScope, Effect, Profile, ReportField, ServerEntry,
+    ServerState, Settings,
 };
 use pearfront::policy::Balancer;
 use pearfront_emulator::agenda::Agenda;
@@ -29,44 +30,44 @@
 
 pub fn settings(siblings: usize, probe_price: f64, zone: u16) -> Settings {
     Settings {
-        siblings: siblings as f64,
+        node_count: siblings as f64,
         last_tier: true,
         zone,
-        round: ROUND,
-        ask_within: 10_000.0,
+        round_interval: ROUND,
+        list_request_deadline: 10_000.0,
         profiles: vec![Profile {
             name: "read".into(),
             effect: Effect::Idempotent,
-            group: Group::All,
-            window: 0.0,
+            dedup_scope: DedupScope::All,
+            dedup_window: 0.0,
             latency_target: 1000.0,
             gain: 1.0,
         }],
-        excess_gain: 1.0,
+        over_quota_gain: 1.0,
         probe_price,
-        most_attempts: 3,
-        may_call_off: true,
+        max_attempts: 3,
+        may_cancel: true,
         may_probe: true,
-        cold_time: 9000.0,
-        cold_share: 0.3,
-        cold_multiple: 4.0,
-        cold_window: 2000.0,
-        further_free: f64::INFINITY,
-        report: vec![ReportField::Held],
+        warm_up_time: 9000.0,
+        cold_capacity_share: 0.3,
+        overload_multiple: 4.0,
+        overload_window: 2000.0,
+        retry_budget_free: f64::INFINITY,
+        report: vec![ReportField::Outstanding],
         ..Settings::default()
     }
 }
 
-pub fn server(number: usize) -> Listing {
+pub fn server(number: usize) -> ServerEntry {
     let [_, high, middle, low] = (number as u32).to_be_bytes();
-    Listing {
-        server: [10, high, middle, low, 0x1f, 0x90],
-        standing: Standing::Ready,
+    ServerEntry {
+        address: [10, high, middle, low, 0x1f, 0x90],
+        state: ServerState::Ready,
         cell: 0,
         zone: (number % usize::from(ZONES)) as u16,
-        make: 0,
-        size: 1.0,
-        started: f64::NEG_INFINITY,
+        machine_type: 0,
+        weight: 1.0,
+        started_at: f64::NEG_INFINITY,
     }
 }
 
@@ -79,11 +80,11 @@
     ended: u64,
 }
 
-impl Writer for Wanted {
+impl DecisionWriter for Wanted {
     fn attempt(&mut self, job: u32, server: Address, _: f64) {
         self.attempts.push((job, server));
     }
-    fn call_off(&mut self, _: u32, _: u16) {}
+    fn cancel(&mut self, _: u32, _: u16) {}
     fn reject(&mut self, _: u32, _: f64) {
         self.ended += 1;
     }
@@ -93,10 +94,10 @@
     fn probe(&mut self, server: Address) {
         self.probes.push(server);
     }
-    fn wake(&mut self, delay: f64) {
+    fn wake_after(&mut self, delay: f64) {
         self.wake = Some(delay);
     }
-    fn watch(&mut self) {}
+    fn watch_list(&mut self) {}
     fn log(&mut self, _: &str) {}
 }
 
@@ -156,17 +157,17 @@
             counts: Counts::default(),
             chance,
         };
-        let lines: Vec<Listing> = (0..servers).map(server).collect();
+        let lines: Vec<ServerEntry> = (0..servers).map(server).collect();
         caller.listed(true, &lines);
         caller.next();
         caller
     }
 
     /// Lines of the list, in a round of their own.
-    pub fn listed(&mut self, whole: bool, lines: &[Listing]) {
+    pub fn listed(&mut self, whole: bool, lines: &[ServerEntry]) {
         let mut wanted = Wanted::default();
         let feed = |module: &mut Balancer| {
-            module.listed(whole, false, lines.iter().copied());
+            module.list_received(whole, false, lines.iter().copied());
             Ok::<(), Infallible>(())
         };
         let Ok(()) = self.module.round(self.now, feed, &mut wanted);
@@ -216,13 +217,13 @@
             for event in came {
                 match event {
                     Event::Job => {
-                        module.job(*next_job, 0, 0, now + DEADLINE);
+                        module.request_received(*next_job, 0, 0, now + DEADLINE);
                         open.insert(*next_job, 0);
                         *next_job = next_job.wrapping_add(1);
                         counts.jobs += 1;
                     }
                     Event::Answered { job, attempt, took } => {
-                        module.attempt_ended(job, attempt, Ending::Served, took, true);
+                        module.attempt_ended(job, attempt, AttemptOutcome::Served, took, true);
                         open.remove(&job);
                     }
                     Event::Probed(server) => {
--- a/crates/pearfront-scale/src/measure/decision.rs
+++ b/crates/pearfront-scale/src/measure/decision.rs
@@ -79,12 +79,12 @@
     let cpu = thread_cpu();
     for number in 0..LINES {
         let mut line = all[number % servers];
-        line.started = 1.0 + number as f64;
+        line.started_at = 1.0 + number as f64;
         caller.listed(false, &[line]);
     }
     point.set("cpu_us_a_line", (thread_cpu() - cpu) * 1e6 / LINES as f64);
     let text = |number: usize| {
-        let [a, b, c, d, high, low] = server(number).server;
+        let [a, b, c, d, high, low] = server(number).address;
         let port = u16::from_be_bytes([high, low]);
         serde_json::json!({"instanceId": format!("service-17-{number}"), "hostPort": format!("{a}.{b}.{c}.{d}:{port}"),
             "zone": "region-a-1", "machineType": "standard", "cell": 0, "lifecycle": "Ready", "weight": 1.0,
--- a/crates/pearfront-settings/src/moving.rs
+++ b/crates/pearfront-settings/src/sidecar.rs
@@ -1,7 +1,7 @@
 //! An operator's file for a node of a pool, turned into one for a node beside a single caller's process. Pure: the
 //! command line reads and writes the files. What can't be carried over is told by key, never dropped in silence.
 
-use crate::{At, Surroundings, decode};
+use crate::{JsonField, NodeSettings, decode};
 use serde_json::{Map, Value, json};
 
 /// Keys that a file may have, by the object they stand in; `*` stands for any object of a list.
@@ -119,7 +119,7 @@
 ];
 
 /// What the old file can't know of the new place.
-pub struct Place {
+pub struct SidecarTarget {
     /// Nodes in all, one for each client process.
     pub nodes: u32,
     pub zones: Vec<String>,
@@ -131,75 +131,81 @@
     pub seed: String,
 }
 
-pub struct Moved {
+pub struct SidecarConfig {
     pub file: Value,
     /// One line for each key that could not be carried over, or that the new place makes another thing of.
-    pub left: Vec<String>,
+    pub not_carried_over: Vec<String>,
 }
 
-pub fn moved(old: &Value, place: &Place) -> Result<Moved, String> {
+pub fn to_sidecar(old: &Value, target: &SidecarTarget) -> Result<SidecarConfig, String> {
     known_keys(old, "")?;
-    let top = At::top(old, "config");
-    let settings = top.needed("settings")?;
-    let around = Surroundings::decode(&settings)?;
+    let top = JsonField::root(old, "config");
+    let settings = top.required("settings")?;
+    let around = NodeSettings::decode(&settings)?;
     let read = decode(&settings)?;
-    top.needed("seed")?.text()?;
-    let instances = top.needed("known")?.needed("instances")?.list()?;
-    if !read.listed_on_request {
-        return settings.needed("discovery")?.problem("is \"pushed\": the file has been moved already");
+    top.required("seed")?.string()?;
+    let instances = top.required("known")?.required("instances")?.list()?;
+    if !read.discovery_on_request {
+        return settings.required("discovery")?.error("is \"pushed\": the file has been moved already");
     }
     if read.tier > 0 {
-        return settings.needed("tier")?.problem("is not 0: only nodes that clients call move");
+        return settings.required("tier")?.error("is not 0: only nodes that clients call move");
     }
-    let zone = place.zones.iter().position(|zone| *zone == place.zone);
-    let zone = zone.ok_or_else(|| format!("zone {:?} is none of those given", place.zone))?;
-    u64::from_str_radix(&place.seed, 16)
-        .map_err(|_| format!("seed {:?} is no hexadecimal number", place.seed))?;
-    let mut left = vec!["seed: each node has its own, the one given".to_string()];
+    let zone = target.zones.iter().position(|zone| *zone == target.zone);
+    let zone = zone.ok_or_else(|| format!("zone {:?} is none of those given", target.zone))?;
+    u64::from_str_radix(&target.seed, 16)
+        .map_err(|_| format!("seed {:?} is no hexadecimal number", target.seed))?;
+    let mut not_carried_over = vec!["seed: each node has its own, the one given".to_string()];
     let mut file = old.clone();
-    file["seed"] = json!(place.seed);
+    file["seed"] = json!(target.seed);
     for key in ["name", "listen", "admin", "peer_listen", "peers", "peers_all"] {
-        drop_key(&mut file, key, &mut left, "belongs to the old node");
+        drop_key(&mut file, key, &mut not_carried_over, "belongs to the old node");
     }
     let mut kept = Vec::new();
     for (at, value) in instances.iter().zip(old["known"]["instances"].as_array().into_iter().flatten()) {
-        match at.maybe("zone").map(|zone| zone.text()).transpose()? {
-            Some(name) if place.zones.iter().any(|zone| zone == name) => kept.push(value.clone()),
-            other => {
-                left.push(format!("{}: zone {} is none of the new ones", at.path, other.unwrap_or("none")))
-            }
+        match at.optional("zone").map(|zone| zone.string()).transpose()? {
+            Some(name) if target.zones.iter().any(|zone| zone == name) => kept.push(value.clone()),
+            other => not_carried_over.push(format!(
+                "{}: zone {} is none of the new ones",
+                at.path,
+                other.unwrap_or("none")
+            )),
         }
     }
     file["known"]["instances"] = Value::Array(kept);
     let new = &mut file["settings"];
     new["discovery"] = json!("pushed");
-    new["siblings"] = json!(place.nodes);
-    new["azs"] = json!(place.zones);
+    new["siblings"] = json!(target.nodes);
+    new["azs"] = json!(target.zones);
     new["locality"] = json!(zone);
     new["limits"]["parallel_tries"] = json!(false);
-    new["limits"]["streams_per_conn"] = json!(place.streams);
-    if read.second_copies {
-        left.push("settings.limits.parallel_tries: no second copies".into());
+    new["limits"]["streams_per_conn"] = json!(target.streams);
+    if read.may_hedge {
+        not_carried_over.push("settings.limits.parallel_tries: no second copies".into());
     }
-    drop_key(new, "me", &mut left, "is the old node's number");
-    drop_key(&mut new["rules"], "ask_within", &mut left, "the list comes unasked");
-    if around.zones != place.zones {
-        left.push(format!("settings.azs: {} became {}", around.zones.join(", "), place.zones.join(", ")));
+    drop_key(new, "me", &mut not_carried_over, "is the old node's number");
+    drop_key(&mut new["rules"], "ask_within", &mut not_carried_over, "the list comes unasked");
+    if around.zones != target.zones {
+        not_carried_over.push(format!(
+            "settings.azs: {} became {}",
+            around.zones.join(", "),
+            target.zones.join(", ")
+        ));
     }
     for (key, what) in
         [("probe", "with it a draw asks first or not"), ("cross_zone", "it keeps jobs at home")]
     {
-        let price = settings.maybe("deductions").map_or(Ok(0.0), |at| at.number_or(key, 0.0))?;
-        left.push(format!("settings.deductions.{key}: stays {price}, the old price; {what}"));
+        let price = settings.optional("deductions").map_or(Ok(0.0), |at| at.number_or(key, 0.0))?;
+        not_carried_over.push(format!("settings.deductions.{key}: stays {price}, the old price; {what}"));
     }
     // What is written must be what a node takes.
-    decode(&At::top(&file["settings"], "config.settings"))?;
-    Ok(Moved { file, left })
+    decode(&JsonField::root(&file["settings"], "config.settings"))?;
+    Ok(SidecarConfig { file, not_carried_over })
 }
 
-fn drop_key(object: &mut Value, key: &str, left: &mut Vec<String>, why: &str) {
+fn drop_key(object: &mut Value, key: &str, not_carried_over: &mut Vec<String>, why: &str) {
     if object.as_object_mut().and_then(|object| object.remove(key)).is_some() {
-        left.push(format!("{key}: {why}"));
+        not_carried_over.push(format!("{key}: {why}"));
     }
 }
 
--- a/crates/pearfront-settings/src/moving/tests.rs
+++ b/crates/pearfront-settings/src/sidecar/tests.rs
@@ -12,19 +12,19 @@
             "rules": {"ask_within": 1e10, "cold": 9e9, "cold_from": 0.3, "tip_multiple": 4.0, "overload_for": 2e9}}})
 }
 
-fn place() -> Place {
+fn target() -> SidecarTarget {
     let zones = ["north", "middle", "south"].map(str::to_string).to_vec();
-    Place { nodes: 300, zones, zone: "middle".into(), streams: 100, seed: "1f".into() }
+    SidecarTarget { nodes: 300, zones, zone: "middle".into(), streams: 100, seed: "1f".into() }
 }
 
 #[test]
 fn the_new_file_is_for_a_node_of_its_own_and_tells_what_stays_behind() {
-    let moved = moved(&old(), &place()).unwrap();
-    let settings = decode(&At::top(&moved.file["settings"], "settings")).unwrap();
-    assert!(!settings.listed_on_request && !settings.second_copies);
-    assert_eq!((settings.siblings, settings.zone), (300.0, 1));
-    assert_eq!((&moved.file["seed"], moved.file.get("admin")), (&json!("1f"), None));
-    assert_eq!(moved.file["known"]["instances"].as_array().unwrap().len(), 1);
+    let sidecar = to_sidecar(&old(), &target()).unwrap();
+    let settings = decode(&JsonField::root(&sidecar.file["settings"], "settings")).unwrap();
+    assert!(!settings.discovery_on_request && !settings.may_hedge);
+    assert_eq!((settings.node_count, settings.zone), (300.0, 1));
+    assert_eq!((&sidecar.file["seed"], sidecar.file.get("admin")), (&json!("1f"), None));
+    assert_eq!(sidecar.file["known"]["instances"].as_array().unwrap().len(), 1);
     for key in [
         "seed",
         "admin",
@@ -35,14 +35,18 @@
         "config.known.instances[1]",
         "deductions.probe",
     ] {
-        assert!(moved.left.iter().any(|line| line.contains(key)), "{key} is not told: {:?}", moved.left);
+        assert!(
+            sidecar.not_carried_over.iter().any(|line| line.contains(key)),
+            "{key} is not told: {:?}",
+            sidecar.not_carried_over
+        );
     }
 }
 
 #[test]
 fn a_file_moved_once_is_refused() {
-    let once = moved(&old(), &place()).unwrap().file;
-    let problem = moved(&once, &place()).err().unwrap();
+    let once = to_sidecar(&old(), &target()).unwrap().file;
+    let problem = to_sidecar(&once, &target()).err().unwrap();
     assert_eq!(problem, "config.settings.discovery is \"pushed\": the file has been moved already");
 }
 
@@ -56,5 +60,5 @@
     let mut file = old();
     let (parent, key) = path.rsplit_once('/').unwrap();
     file.pointer_mut(parent).unwrap()[key] = value;
-    assert_eq!(moved(&file, &place()).err().unwrap(), problem);
+    assert_eq!(to_sidecar(&file, &target()).err().unwrap(), problem);
 }
--- a/crates/pearfront-settings/src/tests.rs
+++ b/crates/pearfront-settings/src/tests.rs
@@ -13,30 +13,33 @@
 #[test]
 fn times_are_milliseconds_and_absent_keys_have_defaults() {
     let json: Value = serde_json::from_str(SETTINGS).unwrap();
-    let settings = decode(&At::top(&json, "settings")).unwrap();
-    assert_eq!((settings.round, settings.ask_within, settings.longest_wait), (4.0, 10_000.0, 2000.0));
-    assert_eq!((settings.probe_price, settings.excess_gain, settings.tier), (0.0, 1.0, 0));
-    assert_eq!(settings.profiles[0].group, Group::Cell);
-    let around = Surroundings::decode(&At::top(&json, "settings")).unwrap();
-    assert_eq!((around.conn_idle, around.connect_timeout), (30_000.0, CONNECT_TIMEOUT));
-    assert_eq!((around.longest_deadline, around.reports_in_answers), (3000.0, false));
+    let settings = decode(&JsonField::root(&json, "settings")).unwrap();
+    assert_eq!(
+        (settings.round_interval, settings.list_request_deadline, settings.max_retry_after),
+        (4.0, 10_000.0, 2000.0)
+    );
+    assert_eq!((settings.probe_price, settings.over_quota_gain, settings.tier), (0.0, 1.0, 0));
+    assert_eq!(settings.profiles[0].dedup_scope, DedupScope::Cell);
+    let around = NodeSettings::decode(&JsonField::root(&json, "settings")).unwrap();
+    assert_eq!((around.idle_timeout, around.connect_timeout), (30_000.0, CONNECT_TIMEOUT));
+    assert_eq!((around.max_deadline, around.load_reports_in_responses), (3000.0, false));
     assert_eq!(around.customers, ["inns"]);
 }
 
 #[test]
-fn what_the_new_shape_needs_is_read_and_stands_still_where_it_is_not_named() {
+fn last_tier_and_weights_are_read_and_off_by_default() {
     let old = parse(SETTINGS.as_bytes()).unwrap();
-    assert!(!old.last_tier && !old.sized && !old.second_copies);
+    assert!(!old.last_tier && !old.weighted && !old.may_hedge);
     let named =
         SETTINGS.replace("\"siblings\": 2", "\"siblings\": 2, \"layers\": [\"a\"], \"weights\": \"rough\"");
     let new = parse(named.as_bytes()).unwrap();
-    assert!(new.last_tier && new.sized);
+    assert!(new.last_tier && new.weighted);
 }
 
 #[test]
 fn a_budget_of_further_attempts_and_what_else_binds_are_read_and_bind_nothing_where_they_are_not_named() {
     let old = parse(SETTINGS.as_bytes()).unwrap();
-    assert!(old.further_free.is_infinite() && !old.gone_may_serve);
+    assert!(old.retry_budget_free.is_infinite() && !old.may_send_to_removed);
     let named = SETTINGS.replace(
         "\"rules\": {",
         "\"rules\": {\"budget_free\": 3, \"extra_ratio\": 0.03, \
@@ -44,11 +47,11 @@
     );
     let named = named.replace("\"whole\": 1.0", "\"whole\": 0.8, \"tail_part\": 0.2, \"tail_slack\": 0.02");
     let new = parse(named.as_bytes()).unwrap();
-    assert_eq!((new.further_free, new.further_ratio, new.further_span), (3.0, 0.03, 5000.0));
-    assert!(new.gone_may_serve);
+    assert_eq!((new.retry_budget_free, new.retry_budget_ratio, new.retry_budget_span), (3.0, 0.03, 5000.0));
+    assert!(new.may_send_to_removed);
     let share_alone =
         SETTINGS.replace("\"rules\": {", "\"rules\": {\"extra_ratio\": 0.1, \"resend_span\": 1e9, ");
-    assert_eq!(parse(share_alone.as_bytes()).unwrap().further_free, 0.0);
+    assert_eq!(parse(share_alone.as_bytes()).unwrap().retry_budget_free, 0.0);
 }
 
 #[test_case("\"rules\": {", "\"rules\": {\"budget_free\": 3, ", "settings.rules.resend_span is missing"; "budget without a span")]
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! pearfront: load balancing decisions for services that call services.
 
-pub mod chance;
 pub mod interface;
 pub mod policy;
 pub mod ring;
+pub mod rng;
 mod state;
 pub mod window;
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -17,9 +17,9 @@
 use self::attempts::REACH_MOST;
 use self::outcomes::FARE_SPAN_MS;
 use self::servers::LIST_RETRY_MS;
-use crate::chance::Chance;
-use crate::interface::{Address, Profile, ReportField, Settings, Writer};
+use crate::interface::{Address, DecisionWriter, Profile, ReportField, Settings};
 use crate::ring::SPAN;
+use crate::rng::SeededRng;
 use crate::state::{Fare, Recent, Request, Server};
 use crate::window::Window;
 use rand::prelude::Rng;
@@ -36,7 +36,7 @@
     settings: Rc<Settings>,
     /// Names of all profiles met so far: their places hold through new settings.
     names: Vec<String>,
-    chance: Chance,
+    chance: SeededRng,
     now: f64,
     requests: HashMap<u32, Rc<Request>>,
     known: BTreeMap<Address, Rc<Server>>,
@@ -74,10 +74,10 @@
 
 impl Balancer {
     pub fn new(settings: Settings, salt: u64) -> Self {
-        let mut chance = Chance::seeded(salt);
+        let mut chance = SeededRng::from_seed(salt);
         // All instances start alike: their first calls for the list are spread, or the service fails them.
-        let next_ask = chance.0.random::<f64>() * settings.ask_within * 0.3;
-        let tells = settings.may_probe && settings.report.contains(&ReportField::Held);
+        let next_ask = chance.0.random::<f64>() * settings.list_request_deadline * 0.3;
+        let tells = settings.may_probe && settings.report.contains(&ReportField::Outstanding);
         let asks = (CANDIDATE_SPEND / settings.probe_price.max(1e-9)).min(CANDIDATES_MOST);
         let mut balancer = Self {
             chance,
@@ -85,7 +85,7 @@
             asks: if tells && asks >= CANDIDATES_PROBED_LEAST { asks as usize } else { 0 },
             woken_for: f64::INFINITY,
             closing: f64::INFINITY,
-            next_ask: if settings.listed_on_request { next_ask } else { f64::INFINITY },
+            next_ask: if settings.discovery_on_request { next_ask } else { f64::INFINITY },
             next_probe: f64::INFINITY,
             ask_pause: LIST_RETRY_MS,
             reach: REACH_MOST,
@@ -93,7 +93,7 @@
             window: Window::new(),
             ..Self::default()
         };
-        balancer.retune(Rc::new(settings));
+        balancer.update_settings(Rc::new(settings));
         balancer
     }
 
@@ -102,18 +102,18 @@
         &mut self,
         now: f64,
         feed: impl FnOnce(&mut Self) -> Result<(), E>,
-        out: &mut impl Writer,
+        out: &mut impl DecisionWriter,
     ) -> Result<(), E> {
         self.now = now;
         feed(self)?;
         // A wake may come a little early: taken for one to come it would be the last, and requests be lost.
-        let come = self.woken_for <= now + self.settings.round;
+        let come = self.woken_for <= now + self.settings.round_interval;
         self.woken_for = if come { f64::INFINITY } else { self.woken_for };
         self.notes.drain(..).for_each(|line| out.log(&line));
         if now >= self.next_ask {
-            out.watch();
+            out.watch_list();
             // Its answer puts the next call off for good; this one stands in case none comes.
-            self.next_ask = now + self.settings.ask_within / 2.0;
+            self.next_ask = now + self.settings.list_request_deadline / 2.0;
         }
         self.probe_on_timer(out);
         while let Some(due) = self.due.first_entry().filter(|due| f64::from_bits(due.key().0) <= now) {
@@ -127,22 +127,22 @@
         let next = due.min(self.next_probe).min(self.next_ask);
         if next < self.woken_for {
             self.woken_for = next;
-            out.wake((next - now).max(0.0));
+            out.wake_after((next - now).max(0.0));
         }
         Ok(())
     }
 
     /// Other settings from now on: what is learned stays under its profile's name, requests keep their rules.
-    pub fn retune(&mut self, settings: Rc<Settings>) {
+    pub fn update_settings(&mut self, settings: Rc<Settings>) {
         if self.settings.quotas != settings.quotas {
             self.admitted = vec![Recent::new(SPAN); settings.quotas.len()];
             self.again = vec![Recent::new(SPAN); settings.quotas.len().max(1)];
         }
-        if self.settings.further_span != settings.further_span {
+        if self.settings.retry_budget_span != settings.retry_budget_span {
             // Whole buckets: of requests taken rather too few count, of further attempts rather too many.
             let used = self.rationed.total(self.now).1;
-            self.taken = Recent::new(settings.further_span);
-            self.rationed = Recent::new(settings.further_span * 10.0 / 9.0);
+            self.taken = Recent::new(settings.retry_budget_span);
+            self.rationed = Recent::new(settings.retry_budget_span * 10.0 / 9.0);
             self.rationed.add(self.now, used);
         }
         if settings.may_probe != self.settings.may_probe {
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -2,7 +2,7 @@
 
 use super::Balancer;
 use super::load::PROBE_WAIT;
-use crate::interface::Writer;
+use crate::interface::DecisionWriter;
 use crate::ring::SPAN;
 use crate::state::{Request, Server};
 use std::rc::Rc;
@@ -32,7 +32,7 @@
     }
 
     /// Admits queued requests, the highest worth first, while the window has room.
-    pub(super) fn admit(&mut self, out: &mut impl Writer) {
+    pub(super) fn admit(&mut self, out: &mut impl DecisionWriter) {
         if self.waiting.is_empty() {
             return;
         }
@@ -42,7 +42,7 @@
         // A lost zone's requests would come on top of the others' own and tip them: capacity is by server.
         let works = |server: &&Rc<Server>| !server.health.borrow().iter().all(|own| own.is_ejected(self.now));
         let up = self.table.iter().filter(works);
-        let part = up.map(|server| self.warm_share(server)).sum::<f64>().max(1.0) / self.settings.siblings;
+        let part = up.map(|server| self.warm_share(server)).sum::<f64>().max(1.0) / self.settings.node_count;
         let busy = self.mean_utilisation();
         self.window.bound(self.now, part, busy);
         for (worth, request) in ranked {
@@ -86,11 +86,11 @@
     /// What serving the request gains for each unit of work.
     fn worth(&mut self, request: &Request) -> f64 {
         let within = self.within_quota(request.customer);
-        let excess = if within { 1.0 } else { self.settings.excess_gain };
+        let excess = if within { 1.0 } else { self.settings.over_quota_gain };
         // What will hardly be answered in time is worth little more than nothing, however short the queue.
         let left = request.arrived.get() + self.profile(request).latency_target - self.now;
         let chance = (left / self.usual_duration(request)).clamp(0.0, 1.0).powf(TIMELY_POWER);
-        let work = if request.rules.gain_by_work { 1.0 } else { self.usual_duration(request) };
+        let work = if request.rules.gain_per_work { 1.0 } else { self.usual_duration(request) };
         excess * chance * self.profile(request).gain / work
     }
 
@@ -98,6 +98,6 @@
     /// share is measured by what this node admitted.
     fn within_quota(&mut self, customer: usize) -> bool {
         let Some(recent) = self.admitted.get_mut(customer) else { return true };
-        recent.total(self.now).0 <= self.settings.quotas[customer] / self.settings.siblings * SPAN / 1000.0
+        recent.total(self.now).0 <= self.settings.quotas[customer] / self.settings.node_count * SPAN / 1000.0
     }
 }
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -3,7 +3,7 @@
 use super::Balancer;
 use super::health::EJECTION_FAILURES;
 use super::load::IDLE;
-use crate::interface::{Effect, Ending, Writer};
+use crate::interface::{AttemptOutcome, DecisionWriter, Effect};
 use crate::state::{Attempt, Request, Server};
 use std::rc::Rc;
 
@@ -24,7 +24,7 @@
     /// The only gate to a further attempt: to which servers may the request go, if to any?
     pub(super) fn retry_scope(&self, request: &Request) -> Option<RetryScope> {
         let attempts = request.attempts.borrow();
-        if attempts.len() >= request.rules.most_attempts || request.spent.get() {
+        if attempts.len() >= request.rules.max_attempts || request.spent.get() {
             return None;
         }
         let Some(first) = attempts.iter().find(|attempt| !attempt.never_ran()) else {
@@ -35,7 +35,7 @@
             Effect::NonIdempotent => None,
             Effect::Idempotent => Some(None),
             // Past the window its servers no longer know the mark, and the request would run twice.
-            Effect::Keyed if self.now >= first.sent + profile.window => None,
+            Effect::Keyed if self.now >= first.sent + profile.dedup_window => None,
             Effect::Keyed => Some(Some(first.server.clone())),
         }
     }
@@ -45,7 +45,7 @@
         &mut self,
         request: &Rc<Request>,
         worth: Option<f64>,
-        out: &mut impl Writer,
+        out: &mut impl DecisionWriter,
     ) -> bool {
         let Some(scope) = self.retry_scope(request) else { return false };
         let first = request.attempts.borrow().is_empty();
@@ -85,7 +85,7 @@
         let health = server.health(request.profile);
         health.on_trial.set(health.strikes.get() >= EJECTION_FAILURES && self.now >= health.back_at.get());
         self.window.out.change(self.now, request.load());
-        out.attempt(request.id, server.line.get().server, request.limit.get() - self.now);
+        out.attempt(request.id, server.line.get().address, request.limit.get() - self.now);
         let usual = self.usual_duration(request) * self.overdue_factor();
         let at = self.now + usual * server.slowness.get().min(2.0);
         request.attempts.borrow_mut().push(Attempt::new(server, self.now, promise));
@@ -99,7 +99,8 @@
         // Further attempts follow the share of recent attempts that were served, or retries would feed a jam.
         let served = self.endings.mean_beside(now, 1.0, 1.0);
         let allowed = RETRIES_FREE + RETRY_RATIO * served * self.first_attempts.total(now).0;
-        let budget = self.settings.further_free + self.settings.further_ratio * self.taken.total(now).0;
+        let budget =
+            self.settings.retry_budget_free + self.settings.retry_budget_ratio * self.taken.total(now).0;
         (!further || self.further.total(now).1 < allowed) && self.rationed.total(now).1 + 1.0 <= budget
     }
 
@@ -108,7 +109,7 @@
         &mut self,
         request: &Request,
         attempt: usize,
-        ending: Ending,
+        ending: AttemptOutcome,
     ) -> Option<Rc<Server>> {
         let mut attempts = request.attempts.borrow_mut();
         let attempt = attempts.get_mut(attempt).filter(|attempt| attempt.is_out())?;
@@ -117,7 +118,7 @@
         let late = self.now - request.arrived.get() > self.profile(request).latency_target;
         if late && attempt.promise > LATE_EDGE * self.reach {
             self.reach = (self.reach * (1.0 - REACH_SHRINK)).max(REACH_LEAST);
-        } else if ending == Ending::Served && !late {
+        } else if ending == AttemptOutcome::Served && !late {
             self.reach = (self.reach * (1.0 + REACH_GROW)).min(REACH_MOST);
         }
         attempt.server.out.set(attempt.server.out.get() - 1);
--- a/src/policy/draw.rs
+++ b/src/policy/draw.rs
@@ -3,7 +3,7 @@
 use super::Balancer;
 use super::attempts::RetryScope;
 use super::servers::CANDIDATES_LEAST;
-use crate::interface::Group;
+use crate::interface::DedupScope;
 use crate::ring::SPAN;
 use crate::state::{Request, Server};
 use rand::distr::weighted::WeightedIndex;
@@ -28,8 +28,8 @@
             candidates = self.candidates(request, &scope, |me, server| me.has_cold_credit(server, rate));
         } else {
             // In the time in which a cold one falls over it is sent what it did and what it holds at the end.
-            let multiple = (self.settings.cold_multiple - 1.0).max(0.0) * COLD_LIMIT_PART;
-            let most = multiple * self.settings.cold_window / self.usual_duration(request);
+            let multiple = (self.settings.overload_multiple - 1.0).max(0.0) * COLD_LIMIT_PART;
+            let most = multiple * self.settings.overload_window / self.usual_duration(request);
             let waiting = self.similar_waiting(request);
             candidates.retain(|server| {
                 self.warm_share(server) >= 1.0 || self.wins_cold_place(request, server, most, waiting)
@@ -53,9 +53,9 @@
         let ejected = |server: &Rc<Server>| server.health(request.profile).is_ejected(self.now);
         let most = self.table.len() as f64 * EJECTED_MOST;
         let shared = self.table.iter().filter(|server| ejected(server)).count() as f64 > most;
-        let within = |server: &Rc<Server>| match (scope, self.profile(request).group) {
-            (Some(first), Group::Zone) => first.line.get().zone == server.line.get().zone,
-            (Some(first), Group::Cell) => first.line.get().cell == server.line.get().cell,
+        let within = |server: &Rc<Server>| match (scope, self.profile(request).dedup_scope) {
+            (Some(first), DedupScope::Zone) => first.line.get().zone == server.line.get().zone,
+            (Some(first), DedupScope::Cell) => first.line.get().cell == server.line.get().cell,
             _ => true,
         };
         let fits = |server: &Rc<Server>| {
@@ -77,13 +77,14 @@
 
     /// Share of its capacity that a server has at least, by the time since its start.
     pub(super) fn warm_share(&self, server: &Server) -> f64 {
-        let warmed = (self.now - server.started.get()) / self.settings.cold_time;
-        (self.settings.cold_share + (1.0 - self.settings.cold_share) * warmed.max(0.0)).min(1.0)
+        let warmed = (self.now - server.started.get()) / self.settings.warm_up_time;
+        (self.settings.cold_capacity_share + (1.0 - self.settings.cold_capacity_share) * warmed.max(0.0))
+            .min(1.0)
     }
 
     /// How many requests of all nodes wait as this one does: as many as came since it.
     fn similar_waiting(&mut self, request: &Request) -> f64 {
-        (self.send_rate() * self.settings.siblings * (self.now - request.arrived.get())).max(1.0)
+        (self.send_rate() * self.settings.node_count * (self.now - request.arrived.get())).max(1.0)
     }
 
     /// Is the request among those that a cold server may take, which could take `most` if it were warm? All
@@ -98,8 +99,8 @@
     /// nodes together overload it.
     fn has_cold_credit(&self, server: &Server, rate: f64) -> bool {
         let warm = self.warm_share(server);
-        let refill = rate * COLD_LIMIT_PART * self.settings.cold_multiple * warm;
-        let most = (refill * self.settings.cold_window).max(1.0);
+        let refill = rate * COLD_LIMIT_PART * self.settings.overload_multiple * warm;
+        let most = (refill * self.settings.overload_window).max(1.0);
         let credit = server.cold_credit.get() + refill * (self.now - server.credit_at.get());
         server.cold_credit.set(credit.min(most));
         server.credit_at.set(self.now);
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -2,7 +2,7 @@
 
 use super::Balancer;
 use super::servers::LIST_RETRY_MS;
-use crate::interface::{Ending, Writer};
+use crate::interface::{AttemptOutcome, DecisionWriter};
 use crate::ring::SPAN;
 use crate::state::{Attempt, Health, Request, Server};
 use std::rc::Rc;
@@ -25,36 +25,36 @@
         &mut self,
         server: &Rc<Server>,
         request: &Request,
-        ending: Ending,
+        ending: AttemptOutcome,
         took: f64,
     ) {
         let now = self.now;
         let usual = self.usual_duration(request);
-        let lost =
-            matches!(ending, Ending::TimedOut | Ending::CalledOff) && took > self.overdue_factor() * usual;
-        if lost || ending == Ending::Served {
+        let lost = matches!(ending, AttemptOutcome::TimedOut | AttemptOutcome::Cancelled)
+            && took > self.overdue_factor() * usual;
+        if lost || ending == AttemptOutcome::Served {
             self.lost.add(now, f64::from(u8::from(lost)));
         }
         // A server that loses its answers looks idle: they count with the time they were out.
-        if ending != Ending::Served && took > OVERDUE * usual {
+        if ending != AttemptOutcome::Served && took > OVERDUE * usual {
             self.record_slowness(server, took / usual);
         }
-        server.unreached.set(ending == Ending::Unconnected);
+        server.unreached.set(ending == AttemptOutcome::ConnectFailed);
         // The list that a node starts with may be old: one that is still to ask for it asks now.
         if server.unreached.get() && self.ask_pause <= LIST_RETRY_MS && self.next_ask.is_finite() {
             (self.next_ask, self.ask_pause) = (now, 2.0 * LIST_RETRY_MS);
         }
         // Does it help to send a request that got an error again? Some get one wherever they go.
-        let before = request.errors() - usize::from(ending == Ending::Error);
-        if before > 0 && matches!(ending, Ending::Error | Ending::Served) {
-            self.retry_success(request).add(now, f64::from(u8::from(ending == Ending::Served)));
+        let before = request.errors() - usize::from(ending == AttemptOutcome::Error);
+        if before > 0 && matches!(ending, AttemptOutcome::Error | AttemptOutcome::Served) {
+            self.retry_success(request).add(now, f64::from(u8::from(ending == AttemptOutcome::Served)));
         }
         // An error that most servers give now comes from the tier behind: it says nothing of this one.
         let behind = !self.settings.last_tier && self.endings.mean_beside(now, 1.0, 1.0) < SHARED_FAULT;
         match ending {
-            Ending::Served => {
+            AttemptOutcome::Served => {
                 self.endings.add(now, 1.0);
-                server.record_success(request.profile, now, self.settings.cold_time);
+                server.record_success(request.profile, now, self.settings.warm_up_time);
                 self.window.served(request.profile, now, took);
                 self.record_timeliness(request, true);
                 self.record_slowness(server, took / usual);
@@ -63,16 +63,20 @@
                     self.window.follow(request.profile, now, took, target);
                 }
             }
-            Ending::Error if self.fails_everywhere(request) => {}
-            Ending::Error if behind => self.endings.add(now, 0.0),
-            Ending::Error | Ending::TimedOut | Ending::Unconnected | Ending::Broken => {
+            AttemptOutcome::Error if self.fails_everywhere(request) => {}
+            AttemptOutcome::Error if behind => self.endings.add(now, 0.0),
+            AttemptOutcome::Error
+            | AttemptOutcome::TimedOut
+            | AttemptOutcome::ConnectFailed
+            | AttemptOutcome::ConnectionLost => {
                 self.endings.add(now, 0.0);
-                self.record_failure(server, request.profile, ending == Ending::Error);
+                self.record_failure(server, request.profile, ending == AttemptOutcome::Error);
             }
-            Ending::Full => server.rest_until.set(now + FULL_REST * self.usual_duration(request)),
-            Ending::CalledOff | Ending::NeverSent => {}
+            AttemptOutcome::Full => server.rest_until.set(now + FULL_REST * self.usual_duration(request)),
+            AttemptOutcome::Cancelled | AttemptOutcome::NeverSent => {}
         }
-        if matches!(ending, Ending::Error | Ending::TimedOut | Ending::Broken) {
+        if matches!(ending, AttemptOutcome::Error | AttemptOutcome::TimedOut | AttemptOutcome::ConnectionLost)
+        {
             self.record_timeliness(request, false);
         }
         // A trial ends with its attempt, however that ended.
@@ -95,7 +99,7 @@
                     (health.aside.get() * 2.0).clamp(EJECTION_FIRST_MS, EJECTION_LONGEST_MS).max(pause);
                 health.aside.set(time);
                 health.back_at.set(now + time);
-                let [a, b, c, d, ..] = server.line.get().server;
+                let [a, b, c, d, ..] = server.line.get().address;
                 self.notes.push(format!("server {a}.{b}.{c}.{d} aside for {time:.0} ms, profile {place}"));
             }
         }
@@ -114,7 +118,7 @@
     }
 
     /// Records attempts that are overdue, and sends a second copy where one is allowed.
-    pub(super) fn check_overdue(&mut self, request: &Rc<Request>, out: &mut impl Writer) {
+    pub(super) fn check_overdue(&mut self, request: &Rc<Request>, out: &mut impl DecisionWriter) {
         let overdue = self.overdue_factor();
         let usual = self.usual_duration(request) * overdue;
         let mut next = f64::INFINITY;
@@ -134,7 +138,7 @@
             }
         }
         late.iter().for_each(|server| self.record_failure(server, request.profile, false));
-        if late.is_none() || !request.rules.second_copies || !self.send_attempt(request, None, out) {
+        if late.is_none() || !request.rules.may_hedge || !self.send_attempt(request, None, out) {
             self.review_at(request, next);
         }
     }
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -1,7 +1,7 @@
 //! The load table: probes, the reports that they bring, and each server's estimate.
 
 use super::Balancer;
-use crate::interface::{Address, ReportField, Writer};
+use crate::interface::{Address, DecisionWriter, ReportField};
 use crate::ring::SPAN;
 use crate::state::{Request, Server};
 use rand::prelude::Rng;
@@ -29,8 +29,9 @@
         let highest = || self.table.iter().filter_map(|server| server.estimate.get()).fold(0.0, f64::max);
         let told = self.load_in(report);
         // It says that it holds nothing while it has held a request of ours for longer than a report may lag.
-        let idle =
-            good && self.settings.report.contains(&ReportField::Held) && told.is_some_and(|held| held < IDLE);
+        let idle = good
+            && self.settings.report.contains(&ReportField::Outstanding)
+            && told.is_some_and(|held| held < IDLE);
         if idle && server.out.get() > 0 && self.now - server.taken.get() > REPORT_LAG_MS {
             server.untrue.set(self.now + DISTRUST_MS);
         }
@@ -47,7 +48,7 @@
 
     /// The load in a report, by the most telling field that it has.
     fn load_in(&self, report: &[f64]) -> Option<f64> {
-        [ReportField::Held, ReportField::Utilisation, ReportField::Waiting].iter().find_map(|wanted| {
+        [ReportField::Outstanding, ReportField::Utilization, ReportField::Backlog].iter().find_map(|wanted| {
             let place = self.settings.report.iter().position(|field| field == wanted)?;
             report.get(place).copied()
         })
@@ -58,14 +59,14 @@
         let heard = || servers.iter().filter_map(|server| server.estimate.get());
         let mean = heard().sum::<f64>() / (heard().count() as f64).max(1.0);
         let step = mean.max(STEP_UNIT);
-        let counted = self.settings.report.contains(&ReportField::Held);
+        let counted = self.settings.report.contains(&ReportField::Outstanding);
         let raised = |server: &Rc<Server>| {
             let (report, out) = (server.estimate.get().unwrap_or(mean), f64::from(server.out.get()));
             if counted {
                 // Requests held have a size: the own ones are among them, a cold or small server bears fewer.
                 let connection = if server.heard.get() > 0.0 { 0.0 } else { NEW_CONNECTION };
                 (report.max(out) + connection + 1.0) * server.slowness.get()
-                    / (server.line.get().size * self.warm_share(server))
+                    / (server.line.get().weight * self.warm_share(server))
             } else {
                 report + step * server.slowness.get() * (out + 1.0)
             }
@@ -82,7 +83,7 @@
     }
 
     /// Sends the probe that is due by the Poisson timer, and draws the time of the next.
-    pub(super) fn probe_on_timer(&mut self, out: &mut impl Writer) {
+    pub(super) fn probe_on_timer(&mut self, out: &mut impl DecisionWriter) {
         if self.now < self.next_probe {
             return;
         }
@@ -91,7 +92,7 @@
             let subset = self.subset(size, |_| true);
             let target = self.probe_target(&subset);
             subset[target].probed.set(self.now);
-            out.probe(subset[target].line.get().server);
+            out.probe(subset[target].line.get().address);
         }
         let each = (PROBE_SPEND / self.settings.probe_price.max(1e-9)).min(PROBES_MOST);
         let rate = (self.first_attempts.total(self.now).0 / SPAN * 1000.0 * each).max(PROBE_RATE_LEAST);
@@ -108,13 +109,13 @@
     }
 
     /// Probes the servers that the request may be drawn to, the paper's way: even draws and lowest estimates.
-    pub(super) fn probe_candidates(&mut self, request: &Rc<Request>, out: &mut impl Writer) {
+    pub(super) fn probe_candidates(&mut self, request: &Rc<Request>, out: &mut impl DecisionWriter) {
         let mut candidates = self.candidates(request, &None, |_, _| true);
         for _ in 0..self.asks.min(candidates.len()) {
             let target = self.probe_target(&candidates);
             let server = candidates.swap_remove(target);
             if server.probed.replace(self.now) < self.now {
-                out.probe(server.line.get().server);
+                out.probe(server.line.get().address);
             }
         }
         request.asked.set(self.now);
@@ -124,7 +125,7 @@
 
     /// Mean utilisation that the servers of this node's subset report, if that is what they report.
     pub(super) fn mean_utilisation(&mut self) -> Option<f64> {
-        if self.settings.report.first() != Some(&ReportField::Utilisation) {
+        if self.settings.report.first() != Some(&ReportField::Utilization) {
             return None;
         }
         let size = self.subset_size();
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -1,7 +1,7 @@
 //! The life of a request, from its arrival to its final answer.
 
 use super::Balancer;
-use crate::interface::{Effect, Ending, Group, Profile, Settings, Writer};
+use crate::interface::{AttemptOutcome, DecisionWriter, DedupScope, Effect, Profile, Settings};
 use crate::ring::SPAN;
 use crate::state::Request;
 use rand::prelude::Rng;
@@ -12,12 +12,19 @@
 
 impl Balancer {
     /// Takes in a request under the settings in force.
-    pub fn job(&mut self, id: u32, profile: usize, customer: usize, limit: f64) {
-        self.job_under(&self.settings.clone(), id, profile, customer, limit);
+    pub fn request_received(&mut self, id: u32, profile: usize, customer: usize, limit: f64) {
+        self.request_received_under(&self.settings.clone(), id, profile, customer, limit);
     }
 
     /// Takes in a request under these settings, which need no longer be the ones in force.
-    pub fn job_under(&mut self, rules: &Rc<Settings>, id: u32, place: usize, customer: usize, limit: f64) {
+    pub fn request_received_under(
+        &mut self,
+        rules: &Rc<Settings>,
+        id: u32,
+        place: usize,
+        customer: usize,
+        limit: f64,
+    ) {
         let (now, profile) = (self.now, self.profile_index(&rules.profiles[place].name));
         let (rules, asked) = (rules.clone(), Cell::new(f64::NEG_INFINITY));
         let (arrived, limit) = (Cell::new(now), Cell::new(limit));
@@ -30,7 +37,7 @@
     }
 
     /// The last byte of a request's body has arrived: its times, and those of its attempt, count from now on.
-    pub fn body_came(&mut self, id: u32, limit: f64) {
+    pub fn body_received(&mut self, id: u32, limit: f64) {
         let Some(request) = self.requests.get(&id).cloned() else { return };
         request.arrived.set(self.now);
         request.limit.set(limit);
@@ -43,12 +50,12 @@
     }
 
     /// A request's body is being streamed and is not buffered: there can be no further attempt.
-    pub fn spent(&mut self, id: u32) {
+    pub fn body_not_replayable(&mut self, id: u32) {
         self.requests.get(&id).iter().for_each(|request| request.spent.set(true));
     }
 
     /// An attempt has ended; `done` if the client has its answer by it.
-    pub fn attempt_ended(&mut self, id: u32, attempt: usize, ending: Ending, took: f64, done: bool) {
+    pub fn attempt_ended(&mut self, id: u32, attempt: usize, ending: AttemptOutcome, took: f64, done: bool) {
         let Some(request) = self.requests.get(&id).cloned() else { return };
         let Some(server) = self.record_ending(&request, attempt, ending) else { return };
         self.record_outcome(&server, &request, ending, took);
@@ -64,14 +71,14 @@
     }
 
     /// The node shuts down at that time: every request that it still holds is answered before.
-    pub fn closing(&mut self, at: f64) {
+    pub fn shutdown_at(&mut self, at: f64) {
         self.closing = at;
         let held: Vec<_> = self.due.values().filter_map(Weak::upgrade).collect();
         held.iter().for_each(|request| self.review_at(request, at));
     }
 
     /// Takes the next step for a request: records that it is slow, answers, queues or sends it.
-    pub(super) fn decide(&mut self, request: &Rc<Request>, out: &mut impl Writer) {
+    pub(super) fn decide(&mut self, request: &Rc<Request>, out: &mut impl DecisionWriter) {
         if self.now >= request.due.get() {
             self.record_timeliness(request, false);
         }
@@ -96,7 +103,7 @@
 
     /// The last moment for an answer of our own: two rounds ahead of the deadline, so that it leaves in time.
     pub(super) fn answer_by(&self, request: &Request) -> f64 {
-        request.limit.get().min(self.closing) - 2.0 * self.settings.round
+        request.limit.get().min(self.closing) - 2.0 * self.settings.round_interval
     }
 
     /// Looks at the request again at that time, or when it counts as slow or must be answered, if earlier.
@@ -108,18 +115,18 @@
 
     /// May the client be told that a retry does no harm?
     fn may_reject(&self, request: &Request) -> bool {
-        let Profile { effect, group, .. } = self.profile(request);
-        let harmless = *effect == Effect::Idempotent || *effect == Effect::Keyed && *group == Group::All;
+        let Profile { effect, dedup_scope: group, .. } = self.profile(request);
+        let harmless = *effect == Effect::Idempotent || *effect == Effect::Keyed && *group == DedupScope::All;
         harmless || request.proven_unrun()
     }
 
     /// Rejects the request where a retry does no harm, else fails it.
-    pub(super) fn give_up(&mut self, request: &Rc<Request>, out: &mut impl Writer) {
+    pub(super) fn give_up(&mut self, request: &Rc<Request>, out: &mut impl DecisionWriter) {
         if self.may_reject(request) {
             // All told the same would come back at once: the advice is spread.
             let wait =
                 ADVICE_SHARE * self.profile(request).latency_target * self.chance.0.random_range(0.5..1.5);
-            out.reject(request.id, wait.min(self.settings.longest_wait));
+            out.reject(request.id, wait.min(self.settings.max_retry_after));
         } else {
             out.fail(request.id);
         }
@@ -128,11 +135,11 @@
     }
 
     /// Calls off what is still out for a closed request, and forgets it when nothing is.
-    fn settle(&mut self, request: &Rc<Request>, out: &mut impl Writer) {
+    fn settle(&mut self, request: &Rc<Request>, out: &mut impl DecisionWriter) {
         let attempts = request.attempts.borrow();
         let still_out = || attempts.iter().enumerate().filter(|(_, attempt)| attempt.is_out());
-        if !request.settled.replace(true) && request.rules.may_call_off {
-            still_out().for_each(|(number, _)| out.call_off(request.id, number as u16));
+        if !request.settled.replace(true) && request.rules.may_cancel {
+            still_out().for_each(|(number, _)| out.cancel(request.id, number as u16));
         }
         if still_out().next().is_none() {
             self.requests.remove(&request.id);
--- a/src/policy/servers.rs
+++ b/src/policy/servers.rs
@@ -1,7 +1,7 @@
 //! The server list, and the subset of it that this node's traffic goes to.
 
 use super::Balancer;
-use crate::interface::{Listing, ReportField, Standing};
+use crate::interface::{ReportField, ServerEntry, ServerState};
 use crate::ring::SPAN;
 use crate::state::Server;
 use rand::prelude::Rng;
@@ -15,14 +15,14 @@
 
 impl Balancer {
     /// Takes in lines of the server list; servers that a `whole` list lacks are gone.
-    pub fn listed(&mut self, whole: bool, cached: bool, lines: impl Iterator<Item = Listing>) {
+    pub fn list_received(&mut self, whole: bool, cached: bool, lines: impl Iterator<Item = ServerEntry>) {
         if whole {
-            self.known.values().for_each(|server| server.line.update(Listing::gone));
+            self.known.values().for_each(|server| server.line.update(ServerEntry::gone));
         }
         self.apply_lines(lines);
         if cached {
-            self.window.begin(self.table.len() as f64 / self.settings.siblings);
-        } else if self.settings.listed_on_request {
+            self.window.begin(self.table.len() as f64 / self.settings.node_count);
+        } else if self.settings.discovery_on_request {
             self.next_ask = f64::INFINITY;
             self.ask_pause = LIST_RETRY_MS;
         }
@@ -30,39 +30,45 @@
 
     /// Servers that must not be sent to for now (draining), or may be again, though no list says so: the
     /// current list has become too old to go by.
-    pub fn suspended(&mut self, lines: impl Iterator<Item = Listing>) {
+    pub fn states_overridden(&mut self, lines: impl Iterator<Item = ServerEntry>) {
         self.apply_lines(lines);
     }
 
-    fn apply_lines(&mut self, lines: impl Iterator<Item = Listing>) {
+    fn apply_lines(&mut self, lines: impl Iterator<Item = ServerEntry>) {
         lines.for_each(|line| self.apply_line(line));
-        self.table.retain(|server| server.line.get().standing == Standing::Ready);
-        self.known.retain(|_, server| server.line.get().standing != Standing::Gone);
+        self.table.retain(|server| server.line.get().state == ServerState::Ready);
+        self.known.retain(|_, server| server.line.get().state != ServerState::Gone);
     }
 
     /// A call for the list failed or its watch broke off: the next call follows after an exponential backoff.
     pub fn list_failed(&mut self) {
         // A failed or broken watch leaves us blind to drains; spread by chance, as all others ask too.
-        let most = self.settings.ask_within / 2.0;
+        let most = self.settings.list_request_deadline / 2.0;
         self.next_ask = self.now + self.ask_pause.min(most) * self.chance.0.random_range(0.5..1.5);
         self.ask_pause = (self.ask_pause * 2.0).min(most);
     }
 
     /// Takes in one line of the list.
-    fn apply_line(&mut self, line: Listing) {
-        if line.standing == Standing::Gone {
+    fn apply_line(&mut self, line: ServerEntry) {
+        if line.state == ServerState::Gone {
             // Whoever comes to its address is another server.
-            return self.known.remove(&line.server).iter().for_each(|old| old.line.update(Listing::gone));
+            return self
+                .known
+                .remove(&line.address)
+                .iter()
+                .for_each(|old| old.line.update(ServerEntry::gone));
         }
         let (place, lanes) = (self.chance.0.random(), if self.asks > 0 { self.names.len() } else { 1 });
         let new = || Rc::new(Server::new(line, place, lanes));
-        let server = self.known.entry(line.server).or_insert_with(new);
-        if line.started > server.started.get() {
-            server.restarted(line.started, self.now);
+        let server = self.known.entry(line.address).or_insert_with(new);
+        if line.started_at > server.started.get() {
+            server.restarted(line.started_at, self.now);
         }
-        server.line.set(Listing { size: if self.settings.sized { line.size } else { 1.0 }, ..line });
+        server
+            .line
+            .set(ServerEntry { weight: if self.settings.weighted { line.weight } else { 1.0 }, ..line });
         let present = self.table.iter().any(|other| Rc::ptr_eq(other, server));
-        if line.standing == Standing::Ready && !present {
+        if line.state == ServerState::Ready && !present {
             let at = self.table.partition_point(|other| other.place < server.place);
             self.table.insert(at, server.clone());
         }
@@ -76,7 +82,7 @@
     /// Size of the subset of a zone that this node draws from: as many servers as its traffic tells about.
     pub(super) fn subset_size(&mut self) -> usize {
         let rate = self.send_rate() * 1000.0;
-        let held = self.asks == 0 && self.settings.report.contains(&ReportField::Held);
+        let held = self.asks == 0 && self.settings.report.contains(&ReportField::Outstanding);
         (rate / KNOWN_RATE).max(if held { SUBSET_LEAST_HELD } else { SUBSET_LEAST }).ceil() as usize
     }
 
--- a/src/chance.rs
+++ b/src/rng.rs
@@ -3,16 +3,16 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-pub struct Chance(pub ChaCha8Rng);
+pub struct SeededRng(pub ChaCha8Rng);
 
-impl Chance {
-    pub fn seeded(seed: u64) -> Self {
+impl SeededRng {
+    pub fn from_seed(seed: u64) -> Self {
         Self(ChaCha8Rng::seed_from_u64(seed))
     }
 }
 
-impl Default for Chance {
+impl Default for SeededRng {
     fn default() -> Self {
-        Self::seeded(0)
+        Self::from_seed(0)
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,6 +1,6 @@
 //! What a node remembers of servers and jobs, for `policy.rs` and its modules, which alone decides by it.
 
-use crate::interface::{Ending, Listing, Settings};
+use crate::interface::{AttemptOutcome, ServerEntry, Settings};
 use crate::ring::Ring;
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
@@ -11,7 +11,7 @@
 
 #[derive(Default)]
 pub(crate) struct Server {
-    pub(crate) line: Cell<Listing>,
+    pub(crate) line: Cell<ServerEntry>,
     /// By this the table is ordered; the first ones are those that this node draws among.
     pub(crate) place: f64,
     pub(crate) started: Cell<f64>,
@@ -53,7 +53,7 @@
     pub(crate) sent: f64,
     /// Share of the request's time left that it was to take.
     pub(crate) promise: f64,
-    pub(crate) ending: Option<Ending>,
+    pub(crate) ending: Option<AttemptOutcome>,
     pub(crate) overdue: bool,
 }
 
@@ -100,7 +100,7 @@
     }
 
     pub(crate) fn errors(&self) -> usize {
-        self.attempts.borrow().iter().filter(|attempt| attempt.ending == Some(Ending::Error)).count()
+        self.attempts.borrow().iter().filter(|attempt| attempt.ending == Some(AttemptOutcome::Error)).count()
     }
 
     /// Has every attempt so far provably never run?
@@ -120,21 +120,21 @@
 
     /// Has it ended with proof that the request did not run by it?
     pub(crate) fn never_ran(&self) -> bool {
-        self.ending.is_some_and(Ending::never_ran)
+        self.ending.is_some_and(AttemptOutcome::never_ran)
     }
 }
 
 impl Server {
-    pub(crate) fn new(line: Listing, place: f64, profiles: usize) -> Self {
+    pub(crate) fn new(line: ServerEntry, place: f64, profiles: usize) -> Self {
         Self {
             line: Cell::new(line),
             place,
-            started: Cell::new(line.started),
+            started: Cell::new(line.started_at),
             health: RefCell::new((0..profiles).map(|_| Rc::default()).collect()),
             failing_since: Cell::new(f64::INFINITY),
             slowness: Cell::new(1.0),
             relative: RefCell::new(Recent::new(PACE_MEMORY)),
-            credit_at: Cell::new(line.started.max(0.0)),
+            credit_at: Cell::new(line.started_at.max(0.0)),
             ..Self::default()
         }
     }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,7 +1,8 @@
 //! Plays the text files in `scenarios/`; the notation is told in `scenarios/README.md`.
 
 use pearfront::interface::{
-    Address, Effect, Ending, Group, Listing, Profile, ReportField, Settings, Standing, Writer,
+    Address, AttemptOutcome, DecisionWriter, DedupScope, Effect, Profile, ReportField, ServerEntry,
+    ServerState, Settings,
 };
 use pearfront::policy::Balancer;
 use std::collections::BTreeMap;
@@ -25,11 +26,11 @@
     [name.as_bytes()[0], 0, 0, 0, 0, 0]
 }
 
-impl Writer for Written {
+impl DecisionWriter for Written {
     fn attempt(&mut self, job: u32, server: Address, _: f64) {
         self.0.push(format!("attempt {job} {}", name(server)));
     }
-    fn call_off(&mut self, job: u32, attempt: u16) {
+    fn cancel(&mut self, job: u32, attempt: u16) {
         self.0.push(format!("call-off {job} {attempt}"));
     }
     fn reject(&mut self, job: u32, wait: f64) {
@@ -44,10 +45,10 @@
     fn probe(&mut self, server: Address) {
         self.0.push(format!("probe {}", name(server)));
     }
-    fn watch(&mut self) {
+    fn watch_list(&mut self) {
         self.0.push("watch".into());
     }
-    fn wake(&mut self, delay: f64) {
+    fn wake_after(&mut self, delay: f64) {
         self.0.push(format!("wake {delay}"));
     }
     fn log(&mut self, _: &str) {}
@@ -66,29 +67,29 @@
     word.parse().unwrap_or_else(|_| panic!("{word:?} is no number"))
 }
 
-fn ending(word: &str) -> Ending {
+fn ending(word: &str) -> AttemptOutcome {
     match word {
-        "served" | "slow" => Ending::Served,
-        "error" => Ending::Error,
-        "full" => Ending::Full,
-        "timed-out" => Ending::TimedOut,
-        "unconnected" => Ending::Unconnected,
+        "served" | "slow" => AttemptOutcome::Served,
+        "error" => AttemptOutcome::Error,
+        "full" => AttemptOutcome::Full,
+        "timed-out" => AttemptOutcome::TimedOut,
+        "unconnected" => AttemptOutcome::ConnectFailed,
         other => panic!("no ending {other:?}"),
     }
 }
 
 /// `a`, `a/zone/cell` or `a/zone/cell/start`.
-fn listing(word: &str, standing: Standing) -> Listing {
+fn listing(word: &str, standing: ServerState) -> ServerEntry {
     let parts: Vec<&str> = word.split('/').collect();
     let part = |place: usize| parts.get(place).map(|word| number(word));
-    Listing {
-        server: address(parts[0]),
-        standing,
+    ServerEntry {
+        address: address(parts[0]),
+        state: standing,
         zone: part(1).unwrap_or(0.0) as u16,
         cell: part(2).unwrap_or(0.0) as u16,
-        make: 0,
-        size: 1.0,
-        started: part(3).unwrap_or(f64::NEG_INFINITY),
+        machine_type: 0,
+        weight: 1.0,
+        started_at: part(3).unwrap_or(f64::NEG_INFINITY),
     }
 }
 
@@ -101,34 +102,41 @@
     fn set(&mut self, key: &str, value: f64) {
         let settings = &mut self.settings;
         match key {
-            "attempts" => settings.most_attempts = value as usize,
+            "attempts" => settings.max_attempts = value as usize,
             "tier" => settings.tier = value as usize,
-            "siblings" => settings.siblings = value,
+            "siblings" => settings.node_count = value,
             "cross" => settings.cross_zone_price = value,
             "probes" => settings.may_probe = value > 0.0,
-            "held" => settings.report = vec![ReportField::Held],
+            "held" => settings.report = vec![ReportField::Outstanding],
             "price" => (settings.may_probe, settings.probe_price) = (true, value),
             "last-tier" => settings.last_tier = value > 0.0,
-            "further-free" => (settings.further_free, settings.further_span) = (value, 5000.0),
-            "further-ratio" => settings.further_ratio = value,
-            "gone-serves" => settings.gone_may_serve = value > 0.0,
-            "advice" => settings.longest_wait = value,
-            "on-request" => settings.listed_on_request = value > 0.0,
+            "further-free" => (settings.retry_budget_free, settings.retry_budget_span) = (value, 5000.0),
+            "further-ratio" => settings.retry_budget_ratio = value,
+            "gone-serves" => settings.may_send_to_removed = value > 0.0,
+            "advice" => settings.max_retry_after = value,
+            "on-request" => settings.discovery_on_request = value > 0.0,
             other => panic!("no setting {other:?}"),
         }
     }
 
     fn profile(&mut self, words: &[&str]) {
         let (effect, group) = match words[0] {
-            "idempotent" => (Effect::Idempotent, Group::All),
-            "non-idempotent" => (Effect::NonIdempotent, Group::All),
-            "keyed" => (Effect::Keyed, Group::Cell),
-            "keyed-by-all" => (Effect::Keyed, Group::All),
+            "idempotent" => (Effect::Idempotent, DedupScope::All),
+            "non-idempotent" => (Effect::NonIdempotent, DedupScope::All),
+            "keyed" => (Effect::Keyed, DedupScope::Cell),
+            "keyed-by-all" => (Effect::Keyed, DedupScope::All),
             other => panic!("no kind {other:?}"),
         };
         let (latency_target, window, gain) = (number(words[1]), number(words[2]), number(words[3]));
         let name = self.settings.profiles.len().to_string();
-        self.settings.profiles.push(Profile { name, effect, group, window, latency_target, gain });
+        self.settings.profiles.push(Profile {
+            name,
+            effect,
+            dedup_scope: group,
+            dedup_window: window,
+            latency_target,
+            gain,
+        });
     }
 
     fn round(&mut self, feed: impl FnOnce(&mut Balancer)) {
@@ -155,7 +163,7 @@
 
     fn jobs(&mut self, ids: [&str; 2], profile: &str, limit: f64) {
         let ([first, last], profile) = (ids.map(|id| number(id) as u32), number(profile) as usize);
-        self.round(|balancer| (first..=last).for_each(|id| balancer.job(id, profile, 0, limit)));
+        self.round(|balancer| (first..=last).for_each(|id| balancer.request_received(id, profile, 0, limit)));
     }
 
     /// Sends jobs of profile 0 one after the other, each served at once, and counts the servers drawn.
@@ -164,8 +172,8 @@
             self.advance(self.now + every);
             let limit = self.now + 10_000.0;
             let took = self.settings.profiles[0].latency_target * 0.2;
-            self.round(|balancer| balancer.job(id, 0, 0, limit));
-            self.round(|balancer| balancer.attempt_ended(id, 0, Ending::Served, took, true));
+            self.round(|balancer| balancer.request_received(id, 0, 0, limit));
+            self.round(|balancer| balancer.attempt_ended(id, 0, AttemptOutcome::Served, took, true));
         }
         self.written.0.clear();
     }
@@ -233,13 +241,13 @@
                     ["list", ..] | ["lines", ..] => {
                         let whole = event[0] == "list";
                         let cached = whole && self.balancer.is_none();
-                        let lines = event[1..].iter().map(|word| listing(word, Standing::Ready));
-                        self.round(|balancer| balancer.listed(whole, cached, lines));
+                        let lines = event[1..].iter().map(|word| listing(word, ServerState::Ready));
+                        self.round(|balancer| balancer.list_received(whole, cached, lines));
                     }
                     [how @ ("drain" | "gone"), word] => {
-                        let standing = if how == "gone" { Standing::Gone } else { Standing::Draining };
+                        let standing = if how == "gone" { ServerState::Gone } else { ServerState::Draining };
                         let lines = std::iter::once(listing(word, standing));
-                        self.round(|balancer| balancer.listed(false, false, lines));
+                        self.round(|balancer| balancer.list_received(false, false, lines));
                     }
                     ["list-failed"] => self.round(Balancer::list_failed),
                     ["job", id, profile, after] => self.jobs([id, id], profile, limit(after)),
@@ -249,17 +257,17 @@
                     ["end", id, attempt, how, ref done @ ..] => {
                         let slow = how == "slow";
                         let (id, attempt, how) = (number(id) as u32, number(attempt) as usize, ending(how));
-                        let done = how == Ending::Served || done == ["done"];
-                        let took = if how == Ending::TimedOut || slow { 1400.0 } else { QUICK };
+                        let done = how == AttemptOutcome::Served || done == ["done"];
+                        let took = if how == AttemptOutcome::TimedOut || slow { 1400.0 } else { QUICK };
                         self.round(|balancer| balancer.attempt_ended(id, attempt, how, took, done));
                     }
                     ["ends", first, last, "served"] => self.round(|balancer| {
                         for id in number(first) as u32..=number(last) as u32 {
-                            balancer.attempt_ended(id, 0, Ending::Served, QUICK, true);
+                            balancer.attempt_ended(id, 0, AttemptOutcome::Served, QUICK, true);
                         }
                     }),
                     ["left", id] => self.round(|balancer| balancer.client_left(number(id) as u32)),
-                    ["closing", at] => self.round(|balancer| balancer.closing(number(at))),
+                    ["closing", at] => self.round(|balancer| balancer.shutdown_at(number(at))),
                     ["probe", server, "none"] => {
                         self.round(|balancer| balancer.probe_answered(address(server), true, &[], 1.0));
                     }
@@ -282,8 +290,8 @@
 fn a_wake_that_comes_a_hair_early_is_followed_by_another() {
     let mut scene = Scene::new();
     scene.profile(&["idempotent", "1000", "0", "1"]);
-    scene.round(|balancer| balancer.listed(true, true, std::iter::empty()));
-    scene.round(|balancer| balancer.job(1, 0, 0, 700.0));
+    scene.round(|balancer| balancer.list_received(true, true, std::iter::empty()));
+    scene.round(|balancer| balancer.request_received(1, 0, 0, 700.0));
     let asked = |scene: &Scene| {
         scene.written.0.iter().filter_map(|line| line.strip_prefix("wake ")).next_back().map(number)
     };
@@ -304,28 +312,28 @@
     scene.profile(&["idempotent", "1000", "0", "1"]);
     scene.profile(&["non-idempotent", "1000", "0", "1"]);
     let old = Rc::new(scene.settings.clone());
-    let [a, b] = ["a", "b"].map(|name| listing(name, Standing::Ready));
-    scene.round(|balancer| balancer.listed(true, true, [a].into_iter()));
+    let [a, b] = ["a", "b"].map(|name| listing(name, ServerState::Ready));
+    scene.round(|balancer| balancer.list_received(true, true, [a].into_iter()));
     let answered = |scene: &mut Scene, name: &str| {
         scene.round(|balancer| balancer.probe_answered(address(name), true, &[0.0], 1.0));
     };
     // Profile 0 fails on `a`, which sets it aside for that profile.
-    scene.round(|balancer| balancer.job(1, 0, 0, 700.0));
+    scene.round(|balancer| balancer.request_received(1, 0, 0, 700.0));
     answered(&mut scene, "a");
-    scene.round(|balancer| balancer.attempt_ended(1, 0, Ending::Error, QUICK, false));
+    scene.round(|balancer| balancer.attempt_ended(1, 0, AttemptOutcome::Error, QUICK, false));
     // A non-idempotent job is out when the settings change: both profiles change places, and both are idempotent.
-    scene.round(|balancer| balancer.job(2, 1, 0, 700.0));
+    scene.round(|balancer| balancer.request_received(2, 1, 0, 700.0));
     answered(&mut scene, "a");
     let mut new = (*old).clone();
     new.profiles.swap(0, 1);
     new.profiles[0].effect = Effect::Idempotent;
-    new.most_attempts = 1;
-    scene.round(|balancer| balancer.retune(Rc::new(new)));
-    scene.round(|balancer| balancer.attempt_ended(2, 0, Ending::Error, QUICK, false));
+    new.max_attempts = 1;
+    scene.round(|balancer| balancer.update_settings(Rc::new(new)));
+    scene.round(|balancer| balancer.attempt_ended(2, 0, AttemptOutcome::Error, QUICK, false));
     assert!(scene.written.0.contains(&"fail 2".into()), "{:?}", scene.written.0);
     // What came under the old settings, and is told late, still has its three attempts and its profile.
-    scene.round(|balancer| balancer.listed(false, false, [b].into_iter()));
-    scene.round(|balancer| balancer.job_under(&old, 3, 0, 0, scene_limit()));
+    scene.round(|balancer| balancer.list_received(false, false, [b].into_iter()));
+    scene.round(|balancer| balancer.request_received_under(&old, 3, 0, 0, scene_limit()));
     answered(&mut scene, "b");
     assert!(scene.written.0.contains(&"attempt 3 b".into()), "{:?}", scene.written.0);
     assert!(!scene.written.0.contains(&"attempt 3 a".into()), "{:?}", scene.written.0);
@@ -337,24 +345,26 @@
     let mut scene = Scene::new();
     scene.set("siblings", 10.0);
     scene.profile(&["idempotent", "1000", "0", "1"]);
-    let [a, b] = ["a", "b"].map(|name| listing(name, Standing::Ready));
-    scene.round(|balancer| balancer.listed(true, true, [a, b].into_iter()));
+    let [a, b] = ["a", "b"].map(|name| listing(name, ServerState::Ready));
+    scene.round(|balancer| balancer.list_received(true, true, [a, b].into_iter()));
     let rules = Rc::new(scene.settings.clone());
     let attempts = |scene: &Scene, id: u32| {
         let line = format!("attempt {id} ");
         scene.written.0.iter().filter(|written| written.starts_with(&line)).count()
     };
     // The window of a tenth of two servers' ten is one job: two that come slowly leave it open.
-    scene.round(|balancer| (1..=2).for_each(|id| balancer.job_under(&rules, id, 0, 0, f64::INFINITY)));
-    scene.round(|balancer| [1, 2].into_iter().for_each(|id| balancer.spent(id)));
+    scene.round(|balancer| {
+        (1..=2).for_each(|id| balancer.request_received_under(&rules, id, 0, 0, f64::INFINITY))
+    });
+    scene.round(|balancer| [1, 2].into_iter().for_each(|id| balancer.body_not_replayable(id)));
     scene.now += 20_000.0;
-    scene.round(|balancer| balancer.job(3, 0, 0, 1e9));
+    scene.round(|balancer| balancer.request_received(3, 0, 0, 1e9));
     assert_eq!([1, 2, 3].map(|id| attempts(&scene, id)), [1, 1, 1], "{:?}", scene.written.0);
     // With their last bytes they are out, overdue after a while, and can't go again.
     let limit = scene.now + 5000.0;
-    scene.round(|balancer| balancer.body_came(1, limit));
+    scene.round(|balancer| balancer.body_received(1, limit));
     scene.now += 2500.0;
-    scene.round(|balancer| balancer.attempt_ended(1, 0, Ending::Error, QUICK, false));
+    scene.round(|balancer| balancer.attempt_ended(1, 0, AttemptOutcome::Error, QUICK, false));
     assert_eq!(attempts(&scene, 1), 1);
     assert!(scene.written.0.contains(&"reject 1".into()), "{:?}", scene.written.0);
 }
@@ -364,19 +374,23 @@
 fn a_profile_whose_bodies_come_slowly_is_not_taken_for_slow() {
     let mut scene = Scene::new();
     (0..2).for_each(|_| scene.profile(&["idempotent", "1000", "0", "1"]));
-    let a = listing("a", Standing::Ready);
-    scene.round(|balancer| balancer.listed(true, true, [a].into_iter()));
+    let a = listing("a", ServerState::Ready);
+    scene.round(|balancer| balancer.list_received(true, true, [a].into_iter()));
     let rules = Rc::new(scene.settings.clone());
-    scene.round(|balancer| balancer.job(9, 0, 0, 9000.0));
-    scene.round(|balancer| balancer.attempt_ended(9, 0, Ending::Served, QUICK, true));
-    scene.round(|balancer| (1..=8).for_each(|id| balancer.job_under(&rules, id, 1, 0, f64::INFINITY)));
+    scene.round(|balancer| balancer.request_received(9, 0, 0, 9000.0));
+    scene.round(|balancer| balancer.attempt_ended(9, 0, AttemptOutcome::Served, QUICK, true));
+    scene.round(|balancer| {
+        (1..=8).for_each(|id| balancer.request_received_under(&rules, id, 1, 0, f64::INFINITY))
+    });
     scene.advance(8000.0);
     // Their last bytes come, and they are answered: more of them go, as many as before.
-    scene.round(|balancer| (1..=8).for_each(|id| balancer.body_came(id, 60_000.0)));
-    scene.round(|balancer| (1..=8).for_each(|id| balancer.attempt_ended(id, 0, Ending::Served, QUICK, true)));
+    scene.round(|balancer| (1..=8).for_each(|id| balancer.body_received(id, 60_000.0)));
+    scene.round(|balancer| {
+        (1..=8).for_each(|id| balancer.attempt_ended(id, 0, AttemptOutcome::Served, QUICK, true))
+    });
     scene.advance(10_000.0);
     scene.written.0.clear();
-    scene.round(|balancer| (11..=15).for_each(|id| balancer.job(id, 1, 0, 60_000.0)));
+    scene.round(|balancer| (11..=15).for_each(|id| balancer.request_received(id, 1, 0, 60_000.0)));
     let attempts = scene.written.0.iter().filter(|line| line.starts_with("attempt")).count();
     assert_eq!(attempts, 5, "{:?}", scene.written.0);
 }
@@ -388,34 +402,34 @@
 
 fn settings() -> Settings {
     Settings {
-        siblings: 1.0,
+        node_count: 1.0,
         tier: 0,
         last_tier: false,
-        sized: false,
+        weighted: false,
         zone: 0,
-        round: ROUND,
-        listed_on_request: false,
-        ask_within: 8000.0,
+        round_interval: ROUND,
+        discovery_on_request: false,
+        list_request_deadline: 8000.0,
         profiles: Vec::new(),
         quotas: Vec::new(),
-        excess_gain: 0.1,
-        gain_by_work: false,
+        over_quota_gain: 0.1,
+        gain_per_work: false,
         cross_zone_price: 0.0,
         probe_price: 0.01,
-        most_attempts: 3,
-        second_copies: true,
-        may_call_off: true,
+        max_attempts: 3,
+        may_hedge: true,
+        may_cancel: true,
         may_probe: false,
-        longest_wait: 0.0,
-        cold_time: 10_000.0,
-        cold_share: 0.2,
-        cold_multiple: 2.0,
-        cold_window: 1000.0,
-        gone_may_serve: false,
-        further_free: f64::INFINITY,
-        further_ratio: 0.0,
-        further_span: 0.0,
-        report: vec![ReportField::Utilisation],
+        max_retry_after: 0.0,
+        warm_up_time: 10_000.0,
+        cold_capacity_share: 0.2,
+        overload_multiple: 2.0,
+        overload_window: 1000.0,
+        may_send_to_removed: false,
+        retry_budget_free: f64::INFINITY,
+        retry_budget_ratio: 0.0,
+        retry_budget_span: 0.0,
+        report: vec![ReportField::Utilization],
     }
 }
 
