--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,7 +2,7 @@
 
 pub mod interface;
 pub mod policy;
-pub mod ring;
 pub mod rng;
+pub mod sliding_window;
 mod state;
 pub mod window;
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -14,83 +14,87 @@
 mod requests;
 mod servers;
 
-use self::attempts::REACH_MOST;
-use self::outcomes::FARE_SPAN_MS;
+use self::attempts::SHARE_LIMIT_MAX;
+use self::outcomes::TIMELINESS_SPAN_MS;
 use self::servers::LIST_RETRY_MS;
 use crate::interface::{Address, DecisionWriter, Profile, ReportField, Settings};
-use crate::ring::SPAN;
 use crate::rng::SeededRng;
-use crate::state::{Fare, Recent, Request, Server};
-use crate::window::Window;
+use crate::sliding_window::DEFAULT_SPAN_MS;
+use crate::state::{ProfileTimeliness, RecentSamples, Request, Server};
+use crate::window::AdmissionWindow;
 use rand::prelude::Rng;
 use std::collections::{BTreeMap, HashMap};
 use std::rc::{Rc, Weak};
 
-const CANDIDATE_SPEND: f64 = 0.01; // Points that probes before a draw may cost; the price gives their number.
-const CANDIDATES_MOST: f64 = 5.0; // Servers probed before a draw at the most.
-const CANDIDATES_PROBED_LEAST: f64 = 2.0; // The same at the least: one estimate compares with nothing.
-const UNSEEN: f64 = 0.2; // Share of the latency target that stands for a usual duration not yet seen.
+const PROBE_SPEND_PER_DRAW: f64 = 0.01; // Points that probes before a draw may cost; the price gives their number.
+const PROBES_PER_DRAW_MAX: f64 = 5.0; // Servers probed before a draw at the most.
+const PROBES_PER_DRAW_MIN: f64 = 2.0; // The same at the least: one estimate compares with nothing.
+const UNSEEN_DURATION_SHARE: f64 = 0.2; // Share of the latency target that stands for a usual duration not yet seen.
 
 #[derive(Default)]
 pub struct Balancer {
     settings: Rc<Settings>,
     /// Names of all profiles met so far: their places hold through new settings.
-    names: Vec<String>,
-    chance: SeededRng,
+    profile_names: Vec<String>,
+    rng: SeededRng,
     now: f64,
     requests: HashMap<u32, Rc<Request>>,
-    known: BTreeMap<Address, Rc<Server>>,
-    table: Vec<Rc<Server>>,
-    pending: Vec<Rc<Request>>,
-    waiting: Vec<Rc<Request>>,
+    servers: BTreeMap<Address, Rc<Server>>,
+    ready_servers: Vec<Rc<Server>>,
+    to_decide: Vec<Rc<Request>>,
+    queue: Vec<Rc<Request>>,
     /// Requests to look at again, by when (positive, so the bits order as the time does) and which.
-    due: BTreeMap<(u64, u32), Weak<Request>>,
-    woken_for: f64,
-    closing: f64,
-    next_probe: f64,
-    next_ask: f64,
-    ask_pause: f64,
-    admitted: Vec<Recent>,
-    first_attempts: Recent,
+    reviews: BTreeMap<(u64, u32), Weak<Request>>,
+    next_wake: f64,
+    shutdown_time: f64,
+    next_probe_at: f64,
+    next_list_request: f64,
+    list_retry_pause: f64,
+    admitted: Vec<RecentSamples>,
+    first_attempts: RecentSamples,
     /// Servers that a draw asks first: between two requests of its own a node's estimates get too old.
-    asks: usize,
-    reach: f64,
+    probes_per_draw: usize,
+    share_limit: f64,
     /// Estimates of the servers that requests were drawn to.
-    drawn: Recent,
-    endings: Recent,
+    drawn_estimates: RecentSamples,
+    successes: RecentSamples,
     /// How each profile's requests fare.
-    fares: Vec<Fare>,
+    timeliness: Vec<ProfileTimeliness>,
     /// Share of the attempts after an error that were served, by customer.
-    again: Vec<Recent>,
-    further: Recent,
+    retry_successes: Vec<RecentSamples>,
+    risky_retries: RecentSamples,
     /// Requests taken and attempts beyond the first, within the span of the budget where one is stated.
-    taken: Recent,
-    rationed: Recent,
-    window: Window,
-    notes: Vec<String>,
-    worths: Recent,
-    lost: Recent,
+    received: RecentSamples,
+    extra_attempts: RecentSamples,
+    window: AdmissionWindow,
+    log_lines: Vec<String>,
+    worths: RecentSamples,
+    lost_answers: RecentSamples,
 }
 
 impl Balancer {
-    pub fn new(settings: Settings, salt: u64) -> Self {
-        let mut chance = SeededRng::from_seed(salt);
+    pub fn new(settings: Settings, seed: u64) -> Self {
+        let mut rng = SeededRng::from_seed(seed);
         // All instances start alike: their first calls for the list are spread, or the service fails them.
-        let next_ask = chance.0.random::<f64>() * settings.list_request_deadline * 0.3;
-        let tells = settings.may_probe && settings.report.contains(&ReportField::Outstanding);
-        let asks = (CANDIDATE_SPEND / settings.probe_price.max(1e-9)).min(CANDIDATES_MOST);
+        let first_list_request = rng.0.random::<f64>() * settings.list_request_deadline * 0.3;
+        let reports_outstanding = settings.may_probe && settings.report.contains(&ReportField::Outstanding);
+        let probes = (PROBE_SPEND_PER_DRAW / settings.probe_price.max(1e-9)).min(PROBES_PER_DRAW_MAX);
         let mut balancer = Self {
-            chance,
+            rng,
             // Utilisation is a mean over some time: only requests held tell of the moment.
-            asks: if tells && asks >= CANDIDATES_PROBED_LEAST { asks as usize } else { 0 },
-            woken_for: f64::INFINITY,
-            closing: f64::INFINITY,
-            next_ask: if settings.discovery_on_request { next_ask } else { f64::INFINITY },
-            next_probe: f64::INFINITY,
-            ask_pause: LIST_RETRY_MS,
-            reach: REACH_MOST,
-            again: vec![Recent::default()],
-            window: Window::new(),
+            probes_per_draw: if reports_outstanding && probes >= PROBES_PER_DRAW_MIN {
+                probes as usize
+            } else {
+                0
+            },
+            next_wake: f64::INFINITY,
+            shutdown_time: f64::INFINITY,
+            next_list_request: if settings.discovery_on_request { first_list_request } else { f64::INFINITY },
+            next_probe_at: f64::INFINITY,
+            list_retry_pause: LIST_RETRY_MS,
+            share_limit: SHARE_LIMIT_MAX,
+            retry_successes: vec![RecentSamples::default()],
+            window: AdmissionWindow::new(),
             ..Self::default()
         };
         balancer.update_settings(Rc::new(settings));
@@ -107,26 +111,28 @@
         self.now = now;
         feed(self)?;
         // A wake may come a little early: taken for one to come it would be the last, and requests be lost.
-        let come = self.woken_for <= now + self.settings.round_interval;
-        self.woken_for = if come { f64::INFINITY } else { self.woken_for };
-        self.notes.drain(..).for_each(|line| out.log(&line));
-        if now >= self.next_ask {
+        let woken = self.next_wake <= now + self.settings.round_interval;
+        self.next_wake = if woken { f64::INFINITY } else { self.next_wake };
+        self.log_lines.drain(..).for_each(|line| out.log(&line));
+        if now >= self.next_list_request {
             out.watch_list();
             // Its answer puts the next call off for good; this one stands in case none comes.
-            self.next_ask = now + self.settings.list_request_deadline / 2.0;
+            self.next_list_request = now + self.settings.list_request_deadline / 2.0;
         }
         self.probe_on_timer(out);
-        while let Some(due) = self.due.first_entry().filter(|due| f64::from_bits(due.key().0) <= now) {
-            self.pending.extend(due.remove().upgrade());
+        while let Some(review) =
+            self.reviews.first_entry().filter(|review| f64::from_bits(review.key().0) <= now)
+        {
+            self.to_decide.extend(review.remove().upgrade());
         }
-        for request in std::mem::take(&mut self.pending) {
+        for request in std::mem::take(&mut self.to_decide) {
             self.decide(&request, out);
         }
         self.admit(out);
-        let due = self.due.first_key_value().map_or(f64::INFINITY, |(at, _)| f64::from_bits(at.0));
-        let next = due.min(self.next_probe).min(self.next_ask);
-        if next < self.woken_for {
-            self.woken_for = next;
+        let review = self.reviews.first_key_value().map_or(f64::INFINITY, |(at, _)| f64::from_bits(at.0));
+        let next = review.min(self.next_probe_at).min(self.next_list_request);
+        if next < self.next_wake {
+            self.next_wake = next;
             out.wake_after((next - now).max(0.0));
         }
         Ok(())
@@ -135,41 +141,45 @@
     /// Other settings from now on: what is learned stays under its profile's name, requests keep their rules.
     pub fn update_settings(&mut self, settings: Rc<Settings>) {
         if self.settings.quotas != settings.quotas {
-            self.admitted = vec![Recent::new(SPAN); settings.quotas.len()];
-            self.again = vec![Recent::new(SPAN); settings.quotas.len().max(1)];
+            self.admitted = vec![RecentSamples::new(DEFAULT_SPAN_MS); settings.quotas.len()];
+            self.retry_successes = vec![RecentSamples::new(DEFAULT_SPAN_MS); settings.quotas.len().max(1)];
         }
         if self.settings.retry_budget_span != settings.retry_budget_span {
             // Whole buckets: of requests taken rather too few count, of further attempts rather too many.
-            let used = self.rationed.total(self.now).1;
-            self.taken = Recent::new(settings.retry_budget_span);
-            self.rationed = Recent::new(settings.retry_budget_span * 10.0 / 9.0);
-            self.rationed.add(self.now, used);
+            let used = self.extra_attempts.total(self.now).1;
+            self.received = RecentSamples::new(settings.retry_budget_span);
+            self.extra_attempts = RecentSamples::new(settings.retry_budget_span * 10.0 / 9.0);
+            self.extra_attempts.add(self.now, used);
         }
         if settings.may_probe != self.settings.may_probe {
-            self.next_probe = if settings.may_probe { self.now } else { f64::INFINITY };
+            self.next_probe_at = if settings.may_probe { self.now } else { f64::INFINITY };
         }
         self.settings = settings;
     }
 
     /// The profile's index in all that is kept by profile; a new profile gets the next one.
     fn profile_index(&mut self, name: &str) -> usize {
-        self.names.iter().position(|known| known == name).unwrap_or_else(|| {
-            self.names.push(name.into());
+        self.profile_names.iter().position(|existing| existing == name).unwrap_or_else(|| {
+            self.profile_names.push(name.into());
             self.window.add_profile();
-            self.fares.push(Fare { timely: Recent::new(FARE_SPAN_MS), hopeless: false, trial: Weak::new() });
-            let servers = self.known.values().filter(|_| self.asks > 0);
+            self.timeliness.push(ProfileTimeliness {
+                answered_in_time: RecentSamples::new(TIMELINESS_SPAN_MS),
+                trial_only: false,
+                trial: Weak::new(),
+            });
+            let servers = self.servers.values().filter(|_| self.probes_per_draw > 0);
             servers.for_each(|server| server.health.borrow_mut().push(Rc::default()));
-            self.names.len() - 1
+            self.profile_names.len() - 1
         })
     }
 
     /// Usual duration of an attempt of the request's profile, ms.
     fn usual_duration(&mut self, request: &Request) -> f64 {
-        let unseen = UNSEEN * self.profile(request).latency_target;
-        self.window.usual(request.profile, self.now, unseen)
+        let unseen = UNSEEN_DURATION_SHARE * self.profile(request).latency_target;
+        self.window.usual_duration(request.profile, self.now, unseen)
     }
 
     fn profile<'a>(&self, request: &'a Request) -> &'a Profile {
-        &request.rules.profiles[request.place]
+        &request.settings.profiles[request.settings_profile]
     }
 }
