--- a/crates/pearfront-distribute/src/catalog.rs
+++ b/crates/pearfront-distribute/src/catalog.rs
@@ -1,9 +1,10 @@
 //! What the log says of services: a state machine that each voter and each distributor runs. No clock is here.
 
-use crate::message::Who;
-use crate::service::{ChangeSet, Head, Restriction, Service, ServiceChange, ServiceUpdate, put};
+use crate::message::ProcessId;
+use crate::service::{ChangeSet, Restriction, Service, ServiceChange, ServiceOptions, ServiceUpdate, put};
 use crate::times::{
-    GONE_REMEMBERED, LEAST_REMEMBERED, LONGEST_SET, MOST_DISTRIBUTORS, MOST_SERVICES, NARROWINGS, OUTCOMES,
+    GONE_REMEMBERED, LEAST_REMEMBERED, MAX_CHANGE_SET_BYTES, MOST_DISTRIBUTORS, MOST_SERVICES, NARROWINGS,
+    OUTCOMES,
 };
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -15,8 +16,8 @@
     /// A distributor is there, or has gone and nothing is waited for of it any more: what is in force everywhere counts
     /// those that are there.
     Distributor {
-        who: Who,
-        here: bool,
+        process: ProcessId,
+        present: bool,
     },
 }
 
@@ -45,7 +46,7 @@
     /// `sum` is over the change; `version` is none if it was accepted before, or refused.
     Change {
         number: String,
-        sum: u32,
+        checksum: u32,
         outcome: Outcome,
         version: Option<u64>,
     },
@@ -79,7 +80,7 @@
     /// By the writer's number: a sum over the change, and what came of it; in the order in which they came.
     outcomes: BTreeMap<String, (u32, Outcome)>,
     numbers: VecDeque<String>,
-    distributors: BTreeSet<Who>,
+    distributors: BTreeSet<ProcessId>,
 }
 
 impl Catalog {
@@ -107,7 +108,7 @@
         kept.or_else(|| self.gone.get(service).copied()).unwrap_or_default()
     }
 
-    pub fn distributors(&self) -> &BTreeSet<Who> {
+    pub fn distributors(&self) -> &BTreeSet<ProcessId> {
         &self.distributors
     }
 
@@ -131,11 +132,11 @@
     pub fn apply(&mut self, bytes: &[u8]) -> Applied {
         match Command::decode(bytes) {
             Some(Command::Change(set)) => self.change(set, bytes),
-            Some(Command::Distributor { who, here }) => {
-                if !here {
-                    self.distributors.remove(&who);
+            Some(Command::Distributor { process, present }) => {
+                if !present {
+                    self.distributors.remove(&process);
                 } else if self.distributors.len() < MOST_DISTRIBUTORS {
-                    self.distributors.insert(who);
+                    self.distributors.insert(process);
                 }
                 Applied::Distributors
             }
@@ -144,14 +145,14 @@
     }
 
     fn change(&mut self, set: ChangeSet, bytes: &[u8]) -> Applied {
-        let (number, sum) = (set.number.clone(), crc32c::crc32c(bytes));
+        let (number, checksum) = (set.number.clone(), crc32c::crc32c(bytes));
         if let Some((known, outcome)) = self.outcomes.get(&number) {
             let other = || Outcome::Refused("number is that of another change".into());
-            let outcome = if *known == sum { outcome.clone() } else { other() };
-            return Applied::Change { number, sum, outcome, version: None };
+            let outcome = if *known == checksum { outcome.clone() } else { other() };
+            return Applied::Change { number, checksum, outcome, version: None };
         }
-        let checked = if bytes.len() > LONGEST_SET {
-            Err(format!("the change has {} bytes, not up to {LONGEST_SET}", bytes.len()))
+        let checked = if bytes.len() > MAX_CHANGE_SET_BYTES {
+            Err(format!("the change has {} bytes, not up to {MAX_CHANGE_SET_BYTES}", bytes.len()))
         } else {
             set.check().and_then(|()| self.check(&set))
         };
@@ -160,19 +161,19 @@
             (Some(version), _) => Outcome::Accepted(version),
             (None, checked) => Outcome::Refused(checked.err().unwrap_or_default()),
         };
-        self.remember(&number, sum, &outcome);
-        Applied::Change { number, sum, outcome, version }
+        self.remember(&number, checksum, &outcome);
+        Applied::Change { number, checksum, outcome, version }
     }
 
     /// Takes a set that voters accepted as that version, without a check: what was refused is not told, so that this one may
     /// remember other numbers than they do. False if it does not fit here.
-    pub fn follow(&mut self, set: ChangeSet, version: u64) -> bool {
+    pub fn apply_accepted(&mut self, set: ChangeSet, version: u64) -> bool {
         let next = version == self.version + 1;
         next && self.accept(set) == version
     }
 
-    fn remember(&mut self, number: &str, sum: u32, outcome: &Outcome) {
-        self.outcomes.insert(number.into(), (sum, outcome.clone()));
+    fn remember(&mut self, number: &str, checksum: u32, outcome: &Outcome) {
+        self.outcomes.insert(number.into(), (checksum, outcome.clone()));
         self.numbers.push_back(number.into());
         while self.numbers.len() > OUTCOMES {
             self.numbers.pop_front().map(|number| self.outcomes.remove(&number));
@@ -242,14 +243,14 @@
 
     /// What one that has those services as of `held` needs for this version; all of those in `fresh`, and of all if it has
     /// none.
-    pub fn update(
+    pub fn updates_for(
         &self,
         services: &[String],
         held: Option<u64>,
-        fresh: &BTreeSet<String>,
+        new_services: &BTreeSet<String>,
     ) -> BTreeMap<String, ServiceUpdate> {
         let one = |name: &String| {
-            let held = held.filter(|_| !fresh.contains(name));
+            let held = held.filter(|_| !new_services.contains(name));
             Some((name.clone(), self.update_of(name, held)?))
         };
         services.iter().filter_map(one).collect()
@@ -259,20 +260,25 @@
         match (self.services.get(name), held) {
             (Some(kept), Some(held)) if held >= kept.version => None,
             (Some(kept), Some(held)) if held >= kept.floor => Some(kept.since(held)),
-            (Some(kept), _) => Some(ServiceUpdate::Whole(kept.service.clone())),
+            (Some(kept), _) => Some(ServiceUpdate::Full(kept.service.clone())),
             (None, None) => None,
             (None, Some(held)) => {
                 let went =
                     held < self.gone_floor || self.gone.get(name).is_some_and(|version| *version > held);
-                went.then_some(ServiceUpdate::Gone)
+                went.then_some(ServiceUpdate::Removed)
             }
         }
     }
 
     /// Must one that has those services as of `held` get all of one of them anew?
-    pub fn needs_whole(&self, services: &[String], held: Option<u64>, fresh: &BTreeSet<String>) -> bool {
+    pub fn needs_full(
+        &self,
+        services: &[String],
+        held: Option<u64>,
+        new_services: &BTreeSet<String>,
+    ) -> bool {
         let Some(held) = held else { return true };
-        !fresh.is_empty()
+        !new_services.is_empty()
             || services.iter().any(|name| self.services.get(name).is_some_and(|kept| held < kept.floor))
     }
 
@@ -284,24 +290,24 @@
     }
 
     /// Does that version do nothing but narrow?
-    pub fn is_narrowing(&self, version: u64) -> bool {
+    pub fn is_restricting(&self, version: u64) -> bool {
         self.narrowings.iter().rev().any(|(one, _)| *one == version)
     }
 }
 
 impl Kept {
     fn change(&mut self, change: ServiceChange, version: u64) {
-        let head = Head {
-            limit: change.limit.unwrap_or(self.service.head.limit),
-            settings: change.settings.unwrap_or_else(|| self.service.head.settings.clone()),
+        let head = ServiceOptions {
+            limit: change.limit.unwrap_or(self.service.options.limit),
+            settings: change.settings.unwrap_or_else(|| self.service.options.settings.clone()),
         };
-        if head.limit != self.service.head.limit {
+        if head.limit != self.service.options.limit {
             self.limit = version;
         }
-        if head.settings != self.service.head.settings {
+        if head.settings != self.service.options.settings {
             self.settings = version;
         }
-        self.service.head = head;
+        self.service.options = head;
         self.version = version;
         let names: Vec<String> = change.servers.keys().cloned().collect();
         self.names += names.len();
@@ -323,8 +329,8 @@
         let behind = self.touched.iter().rev().take_while(|(version, _)| *version > held);
         let names = behind.flat_map(|(_, names)| names);
         let servers = names.map(|name| (name.clone(), self.service.servers.get(name).cloned())).collect();
-        let limit = (self.limit > held).then_some(self.service.head.limit);
-        let settings = (self.settings > held).then(|| self.service.head.settings.clone());
+        let limit = (self.limit > held).then_some(self.service.options.limit);
+        let settings = (self.settings > held).then(|| self.service.options.settings.clone());
         ServiceUpdate::Changed { limit, settings, servers }
     }
 }
--- a/crates/pearfront-distribute/src/dial.rs
+++ b/crates/pearfront-distribute/src/dial.rs
@@ -17,7 +17,7 @@
 
 /// All of them, the best for that one first: of its zone, of its region, any; among those alike by rendezvous hashing, so that
 /// the loss of one moves only those whom it served, and to all others alike.
-pub fn order<'a>(me: &str, zone: &str, region: &str, peers: &'a [Peer]) -> Vec<&'a Peer> {
+pub fn rank_peers<'a>(me: &str, zone: &str, region: &str, peers: &'a [Peer]) -> Vec<&'a Peer> {
     let rank = |peer: &Peer| {
         let near = if peer.zone == zone && peer.region == region {
             0
@@ -82,13 +82,13 @@
     }
 
     pub fn is_doubted(&self, now: f64) -> bool {
-        self.link.as_ref().is_some_and(|link| now >= link.heard + self.times.doubt)
+        self.link.as_ref().is_some_and(|link| now >= link.heard + self.times.suspect_after_ms)
     }
 
     pub fn due(&self) -> f64 {
         self.link.as_ref().map_or(self.at, |link| {
-            let doubt = if link.asked { f64::INFINITY } else { link.heard + self.times.doubt };
-            link.beat_at.min(doubt).min(link.heard + self.times.give_up)
+            let doubt = if link.asked { f64::INFINITY } else { link.heard + self.times.suspect_after_ms };
+            link.beat_at.min(doubt).min(link.heard + self.times.close_after_ms)
         })
     }
 
@@ -115,12 +115,12 @@
         if let Some(link) = self.link.take()
             && at_fault
         {
-            let (least, most) = self.times.avoid;
+            let (least, most) = self.times.avoid_ms;
             let last = self.avoided.get(&link.to).map_or(0.0, |(_, last)| *last);
             let wait = (2.0 * last).clamp(least, most);
             self.avoided.insert(link.to, (now + wait * (0.5 + 0.5 * self.chance.random::<f64>()), wait));
         }
-        let (first, most) = self.times.pause;
+        let (first, most) = self.times.reconnect_pause_ms;
         let pause = (first * f64::from(1u32 << self.failed.min(16))).min(most);
         self.failed += 1;
         self.at = now + pause * self.chance.random::<f64>();
@@ -139,17 +139,17 @@
 
     pub fn tick(&mut self, now: f64) -> Vec<Step> {
         let Some(link) = &mut self.link else { return self.open(now) };
-        if now >= link.heard + self.times.give_up {
+        if now >= link.heard + self.times.close_after_ms {
             let number = link.number;
             self.over(number, true, now);
             return vec![Step::Close { link: number }];
         }
-        let doubted = now >= link.heard + self.times.doubt && !link.asked;
+        let doubted = now >= link.heard + self.times.suspect_after_ms && !link.asked;
         if now < link.beat_at && !doubted {
             return Vec::new();
         }
         link.asked |= doubted;
-        link.beat_at = now + self.times.beat;
+        link.beat_at = now + self.times.heartbeat_ms;
         vec![Step::Beat]
     }
 
@@ -166,7 +166,7 @@
         let Some(to) = hint.or_else(|| next.cloned()) else { return Vec::new() };
         self.numbers += 1;
         let number = self.numbers;
-        let beat_at = now + self.times.beat;
+        let beat_at = now + self.times.heartbeat_ms;
         self.link = Some(Link { to: to.clone(), number, heard: now, beat_at, asked: false });
         vec![Step::Open { link: number, to }]
     }
--- a/crates/pearfront-distribute/src/distributor.rs
+++ b/crates/pearfront-distribute/src/distributor.rs
@@ -10,14 +10,14 @@
 use self::subscriptions::Subscription;
 use self::voters::Upstream;
 use crate::catalog::Catalog;
-use crate::dial::{Peer, Step, order};
-use crate::message::{ToVoter, Who};
+use crate::dial::{Peer, Step, rank_peers};
+use crate::message::{ProcessId, ToVoter};
 use crate::times::Times;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// What has to be done outside.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Out {
+pub enum Action {
     /// Open a link to that voter; what is sent over it goes in order.
     OpenVoter {
         link: u64,
@@ -61,13 +61,13 @@
 /// A distributor's state; messages and the time come in, `Out` goes out.
 pub struct Distributor {
     installation: String,
-    me: Who,
+    me: ProcessId,
     times: Times,
     catalog: Option<Catalog>,
     upstream: Upstream,
     nodes: BTreeMap<String, Subscription>,
     links: BTreeMap<u64, String>,
-    /// Who wants what.
+    /// ProcessId wants what.
     interest: BTreeMap<String, BTreeSet<String>>,
     ready: BTreeSet<(Priority, u64, String)>,
     ticket: u64,
@@ -78,20 +78,21 @@
     beats: VecDeque<(f64, String, u64)>,
     lost: VecDeque<(f64, String, u64)>,
     counts: Counts,
-    out: Vec<Out>,
+    actions: Vec<Action>,
 }
 
 impl Distributor {
     /// A distributor that has nothing yet; it asks the voters nearest to its zone and region first.
     pub fn new(
         installation: &str,
-        me: Who,
+        me: ProcessId,
         (zone, region): (&str, &str),
         voters: &[Peer],
         times: Times,
         (seed, now): (u64, f64),
     ) -> Self {
-        let order = order(&me.name, zone, region, voters).into_iter().map(|peer| peer.name.clone()).collect();
+        let order =
+            rank_peers(&me.name, zone, region, voters).into_iter().map(|peer| peer.name.clone()).collect();
         let upstream = Upstream::new(order, times, seed, now);
         Self {
             installation: installation.into(),
@@ -104,18 +105,18 @@
             interest: BTreeMap::new(),
             ready: BTreeSet::new(),
             ticket: 0,
-            room: times.burst,
+            room: times.burst_bytes,
             filled: now,
             beats: VecDeque::new(),
             lost: VecDeque::new(),
             counts: Counts::default(),
-            out: Vec::new(),
+            actions: Vec::new(),
         }
     }
 
     /// What has to be done outside now, in this order.
-    pub fn take_out(&mut self) -> Vec<Out> {
-        std::mem::take(&mut self.out)
+    pub fn take_actions(&mut self) -> Vec<Action> {
+        std::mem::take(&mut self.actions)
     }
 
     /// All services, once a voter has sent them.
@@ -133,7 +134,7 @@
     }
 
     /// Nodes that it has a link to.
-    pub fn linked(&self) -> usize {
+    pub fn connected_nodes(&self) -> usize {
         self.links.len()
     }
 
@@ -148,7 +149,7 @@
     }
 
     /// Nodes that wait for something to be sent.
-    pub fn waiting(&self) -> usize {
+    pub fn queued_nodes(&self) -> usize {
         self.ready.len()
     }
 
@@ -166,10 +167,10 @@
         for step in self.upstream.dial.tick(now) {
             match step {
                 Step::Open { link, to } => {
-                    self.out.push(Out::OpenVoter { link, to });
+                    self.actions.push(Action::OpenVoter { link, to });
                     self.follow_leader();
                 }
-                Step::Close { link } => self.out.push(Out::CloseVoter { link }),
+                Step::Close { link } => self.actions.push(Action::CloseVoter { link }),
                 Step::Beat => self.send_beat_to_voter(),
             }
         }
--- a/crates/pearfront-distribute/src/distributor/delivery.rs
+++ b/crates/pearfront-distribute/src/distributor/delivery.rs
@@ -1,6 +1,6 @@
 //! Delivery to nodes: the queue of those that are behind, rate limited, and beats.
 
-use super::{Distributor, Out};
+use super::{Action, Distributor};
 use crate::catalog::Catalog;
 use crate::message::{ToSubscriber, Update};
 use pearfront_codec::encode;
@@ -17,11 +17,11 @@
     /// How long, ms, until the first of those queued may go.
     pub(super) fn wait_for_room(&self) -> f64 {
         let need = match self.ready.first() {
-            Some((Priority::Snapshot, ..)) => self.times.burst / 2.0,
+            Some((Priority::Snapshot, ..)) => self.times.burst_bytes / 2.0,
             Some((Priority::Delta, ..)) => 1.0,
             _ => return 0.0,
         };
-        ((need - self.room) / self.times.rate * 1000.0).max(1.0)
+        ((need - self.room) / self.times.bytes_per_s * 1000.0).max(1.0)
     }
 
     /// Queues a node for what it lacks, or moves it ahead where that has become more urgent.
@@ -36,7 +36,7 @@
         }
         let priority = if narrows {
             Priority::Narrows
-        } else if catalog.needs_whole(&node.services, node.has, &node.fresh) {
+        } else if catalog.needs_full(&node.services, node.has, &node.new_services) {
             Priority::Snapshot
         } else {
             Priority::Delta
@@ -64,13 +64,13 @@
     /// Sends what is due: restrictions always, deltas while the rate allows, snapshots with room to spare.
     pub(super) fn send_ready(&mut self, now: f64) {
         let passed = (now - self.filled).max(0.0);
-        self.room = (self.room + passed * self.times.rate / 1000.0).min(self.times.burst);
+        self.room = (self.room + passed * self.times.bytes_per_s / 1000.0).min(self.times.burst_bytes);
         self.filled = now;
         while let Some((priority, _, name)) = self.ready.first() {
             let may = match priority {
                 Priority::Narrows => true,
                 Priority::Delta => self.room > 0.0,
-                Priority::Snapshot => self.room >= self.times.burst / 2.0,
+                Priority::Snapshot => self.room >= self.times.burst_bytes / 2.0,
             };
             if !may {
                 return;
@@ -91,7 +91,7 @@
     fn send_to_node(&mut self, link: u64, message: &ToSubscriber, urgent: bool) -> u64 {
         let bytes = encode(message);
         let length = bytes.len();
-        self.out.push(Out::Send { link, bytes, urgent });
+        self.actions.push(Action::Send { link, bytes, urgent });
         length as u64
     }
 
@@ -101,8 +101,8 @@
         let (Some(catalog), Some(node)) = (&self.catalog, self.nodes.get_mut(name)) else { return };
         let Some(link) = node.link else { return };
         let (from, to, session) = (node.has, catalog.version(), node.session);
-        let whole = catalog.needs_whole(&node.services, from, &node.fresh);
-        let services = catalog.update(&node.services, from, &node.fresh);
+        let whole = catalog.needs_full(&node.services, from, &node.new_services);
+        let services = catalog.updates_for(&node.services, from, &node.new_services);
         node.sent = Some(to);
         let message = ToSubscriber::Update { session, update: Update { from, to, services }, age };
         let bytes = self.send_to_node(link, &message, false);
@@ -142,21 +142,21 @@
                 continue;
             };
             let Some(link) = node.link else { continue };
-            if now - node.heard >= self.times.give_up {
-                self.closed(link, now);
-                self.out.push(Out::Close { link });
+            if now - node.heard >= self.times.close_after_ms {
+                self.link_closed(link, now);
+                self.actions.push(Action::Close { link });
                 continue;
             }
             let own = self.catalog.as_ref().map(Catalog::version);
             let even = node.behind.is_none() && node.sent.is_none();
-            let through = node.has.zip(own).filter(|_| even);
+            let unchanged = node.has.zip(own).filter(|_| even);
             // What is sent after it comes after it.
-            node.has = through.map(|(_, to)| to).or(node.has);
+            node.has = unchanged.map(|(_, to)| to).or(node.has);
             let age = self.age(now).unwrap_or_default();
-            let bytes = self.send_to_node(link, &ToSubscriber::Beat { session, through, age }, true);
+            let bytes = self.send_to_node(link, &ToSubscriber::Heartbeat { session, unchanged, age }, true);
             self.counts.beats += 1;
             self.counts.beat_bytes += bytes;
-            self.beats.push_back((now + self.times.beat, name, session));
+            self.beats.push_back((now + self.times.heartbeat_ms, name, session));
         }
     }
 }
--- a/crates/pearfront-distribute/src/distributor/reports.rs
+++ b/crates/pearfront-distribute/src/distributor/reports.rs
@@ -14,7 +14,7 @@
     pub(super) fn report_at(&self) -> f64 {
         let (at, version) = self.upstream.said;
         let even = self.upstream.changed.is_empty() && version == self.version();
-        at + if even { self.times.beat } else { self.times.report }
+        at + if even { self.times.heartbeat_ms } else { self.times.report_interval_ms }
     }
 
     /// Sends the report that is due: what changed since the last acknowledged one, or all.
@@ -38,10 +38,10 @@
         upstream.number += 1;
         upstream.under_way = Some(now);
         self.counts.reports += 1;
-        let (number, after, echo) = (upstream.number, upstream.taken, upstream.echo);
+        let (number, base, heartbeat_echo) = (upstream.number, upstream.taken, upstream.heartbeat_echo);
         let version = self.version().unwrap_or_default();
         self.upstream.said = (now, Some(version));
-        self.send_voter(ToVoter::Report(Report { number, after, echo, version, nodes }));
+        self.send_voter(ToVoter::Report(Report { number, base, heartbeat_echo, version, nodes }));
     }
 
     /// The last report was acknowledged: the nodes in it are known to the voters and may be served.
@@ -68,7 +68,7 @@
 
     /// Has it had no acknowledgement for so long that the voters hold it for cut off?
     pub(super) fn is_alone(&self, now: f64) -> bool {
-        self.upstream.registered && now - self.upstream.answered >= self.times.alone
+        self.upstream.registered && now - self.upstream.answered >= self.times.isolated_after_ms
     }
 
     /// Serves nodes that the voters can't be told of while it is cut off from them.
--- a/crates/pearfront-distribute/src/distributor/subscriptions.rs
+++ b/crates/pearfront-distribute/src/distributor/subscriptions.rs
@@ -1,19 +1,19 @@
 //! Subscriptions: the nodes that are served, what each wants and what it has in force.
 
 use super::delivery::Priority;
-use super::{Distributor, Out};
-use crate::message::{Line, No, ToDistributor, ToSubscriber, Who};
+use super::{Action, Distributor};
+use crate::message::{NodeStatus, ProcessId, Rejection, ToDistributor, ToSubscriber};
 use crate::times::MOST_SUBSCRIBERS;
 use pearfront_codec::encode;
 use std::collections::BTreeSet;
 
 /// A node that has subscribed.
 pub(super) struct Subscription {
-    pub(super) who: Who,
+    pub(super) process: ProcessId,
     pub(super) session: u64,
     pub(super) link: Option<u64>,
     pub(super) services: Vec<String>,
-    pub(super) fresh: BTreeSet<String>,
+    pub(super) new_services: BTreeSet<String>,
     /// What it has in force, and what is under way.
     pub(super) has: Option<u64>,
     pub(super) sent: Option<u64>,
@@ -32,26 +32,32 @@
 
 impl Subscription {
     /// The node's line in a report.
-    pub(super) fn line(&self) -> Line {
-        let lags = match (self.has, self.sent) {
+    pub(super) fn line(&self) -> NodeStatus {
+        let lagging_version = match (self.has, self.sent) {
             (Some(_), _) => self.behind.map(|behind| behind - 1),
             // One that has nothing and can't take what there is decides nothing, and is shown.
             (None, None) if self.refused.is_some() => Some(0),
             (None, sent) => sent,
         };
         let refused = self.refused.clone();
-        Line { life: self.who.life, session: self.session, lags, refused, linked: self.link.is_some() }
+        NodeStatus {
+            incarnation: self.process.incarnation,
+            session: self.session,
+            lagging_version,
+            refused,
+            linked: self.link.is_some(),
+        }
     }
 }
 
 impl Distributor {
     /// The link to a node has ended.
-    pub fn closed(&mut self, link: u64, now: f64) {
+    pub fn link_closed(&mut self, link: u64, now: f64) {
         let Some(name) = self.links.remove(&link) else { return };
         let Some(node) = self.nodes.get_mut(&name).filter(|node| node.link == Some(link)) else { return };
         node.link = None;
         self.counts.lost += 1;
-        self.lost.push_back((now + self.times.silence, name.clone(), node.session));
+        self.lost.push_back((now + self.times.gone_after_ms, name.clone(), node.session));
         self.upstream.changed.insert(name.clone());
         self.dequeue(&name);
     }
@@ -89,9 +95,11 @@
     }
 
     /// A message of the node at that link.
-    pub fn heard(&mut self, link: u64, message: ToDistributor, now: f64) {
-        if let ToDistributor::Subscribe { installation, who, session, held, services, fresh } = message {
-            self.subscribe(link, (&installation, who, session), held, (services, fresh), now);
+    pub fn receive(&mut self, link: u64, message: ToDistributor, now: f64) {
+        if let ToDistributor::Subscribe { installation, process, session, held, services, new_services } =
+            message
+        {
+            self.subscribe(link, (&installation, process, session), held, (services, new_services), now);
         } else if let Some(name) = self.links.get(&link).cloned() {
             self.subscriber_heard(&name, message, now);
         }
@@ -103,32 +111,32 @@
     fn subscribe(
         &mut self,
         link: u64,
-        (installation, who, session): (&str, Who, u64),
+        (installation, process, session): (&str, ProcessId, u64),
         held: Option<u64>,
-        (services, fresh): (Vec<String>, BTreeSet<String>),
+        (services, new_services): (Vec<String>, BTreeSet<String>),
         now: f64,
     ) {
         let own = self.version();
-        let why = if installation != self.installation {
-            Some(No::Installation)
+        let reason = if installation != self.installation {
+            Some(Rejection::WrongInstallation)
         } else if own.is_none() || held > own {
-            Some(No::Behind { version: own.unwrap_or_default() })
+            Some(Rejection::Behind { version: own.unwrap_or_default() })
         } else if self.links.len() >= MOST_SUBSCRIBERS && !self.links.contains_key(&link) {
-            Some(No::Full)
+            Some(Rejection::Full)
         } else {
             None
         };
-        if let Some(why) = why {
-            let bytes = encode(&ToSubscriber::No { session, why });
-            return self.out.push(Out::Send { link, bytes, urgent: false });
+        if let Some(reason) = reason {
+            let bytes = encode(&ToSubscriber::Rejected { session, reason });
+            return self.actions.push(Action::Send { link, bytes, urgent: false });
         }
-        let name = who.name.clone();
-        let before = self.nodes.get(&name).map(|node| (node.link, node.known && node.who == who));
+        let name = process.name.clone();
+        let before = self.nodes.get(&name).map(|node| (node.link, node.known && node.process == process));
         if let Some((Some(old), _)) = before
             && old != link
         {
             self.links.remove(&old);
-            self.out.push(Out::Close { link: old });
+            self.actions.push(Action::Close { link: old });
         }
         let known = held.is_some() || before.is_some_and(|(_, known)| known) || self.is_alone(now);
         self.remove(&name);
@@ -137,11 +145,11 @@
             self.interest.entry(service.clone()).or_default().insert(name.clone());
         }
         let node = Subscription {
-            who,
+            process,
             session,
             link: Some(link),
             services,
-            fresh,
+            new_services,
             has: held,
             sent: None,
             latest: 0,
@@ -154,7 +162,7 @@
             queued: None,
         };
         self.nodes.insert(name.clone(), node);
-        self.beats.push_back((now + self.times.beat, name.clone(), session));
+        self.beats.push_back((now + self.times.heartbeat_ms, name.clone(), session));
         self.resume(&name);
     }
 
@@ -166,9 +174,8 @@
         node.behind = match node.has {
             None => Some(1),
             // A service that went may be forgotten by now.
-            Some(has) => {
-                (node.latest > has || !node.fresh.is_empty() || has < catalog.version()).then_some(has + 1)
-            }
+            Some(has) => (node.latest > has || !node.new_services.is_empty() || has < catalog.version())
+                .then_some(has + 1),
         };
         self.upstream.changed.insert(name.into());
         self.enqueue(name, false);
@@ -186,7 +193,7 @@
             ToDistributor::Refuse { session, version, reason } if session == current => {
                 self.update_refused(name, version, reason);
             }
-            ToDistributor::Restricted { session, version } if session == current => {
+            ToDistributor::AcknowledgeRestrictions { session, version } if session == current => {
                 self.restriction_acknowledged(name, version)
             }
             ToDistributor::Leave { session } if session == current => self.remove(name),
@@ -227,7 +234,7 @@
             return;
         }
         node.has = Some(version);
-        node.fresh.clear();
+        node.new_services.clear();
         node.refused = None;
         node.behind = (node.latest > version).then_some(version + 1);
         self.upstream.changed.insert(name.into());
--- a/crates/pearfront-distribute/src/distributor/voters.rs
+++ b/crates/pearfront-distribute/src/distributor/voters.rs
@@ -1,6 +1,6 @@
 //! The link to the voters: following the leader, taking in its snapshots and change sets.
 
-use super::{Distributor, Out};
+use super::{Action, Distributor};
 use crate::catalog::Catalog;
 use crate::dial::Dial;
 use crate::message::{FromVoter, ToVoter};
@@ -13,7 +13,7 @@
     pub(super) dial: Dial,
     /// The age that was told of the newest version, and when.
     pub(super) current: Option<f64>,
-    pub(super) echo: u64,
+    pub(super) heartbeat_echo: u64,
     pub(super) in_force: Option<u64>,
     /// Number of the last report, when it was sent; one that is under way.
     pub(super) number: u64,
@@ -34,7 +34,7 @@
         Self {
             dial: Dial::new(voters, times, seed, now),
             current: None,
-            echo: 0,
+            heartbeat_echo: 0,
             in_force: None,
             number: 0,
             under_way: None,
@@ -53,57 +53,59 @@
     pub(super) fn follow_leader(&mut self) {
         (self.upstream.under_way, self.upstream.taken) = (None, None);
         self.upstream.telling.clear();
-        let (installation, who, version) = (self.installation.clone(), self.me.clone(), self.version());
-        self.send_voter(ToVoter::Follow { installation, who, version });
+        let (installation, process, version) = (self.installation.clone(), self.me.clone(), self.version());
+        self.send_voter(ToVoter::Follow { installation, process, version });
     }
 
     /// Sends a beat to the voter, unless a report is due: a report is a beat, and says what it has.
     pub(super) fn send_beat_to_voter(&mut self) {
         if !self.has_to_report() {
             let version = self.version().unwrap_or_default();
-            self.send_voter(ToVoter::Followed { version });
+            self.send_voter(ToVoter::Acknowledge { version });
         }
     }
 
     /// Sends to the voter, if there is a link.
     pub(super) fn send_voter(&mut self, message: ToVoter) {
         if let Some((link, _)) = self.upstream.dial.link() {
-            self.out.push(Out::SendVoter { link, message });
+            self.actions.push(Action::SendVoter { link, message });
         }
     }
 
     /// That link could not be had, or has ended.
-    pub fn voter_closed(&mut self, link: u64, now: f64) {
+    pub fn voter_link_closed(&mut self, link: u64, now: f64) {
         self.upstream.dial.over(link, true, now);
     }
 
     /// A message of the voter at that link.
-    pub fn voter_heard(&mut self, link: u64, message: FromVoter, now: f64) {
+    pub fn receive_from_voter(&mut self, link: u64, message: FromVoter, now: f64) {
         if !self.upstream.dial.is(link) {
             return;
         }
         self.upstream.dial.heard(now);
         match message {
-            FromVoter::Elsewhere { leader } => {
+            FromVoter::NotLeader { leader } => {
                 self.upstream.dial.over(link, false, now);
-                self.out.push(Out::CloseVoter { link });
+                self.actions.push(Action::CloseVoter { link });
                 self.upstream.dial.hint(leader, now);
             }
-            FromVoter::No { .. } => {
+            FromVoter::Rejected { .. } => {
                 self.upstream.dial.over(link, true, now);
-                self.out.push(Out::CloseVoter { link });
+                self.actions.push(Action::CloseVoter { link });
             }
-            FromVoter::Whole { catalog } => self.apply_snapshot(&catalog, now),
-            FromVoter::Sets { to, sets } => self.apply_change_sets(to, sets, now),
-            FromVoter::Beat { number, version, in_force } => {
+            FromVoter::Snapshot { catalog } => self.apply_snapshot(&catalog, now),
+            FromVoter::ChangeSets { to, sets } => self.apply_change_sets(to, sets, now),
+            FromVoter::Heartbeat { number, version, in_force } => {
                 self.upstream.dial.serves();
-                (self.upstream.echo, self.upstream.in_force) = (number, in_force);
+                (self.upstream.heartbeat_echo, self.upstream.in_force) = (number, in_force);
                 if self.version().is_some_and(|own| own >= version) {
                     self.upstream.current = Some(now);
                 }
             }
-            FromVoter::ReportTaken { number } if number == self.upstream.number => self.report_acknowledged(),
-            FromVoter::ReportAll => (self.upstream.under_way, self.upstream.taken) = (None, None),
+            FromVoter::ReportAccepted { number } if number == self.upstream.number => {
+                self.report_acknowledged()
+            }
+            FromVoter::FullReportNeeded => (self.upstream.under_way, self.upstream.taken) = (None, None),
             _ => {}
         }
         self.send_ready(now);
@@ -123,7 +125,7 @@
             self.resume(&name);
         }
         self.upstream.current = Some(now);
-        self.send_voter(ToVoter::Followed { version });
+        self.send_voter(ToVoter::Acknowledge { version });
     }
 
     /// Applies the change sets up to version `to`; after a gap the link is opened anew.
@@ -136,20 +138,20 @@
             if version <= catalog.version() {
                 continue;
             }
-            if !catalog.follow(set, version) {
+            if !catalog.apply_accepted(set, version) {
                 // A gap: everything anew, by a new link.
                 let Some((link, _)) = self.upstream.dial.link() else { return };
                 self.upstream.dial.over(link, false, now);
-                return self.out.push(Out::CloseVoter { link });
+                return self.actions.push(Action::CloseVoter { link });
             }
-            let narrows = catalog.is_narrowing(version);
+            let narrows = catalog.is_restricting(version);
             self.counts.sets += 1;
             self.mark_behind(&touched, version, narrows);
         }
         if count < SETS_AT_ONCE {
             self.upstream.current = Some(now);
         }
-        self.send_voter(ToVoter::Followed { version: to });
+        self.send_voter(ToVoter::Acknowledge { version: to });
     }
 
     /// The subscribers of these services are behind from this version on.
--- a/crates/pearfront-distribute/src/form.rs
+++ b/crates/pearfront-distribute/src/form.rs
@@ -1,8 +1,8 @@
 //! A change set as operators write it, in JSON: what is not named stays, `null` takes away (as in RFC 7396). Unknown keys
 //! are refused, each by its path.
 
-use crate::service::{ChangeSet, Server, ServiceChange, State};
-use crate::times::LONGEST_SET;
+use crate::service::{ChangeSet, Server, ServerState, ServiceChange};
+use crate::times::MAX_CHANGE_SET_BYTES;
 use serde::{Deserialize, Deserializer};
 use std::collections::BTreeMap;
 
@@ -34,12 +34,12 @@
     #[serde(default)]
     zone: String,
     #[serde(default = "serving")]
-    state: State,
+    state: ServerState,
     limit: Option<u32>,
 }
 
-fn serving() -> State {
-    State::Serving
+fn serving() -> ServerState {
+    ServerState::Serving
 }
 
 fn named<'a, D: Deserializer<'a>>(from: D) -> Result<Option<Option<u32>>, D::Error> {
@@ -51,8 +51,8 @@
 /// # Errors
 /// The key that can't be as it is, and why.
 pub fn parse(text: &[u8]) -> Result<ChangeSet, String> {
-    if text.len() > LONGEST_SET {
-        return Err(format!("the change has {} bytes, not up to {LONGEST_SET}", text.len()));
+    if text.len() > MAX_CHANGE_SET_BYTES {
+        return Err(format!("the change has {} bytes, not up to {MAX_CHANGE_SET_BYTES}", text.len()));
     }
     let mut read = serde_json::Deserializer::from_slice(text);
     let form: Form = serde_path_to_error::deserialize(&mut read)
--- a/crates/pearfront-distribute/src/lib.rs
+++ b/crates/pearfront-distribute/src/lib.rs
@@ -19,16 +19,20 @@
 mod times;
 
 pub use catalog::{Applied, Catalog, Command, Outcome};
-pub use dial::{Peer, order};
-pub use distributor::{Counts, Distributor, Out as DistributorOut};
+pub use dial::{Peer, rank_peers};
+pub use distributor::{Action as DistributorAction, Counts, Distributor};
 pub use form::parse;
-pub use message::{FromVoter, Line, No, Report, ToDistributor, ToSubscriber, ToVoter, Update, View, Who};
+pub use message::{
+    DistributionStatus, FromVoter, NodeStatus, ProcessId, Rejection, Report, ToDistributor, ToSubscriber,
+    ToVoter, Update,
+};
 pub use pearfront_codec::{decode_bounded as decode, encode};
-pub use pieces::{Assembler, split};
-pub use registry::{Out as RegistryOut, Registry};
+pub use pieces::{FrameAssembler, split_frames};
+pub use registry::{Action as RegistryAction, Registry};
 pub use service::{
-    ChangeSet, Head, Restriction, Restricts, Server, Service, ServiceChange, ServiceUpdate, State,
+    ChangeSet, Restriction, RestrictionKind, Server, ServerState, Service, ServiceChange, ServiceOptions,
+    ServiceUpdate,
 };
-pub use subscriber::{Config, Out as SubscriberOut, Subscriber};
-pub use tally::Lag;
-pub use times::{LONGEST_SET, MOST_INTERESTS, MOST_SERVERS, Times};
+pub use subscriber::{Action as SubscriberAction, Config, Subscriber};
+pub use tally::LaggingProcess;
+pub use times::{MAX_CHANGE_SET_BYTES, MAX_SERVERS_PER_SERVICE, MAX_SUBSCRIBED_SERVICES, Times};
--- a/crates/pearfront-distribute/src/message.rs
+++ b/crates/pearfront-distribute/src/message.rs
@@ -2,17 +2,17 @@
 
 use crate::catalog::Outcome;
 use crate::service::{ChangeSet, Restriction, ServiceUpdate};
-use crate::tally::Lag;
-use crate::times::{LONGEST_NAME, LONGEST_REASON, MOST_INTERESTS};
+use crate::tally::LaggingProcess;
+use crate::times::{LONGEST_NAME, LONGEST_REASON, MAX_SUBSCRIBED_SERVICES};
 use pearfront_codec::Bounded;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// One life of a process: after a restart it is another.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Who {
+pub struct ProcessId {
     pub name: String,
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 /// From a node to its distributor. `session` counts a life's subscriptions: what is of another one is void.
@@ -20,12 +20,12 @@
 pub enum ToDistributor {
     Subscribe {
         installation: String,
-        who: Who,
+        process: ProcessId,
         session: u64,
         /// The version that it has of all services but those in `fresh`.
         held: Option<u64>,
         services: Vec<String>,
-        fresh: BTreeSet<String>,
+        new_services: BTreeSet<String>,
     },
     /// That version is in force.
     Acknowledge {
@@ -39,11 +39,11 @@
         reason: String,
     },
     /// What narrowed up to there is in force.
-    Restricted {
+    AcknowledgeRestrictions {
         session: u64,
         version: u64,
     },
-    Beat {
+    Heartbeat {
         session: u64,
     },
     /// The node ends, and decides nothing any more.
@@ -62,9 +62,9 @@
 
 /// Why a distributor does not serve a node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum No {
+pub enum Rejection {
     /// It belongs to another installation.
-    Installation,
+    WrongInstallation,
     /// It has nothing itself, or is behind the node.
     Behind { version: u64 },
     /// It has as many as it can serve.
@@ -86,24 +86,24 @@
         all: Vec<Restriction>,
     },
     /// Nothing of the node's changed from the first version to the second, if they are there; `age` as above.
-    Beat {
+    Heartbeat {
         session: u64,
-        through: Option<(u64, u64)>,
+        unchanged: Option<(u64, u64)>,
         age: f64,
     },
-    No {
+    Rejected {
         session: u64,
-        why: No,
+        reason: Rejection,
     },
 }
 
 /// A node, as its distributor tells the voters.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Line {
-    pub life: u64,
+pub struct NodeStatus {
+    pub incarnation: u64,
     pub session: u64,
     /// The version that it has in force for certain, if that is not the distributor's.
-    pub lags: Option<u64>,
+    pub lagging_version: Option<u64>,
     /// A version that it refused, and why.
     pub refused: Option<(u64, String)>,
     /// Is there a link to it?
@@ -114,38 +114,38 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     pub number: u64,
-    pub after: Option<u64>,
+    pub base: Option<u64>,
     /// The last beat that came.
-    pub echo: u64,
+    pub heartbeat_echo: u64,
     pub version: u64,
     /// None: it left, or was not heard for the stated time.
-    pub nodes: BTreeMap<String, Option<Line>>,
+    pub nodes: BTreeMap<String, Option<NodeStatus>>,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ToVoter {
     Follow {
         installation: String,
-        who: Who,
+        process: ProcessId,
         version: Option<u64>,
     },
-    Followed {
+    Acknowledge {
         version: u64,
     },
     Report(Report),
     Submit(ChangeSet),
     /// How far is what, and who lags?
-    Look,
+    QueryStatus,
 }
 
 /// What operators are shown.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct View {
+pub struct DistributionStatus {
     pub version: u64,
     /// None: not known, because this leader has not heard all distributors yet.
     pub in_force: Option<u64>,
     pub nodes: usize,
-    pub lags: Vec<Lag>,
+    pub lagging: Vec<LaggingProcess>,
     /// Distributors and their versions; none: not heard yet.
     pub distributors: BTreeMap<String, Option<u64>>,
 }
@@ -153,37 +153,37 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum FromVoter {
     /// Another voter leads, or nobody that this one knows of.
-    Elsewhere {
+    NotLeader {
         leader: Option<String>,
     },
     /// It is of another installation, or from the future.
-    No {
-        why: No,
+    Rejected {
+        reason: Rejection,
     },
-    Whole {
+    Snapshot {
         catalog: Vec<u8>,
     },
     /// Sets that lead to version `to`, each one version.
-    Sets {
+    ChangeSets {
         to: u64,
         sets: Vec<ChangeSet>,
     },
     /// `version` is the newest; what is in force everywhere, if that is known.
-    Beat {
+    Heartbeat {
         number: u64,
         version: u64,
         in_force: Option<u64>,
     },
-    ReportTaken {
+    ReportAccepted {
         number: u64,
     },
     /// It did not fit what came before: all of it is needed.
-    ReportAll,
+    FullReportNeeded,
     Outcome {
         number: String,
         outcome: Outcome,
     },
-    View(View),
+    Status(DistributionStatus),
 }
 
 fn is_name(name: &str) -> bool {
@@ -193,10 +193,10 @@
 impl Bounded for ToDistributor {
     fn is_bounded(&self) -> bool {
         match self {
-            Self::Subscribe { installation, who, services, fresh, .. } => {
-                let few = services.len() <= MOST_INTERESTS && fresh.len() <= services.len();
+            Self::Subscribe { installation, process, services, new_services, .. } => {
+                let few = services.len() <= MAX_SUBSCRIBED_SERVICES && new_services.len() <= services.len();
                 few && is_name(installation)
-                    && is_name(&who.name)
+                    && is_name(&process.name)
                     && services.iter().all(|name| is_name(name))
             }
             Self::Refuse { reason, .. } => reason.len() <= LONGEST_REASON,
@@ -208,8 +208,10 @@
 impl Bounded for ToSubscriber {
     fn is_bounded(&self) -> bool {
         match self {
-            Self::Beat { age, .. } => age.is_finite() && *age >= 0.0,
-            Self::Update { update, age, .. } => age.is_finite() && update.services.len() <= MOST_INTERESTS,
+            Self::Heartbeat { age, .. } => age.is_finite() && *age >= 0.0,
+            Self::Update { update, age, .. } => {
+                age.is_finite() && update.services.len() <= MAX_SUBSCRIBED_SERVICES
+            }
             _ => true,
         }
     }
@@ -218,7 +220,7 @@
 impl Bounded for ToVoter {
     fn is_bounded(&self) -> bool {
         match self {
-            Self::Follow { installation, who, .. } => is_name(installation) && is_name(&who.name),
+            Self::Follow { installation, process, .. } => is_name(installation) && is_name(&process.name),
             Self::Report(report) => report.nodes.keys().all(|name| is_name(name)),
             Self::Submit(set) => set.check().is_ok(),
             _ => true,
--- a/crates/pearfront-distribute/src/pieces.rs
+++ b/crates/pearfront-distribute/src/pieces.rs
@@ -3,7 +3,7 @@
 use crate::times::{LONGEST, PIECE};
 
 /// The frames of one message: a byte that is 1 in the last, then the piece.
-pub fn split(message: &[u8]) -> Vec<Vec<u8>> {
+pub fn split_frames(message: &[u8]) -> Vec<Vec<u8>> {
     let count = message.len().div_ceil(PIECE).max(1);
     let piece = |place: usize| {
         let upto = message.len().min((place + 1) * PIECE);
@@ -16,16 +16,16 @@
 
 /// Puts the frames of one lane together again.
 #[derive(Debug, Default)]
-pub struct Assembler {
+pub struct FrameAssembler {
     coming: Vec<u8>,
 }
 
-impl Assembler {
+impl FrameAssembler {
     /// A frame came; a message, if it was the last of one.
     ///
     /// # Errors
     /// It is none, or the message is too long: the link is of no use any more.
-    pub fn take(&mut self, frame: &[u8]) -> Result<Option<Vec<u8>>, String> {
+    pub fn push(&mut self, frame: &[u8]) -> Result<Option<Vec<u8>>, String> {
         let Some((last, piece)) = frame.split_first() else { return Err("an empty frame".into()) };
         if self.coming.len() + piece.len() > LONGEST {
             return Err(format!("a message of more than {LONGEST} bytes"));
--- a/crates/pearfront-distribute/src/service.rs
+++ b/crates/pearfront-distribute/src/service.rs
@@ -1,12 +1,12 @@
 //! What a service is to those who call it, how a change set changes it, and what of that only narrows.
 
-use crate::times::{LONGEST_NAME, LONGEST_SETTINGS, LONGEST_TEXT, MOST_IN_SET, MOST_SERVERS};
+use crate::times::{LONGEST_NAME, LONGEST_SETTINGS, LONGEST_TEXT, MAX_SERVERS_PER_SERVICE, MOST_IN_SET};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum State {
+pub enum ServerState {
     Serving,
     /// Takes nothing new.
     Draining,
@@ -16,14 +16,14 @@
 pub struct Server {
     pub address: String,
     pub zone: String,
-    pub state: State,
+    pub state: ServerState,
     /// Jobs at once that one node may have there; none: no such limit.
     pub limit: Option<u32>,
 }
 
 /// What concerns a service as a whole.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Head {
+pub struct ServiceOptions {
     /// Jobs at once that one node may have at the service; none: no such limit.
     pub limit: Option<u32>,
     /// What the node decides by, as text that only the node reads; it refuses what it can't take.
@@ -32,7 +32,7 @@
 
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    pub head: Head,
+    pub options: ServiceOptions,
     pub servers: BTreeMap<String, Server>,
 }
 
@@ -60,9 +60,9 @@
 
 /// What leaves a node less than it had.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Restricts {
-    Gone,
-    Drains,
+pub enum RestrictionKind {
+    Removed,
+    Drain,
     /// At most so many jobs at once.
     Limit(u32),
 }
@@ -72,13 +72,13 @@
     pub service: String,
     /// None: the service as a whole.
     pub server: Option<String>,
-    pub what: Restricts,
+    pub kind: RestrictionKind,
 }
 
 /// What a subscriber has to change in one service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServiceUpdate {
-    Whole(Service),
+    Full(Service),
     Changed {
         /// The new limit, if it changed.
         limit: Option<Option<u32>>,
@@ -86,23 +86,23 @@
         /// None: gone.
         servers: BTreeMap<String, Option<Server>>,
     },
-    Gone,
+    Removed,
 }
 
 impl Service {
     pub(crate) fn update(&mut self, update: ServiceUpdate) {
         match update {
-            ServiceUpdate::Whole(whole) => *self = whole,
+            ServiceUpdate::Full(whole) => *self = whole,
             ServiceUpdate::Changed { limit, settings, servers } => {
-                self.head.limit = limit.unwrap_or(self.head.limit);
+                self.options.limit = limit.unwrap_or(self.options.limit);
                 if let Some(settings) = settings {
-                    self.head.settings = settings;
+                    self.options.settings = settings;
                 }
                 for (name, server) in servers {
                     put(&mut self.servers, name, server);
                 }
             }
-            ServiceUpdate::Gone => *self = Self::default(),
+            ServiceUpdate::Removed => *self = Self::default(),
         }
     }
 }
@@ -122,22 +122,22 @@
     /// What it takes from those who have `before`; none if it also gives or changes something.
     pub(crate) fn narrows(&self, service: &str, before: Option<&Service>) -> Option<Vec<Restriction>> {
         let before = before?;
-        let restricts = |server: Option<&String>, what| Restriction {
+        let restricts = |server: Option<&String>, kind| Restriction {
             service: service.into(),
             server: server.cloned(),
-            what,
+            kind,
         };
         if self.remove {
-            return Some(vec![restricts(None, Restricts::Gone)]);
+            return Some(vec![restricts(None, RestrictionKind::Removed)]);
         }
-        if self.settings.as_ref().is_some_and(|settings| *settings != before.head.settings) {
+        if self.settings.as_ref().is_some_and(|settings| *settings != before.options.settings) {
             return None;
         }
         let mut all = Vec::new();
         match self.limit {
-            Some(limit) if limit != before.head.limit => {
-                let limit = limit.filter(|_| lower(before.head.limit, limit))?;
-                all.push(restricts(None, Restricts::Limit(limit)));
+            Some(limit) if limit != before.options.limit => {
+                let limit = limit.filter(|_| lower(before.options.limit, limit))?;
+                all.push(restricts(None, RestrictionKind::Limit(limit)));
             }
             _ => {}
         }
@@ -146,16 +146,16 @@
                 (was, Some(is)) if was == Some(is) => {}
                 (Some(was), Some(is)) => {
                     let same = was.address == is.address && was.zone == is.zone;
-                    let opens = was.state == State::Draining && is.state == State::Serving;
+                    let opens = was.state == ServerState::Draining && is.state == ServerState::Serving;
                     if !same || opens || (was.limit != is.limit && !lower(was.limit, is.limit)) {
                         return None;
                     }
-                    if is.state == State::Draining {
-                        all.push(restricts(Some(name), Restricts::Drains));
+                    if is.state == ServerState::Draining {
+                        all.push(restricts(Some(name), RestrictionKind::Drain));
                     }
-                    all.extend(is.limit.map(|limit| restricts(Some(name), Restricts::Limit(limit))));
+                    all.extend(is.limit.map(|limit| restricts(Some(name), RestrictionKind::Limit(limit))));
                 }
-                (Some(_), None) => all.push(restricts(Some(name), Restricts::Gone)),
+                (Some(_), None) => all.push(restricts(Some(name), RestrictionKind::Removed)),
                 (None, Some(_)) => return None,
                 (None, None) => {}
             }
@@ -206,8 +206,10 @@
         gone: usize,
     ) -> Result<(), String> {
         let after = before + change.servers.values().flatten().count() - gone;
-        if after > MOST_SERVERS {
-            return Err(format!("services.{name}.servers would be {after}, not up to {MOST_SERVERS}"));
+        if after > MAX_SERVERS_PER_SERVICE {
+            return Err(format!(
+                "services.{name}.servers would be {after}, not up to {MAX_SERVERS_PER_SERVICE}"
+            ));
         }
         Ok(())
     }
--- a/crates/pearfront-distribute/src/subscriber.rs
+++ b/crates/pearfront-distribute/src/subscriber.rs
@@ -1,14 +1,14 @@
 //! A node's side: what it has in force, whom it has it from, and how old it is. What comes is put by until the node says that
 //! it may be taken (`apply`), between two rounds of its decisions; then it is in force whole or not at all.
 
-use crate::dial::{Dial, Peer, Step, order};
-use crate::message::{No, ToDistributor, ToSubscriber, Update, Who};
-use crate::service::{Restriction, Restricts, Service, ServiceUpdate, State};
+use crate::dial::{Dial, Peer, Step, rank_peers};
+use crate::message::{ProcessId, Rejection, ToDistributor, ToSubscriber, Update};
+use crate::service::{Restriction, RestrictionKind, ServerState, Service, ServiceUpdate};
 use crate::times::{LONGEST_REASON, Times};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum Out {
+pub enum Action {
     /// Open a link to that distributor; what is sent over it goes in order.
     Open {
         link: u64,
@@ -39,13 +39,13 @@
 
 pub struct Subscriber {
     installation: String,
-    me: Who,
+    me: ProcessId,
     times: Times,
     dial: Dial,
     session: u64,
     interest: Vec<String>,
     /// Services that nothing is held of yet.
-    fresh: BTreeSet<String>,
+    new_services: BTreeSet<String>,
     held: Option<Config>,
     coming: Option<Coming>,
     /// What narrowed ahead of the version that is held, and up to where.
@@ -53,22 +53,23 @@
     /// The age that was told, and when; then what is held was the newest so long before.
     told: Option<(f64, f64)>,
     /// Why the last distributor did not serve.
-    pub last_no: Option<No>,
+    pub last_rejection: Option<Rejection>,
     left: bool,
-    out: Vec<Out>,
+    actions: Vec<Action>,
 }
 
 impl Subscriber {
     pub fn new(
         installation: &str,
-        me: Who,
+        me: ProcessId,
         (zone, region): (&str, &str),
         distributors: &[Peer],
         interest: Vec<String>,
         times: Times,
         (seed, now): (u64, f64),
     ) -> Self {
-        let order = order(&me.name, zone, region, distributors).into_iter().map(|peer| peer.name.clone());
+        let order =
+            rank_peers(&me.name, zone, region, distributors).into_iter().map(|peer| peer.name.clone());
         let dial = Dial::new(order.collect(), times, seed, now);
         Self {
             installation: installation.into(),
@@ -76,20 +77,20 @@
             times,
             dial,
             session: 0,
-            fresh: interest.iter().cloned().collect(),
+            new_services: interest.iter().cloned().collect(),
             interest,
             held: None,
             coming: None,
             narrowed: None,
             told: None,
-            last_no: None,
+            last_rejection: None,
             left: false,
-            out: Vec::new(),
+            actions: Vec::new(),
         }
     }
 
-    pub fn take_out(&mut self) -> Vec<Out> {
-        std::mem::take(&mut self.out)
+    pub fn take_actions(&mut self) -> Vec<Action> {
+        std::mem::take(&mut self.actions)
     }
 
     // ---- what may be read ----
@@ -119,12 +120,12 @@
     }
 
     /// Has it been without word for so long that the node has to be careful?
-    pub fn is_careful(&self, now: f64) -> bool {
-        self.age(now).is_none_or(|age| age >= self.times.careful)
+    pub fn is_stale(&self, now: f64) -> bool {
+        self.age(now).is_none_or(|age| age >= self.times.stale_after_ms)
     }
 
     /// Whom it has it from, if there is a link that is not doubted.
-    pub fn source(&self, now: f64) -> Option<&str> {
+    pub fn current_distributor(&self, now: f64) -> Option<&str> {
         self.dial.link().filter(|_| !self.dial.is_doubted(now)).map(|(_, to)| to)
     }
 
@@ -132,7 +133,7 @@
         self.session
     }
 
-    pub fn has_coming(&self) -> bool {
+    pub fn has_pending_update(&self) -> bool {
         self.coming.is_some()
     }
 
@@ -149,28 +150,28 @@
         for step in self.dial.tick(now) {
             match step {
                 Step::Open { link, to } => {
-                    self.out.push(Out::Open { link, to });
+                    self.actions.push(Action::Open { link, to });
                     self.subscribe();
                 }
-                Step::Close { link } => self.out.push(Out::Close { link }),
+                Step::Close { link } => self.actions.push(Action::Close { link }),
                 Step::Beat => {
                     let session = self.session;
-                    self.send(ToDistributor::Beat { session });
+                    self.send(ToDistributor::Heartbeat { session });
                 }
             }
         }
     }
 
     /// That link could not be had, or has ended.
-    pub fn closed(&mut self, link: u64, now: f64) {
+    pub fn link_closed(&mut self, link: u64, now: f64) {
         self.dial.over(link, true, now);
     }
 
     /// Other services from now on.
-    pub fn set_interest(&mut self, interest: Vec<String>) {
+    pub fn set_services(&mut self, interest: Vec<String>) {
         let before: BTreeSet<String> = self.interest.drain(..).collect();
-        self.fresh.retain(|name| interest.contains(name));
-        self.fresh.extend(interest.iter().filter(|name| !before.contains(*name)).cloned());
+        self.new_services.retain(|name| interest.contains(name));
+        self.new_services.extend(interest.iter().filter(|name| !before.contains(*name)).cloned());
         if let Some(held) = &mut self.held {
             held.services.retain(|name, _| interest.contains(name));
         }
@@ -191,22 +192,22 @@
         self.coming = None;
         let message = ToDistributor::Subscribe {
             installation: self.installation.clone(),
-            who: self.me.clone(),
+            process: self.me.clone(),
             session: self.session,
             held: self.held.as_ref().map(|held| held.version),
             services: self.interest.clone(),
-            fresh: self.fresh.clone(),
+            new_services: self.new_services.clone(),
         };
         self.send(message);
     }
 
     fn send(&mut self, message: ToDistributor) {
         if let Some((link, _)) = self.dial.link() {
-            self.out.push(Out::Send { link, message });
+            self.actions.push(Action::Send { link, message });
         }
     }
 
-    pub fn heard(&mut self, link: u64, message: ToSubscriber, now: f64) {
+    pub fn receive(&mut self, link: u64, message: ToSubscriber, now: f64) {
         if !self.dial.is(link) || self.left {
             return;
         }
@@ -216,13 +217,13 @@
                 self.updated(update, (age, now));
             }
             ToSubscriber::Restrict { session, to, all } if session == self.session => self.restrict(to, all),
-            ToSubscriber::Beat { session, through, age } if session == self.session => {
-                self.beat(through, age, now);
+            ToSubscriber::Heartbeat { session, unchanged, age } if session == self.session => {
+                self.beat(unchanged, age, now);
             }
-            ToSubscriber::No { session, why } if session == self.session => {
-                self.last_no = Some(why);
+            ToSubscriber::Rejected { session, reason } if session == self.session => {
+                self.last_rejection = Some(reason);
                 self.dial.over(link, true, now);
-                self.out.push(Out::Close { link });
+                self.actions.push(Action::Close { link });
             }
             _ => {}
         }
@@ -231,7 +232,7 @@
     fn updated(&mut self, update: Update, told: (f64, f64)) {
         let held = self.held.as_ref().map(|held| held.version);
         self.dial.serves();
-        self.last_no = None;
+        self.last_rejection = None;
         // A gap, or something older than what is held: never a guess.
         let fits = update.from == held && held.is_none_or(|held| update.to >= held);
         if !fits {
@@ -242,7 +243,7 @@
             if !self.interest.contains(&name) {
                 continue;
             }
-            if update == ServiceUpdate::Gone {
+            if update == ServiceUpdate::Removed {
                 services.remove(&name);
             } else {
                 services.entry(name).or_default().update(update);
@@ -253,7 +254,7 @@
 
     /// Takes what has come, if `check` can; a node that can't keeps what it had and says why. To be called between two rounds
     /// of decisions; true if something else is in force now.
-    pub fn apply(&mut self, check: impl FnOnce(&Config) -> Result<(), String>) -> bool {
+    pub fn apply_pending(&mut self, check: impl FnOnce(&Config) -> Result<(), String>) -> bool {
         let Some(Coming { config, told }) = self.coming.take() else { return false };
         let (session, version) = (self.session, config.version);
         if let Err(mut reason) = check(&config) {
@@ -264,7 +265,7 @@
         }
         self.held = Some(config);
         self.told = Some(told);
-        self.fresh.clear();
+        self.new_services.clear();
         self.narrowed.take_if(|(upto, _)| *upto <= version);
         self.send(ToDistributor::Acknowledge { session, version });
         true
@@ -278,35 +279,35 @@
             let kept = before.into_iter().filter(|one| !all.contains(one)).collect::<Vec<_>>();
             self.narrowed = Some((to, [all, kept].concat()));
         }
-        self.send(ToDistributor::Restricted { session, version: to });
+        self.send(ToDistributor::AcknowledgeRestrictions { session, version: to });
     }
 
-    fn beat(&mut self, through: Option<(u64, u64)>, age: f64, now: f64) {
-        let Some((from, to)) = through else { return };
+    fn beat(&mut self, unchanged: Option<(u64, u64)>, age: f64, now: f64) {
+        let Some((from, to)) = unchanged else { return };
         let Some(held) = &mut self.held else { return };
-        if self.coming.is_none() && self.fresh.is_empty() && held.version == from && to >= from {
+        if self.coming.is_none() && self.new_services.is_empty() && held.version == from && to >= from {
             held.version = to;
             self.narrowed.take_if(|(upto, _)| *upto <= to);
             self.told = Some((age, now));
             self.dial.serves();
-            self.last_no = None;
+            self.last_rejection = None;
         }
     }
 }
 
 fn restrict(service: &mut Service, one: &Restriction) {
     let lower = |limit: &mut Option<u32>, to: u32| *limit = Some(limit.map_or(to, |limit| limit.min(to)));
-    match (&one.server, one.what) {
-        (None, Restricts::Gone) => service.servers.clear(),
-        (None, Restricts::Limit(to)) => lower(&mut service.head.limit, to),
-        (None, Restricts::Drains) => {
-            service.servers.values_mut().for_each(|server| server.state = State::Draining);
+    match (&one.server, one.kind) {
+        (None, RestrictionKind::Removed) => service.servers.clear(),
+        (None, RestrictionKind::Limit(to)) => lower(&mut service.options.limit, to),
+        (None, RestrictionKind::Drain) => {
+            service.servers.values_mut().for_each(|server| server.state = ServerState::Draining);
         }
-        (Some(name), what) => match (service.servers.get_mut(name), what) {
+        (Some(name), kind) => match (service.servers.get_mut(name), kind) {
             (None, _) => {}
-            (Some(_), Restricts::Gone) => drop(service.servers.remove(name)),
-            (Some(server), Restricts::Drains) => server.state = State::Draining,
-            (Some(server), Restricts::Limit(to)) => lower(&mut server.limit, to),
+            (Some(_), RestrictionKind::Removed) => drop(service.servers.remove(name)),
+            (Some(server), RestrictionKind::Drain) => server.state = ServerState::Draining,
+            (Some(server), RestrictionKind::Limit(to)) => lower(&mut server.limit, to),
         },
     }
 }
--- a/crates/pearfront-distribute/src/tally.rs
+++ b/crates/pearfront-distribute/src/tally.rs
@@ -1,7 +1,7 @@
 //! What is in force everywhere: counted from what distributors tell of their nodes, never hoped for. At the leader, and not in
 //! the log: a new leader knows nothing until all distributors that the log names have told it all.
 
-use crate::message::{Line, Report, Who};
+use crate::message::{NodeStatus, ProcessId, Report};
 use crate::times::Times;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,7 +11,7 @@
 
 /// A node that is behind, or a distributor.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Lag {
+pub struct LaggingProcess {
     /// None: the distributor itself.
     pub node: Option<String>,
     pub distributor: String,
@@ -29,7 +29,7 @@
     heard: f64,
     number: u64,
     version: u64,
-    nodes: BTreeMap<String, Line>,
+    nodes: BTreeMap<String, NodeStatus>,
     /// Nodes that need a look: those that lag.
     lagging: BTreeSet<String>,
     /// When it ended, and whether all that it had begun to serve is known here.
@@ -38,22 +38,22 @@
 
 #[derive(Default)]
 pub(crate) struct Tally {
-    accounts: BTreeMap<Who, Account>,
+    accounts: BTreeMap<ProcessId, Account>,
     /// Which distributors have a line on a node.
-    places: BTreeMap<String, BTreeSet<Who>>,
+    places: BTreeMap<String, BTreeSet<ProcessId>>,
 }
 
 impl Tally {
     /// A report came that was sent no earlier than `sent`; false if all of it is needed.
-    pub fn report(&mut self, who: &Who, report: Report, sent: f64) -> bool {
-        let known = self.accounts.get(who).map(|account| account.number);
-        if report.after.is_some() && report.after != known {
+    pub fn report(&mut self, process: &ProcessId, report: Report, sent: f64) -> bool {
+        let known = self.accounts.get(process).map(|account| account.number);
+        if report.base.is_some() && report.base != known {
             return false;
         }
-        if report.after.is_none() {
-            self.forget(who);
+        if report.base.is_none() {
+            self.forget(process);
         }
-        let account = self.accounts.entry(who.clone()).or_default();
+        let account = self.accounts.entry(process.clone()).or_default();
         account.heard = account.heard.max(sent);
         account.number = report.number;
         account.version = account.version.max(report.version);
@@ -61,18 +61,18 @@
             let place = self.places.entry(name.clone()).or_default();
             match line {
                 Some(line) => {
-                    if line.lags.is_some() {
+                    if line.lagging_version.is_some() {
                         account.lagging.insert(name.clone())
                     } else {
                         account.lagging.remove(&name)
                     };
                     account.nodes.insert(name, line);
-                    place.insert(who.clone());
+                    place.insert(process.clone());
                 }
                 None => {
                     account.lagging.remove(&name);
                     account.nodes.remove(&name);
-                    place.remove(who);
+                    place.remove(process);
                     if place.is_empty() {
                         self.places.remove(&name);
                     }
@@ -82,11 +82,11 @@
         true
     }
 
-    fn forget(&mut self, who: &Who) {
-        let Some(account) = self.accounts.remove(who) else { return };
+    fn forget(&mut self, process: &ProcessId) {
+        let Some(account) = self.accounts.remove(process) else { return };
         for name in account.nodes.keys() {
             let Some(place) = self.places.get_mut(name) else { continue };
-            place.remove(who);
+            place.remove(process);
             if place.is_empty() {
                 self.places.remove(name);
             }
@@ -95,42 +95,47 @@
 
     /// That life is over, for certain. What it began to serve without the voters' knowledge it can have only if it had not been
     /// answered for `alone`; if it was heard half that time ago there is nothing such.
-    pub fn ended(&mut self, who: &Who, times: &Times, now: f64) {
-        if let Some(account) = self.accounts.get_mut(who).filter(|account| account.ended.is_none()) {
-            account.ended = Some((now, now - account.heard < times.alone / 2.0));
+    pub fn ended(&mut self, process: &ProcessId, times: &Times, now: f64) {
+        if let Some(account) = self.accounts.get_mut(process).filter(|account| account.ended.is_none()) {
+            account.ended = Some((now, now - account.heard < times.isolated_after_ms / 2.0));
         }
     }
 
     /// Whoever has that name and another life is over: the name is one process's.
-    pub fn only_life(&mut self, who: &Who, times: &Times, now: f64) {
-        let others: Vec<Who> =
-            self.accounts.keys().filter(|one| one.name == who.name && *one != who).cloned().collect();
+    pub fn only_life(&mut self, process: &ProcessId, times: &Times, now: f64) {
+        let others: Vec<ProcessId> =
+            self.accounts.keys().filter(|one| one.name == process.name && *one != process).cloned().collect();
         others.iter().for_each(|other| self.ended(other, times, now));
     }
 
     /// Those that need not be waited for any more: ended or silent, and of their nodes none that is not known elsewhere, or
     /// too long ago.
-    pub fn over(&self, times: &Times, now: f64) -> Vec<Who> {
-        let over = |who: &Who, account: &Account| match account.ended {
-            None => now - account.heard >= times.silence,
+    pub fn over(&self, times: &Times, now: f64) -> Vec<ProcessId> {
+        let over = |process: &ProcessId, account: &Account| match account.ended {
+            None => now - account.heard >= times.gone_after_ms,
             Some((at, known)) => {
-                let moved = || account.nodes.iter().all(|(name, line)| self.is_superseded(who, name, line));
-                now - at >= times.silence || known && moved()
+                let moved =
+                    || account.nodes.iter().all(|(name, line)| self.is_superseded(process, name, line));
+                now - at >= times.gone_after_ms || known && moved()
             }
         };
-        self.accounts.iter().filter(|(who, account)| over(who, account)).map(|(who, _)| who.clone()).collect()
+        self.accounts
+            .iter()
+            .filter(|(process, account)| over(process, account))
+            .map(|(process, _)| process.clone())
+            .collect()
     }
 
-    pub fn remove(&mut self, who: &Who) {
-        self.forget(who);
+    pub fn remove(&mut self, process: &ProcessId) {
+        self.forget(process);
     }
 
-    pub fn knows(&self, who: &Who) -> bool {
-        self.accounts.contains_key(who)
+    pub fn knows(&self, process: &ProcessId) -> bool {
+        self.accounts.contains_key(process)
     }
 
-    pub fn version(&self, who: &Who) -> Option<u64> {
-        self.accounts.get(who).map(|account| account.version)
+    pub fn version(&self, process: &ProcessId) -> Option<u64> {
+        self.accounts.get(process).map(|account| account.version)
     }
 
     pub fn nodes(&self) -> usize {
@@ -138,14 +143,14 @@
     }
 
     /// Is there a later word on that node?
-    fn is_superseded(&self, who: &Who, name: &str, line: &Line) -> bool {
+    fn is_superseded(&self, process: &ProcessId, name: &str, line: &NodeStatus) -> bool {
         let Some(places) = self.places.get(name) else { return false };
-        let linked = |account: &Account, line: &Line| line.linked && account.ended.is_none();
-        let own = self.accounts.get(who).is_some_and(|account| linked(account, line));
-        places.iter().filter(|other| *other != who).any(|other| {
+        let linked = |account: &Account, line: &NodeStatus| line.linked && account.ended.is_none();
+        let own = self.accounts.get(process).is_some_and(|account| linked(account, line));
+        places.iter().filter(|other| *other != process).any(|other| {
             let Some(account) = self.accounts.get(other) else { return false };
             let Some(there) = account.nodes.get(name) else { return false };
-            if there.life == line.life {
+            if there.incarnation == line.incarnation {
                 there.session > line.session
             } else {
                 !own && linked(account, there)
@@ -154,15 +159,15 @@
     }
 
     /// All that is behind `version`, or holds the count; the furthest behind first.
-    fn behind(&self, version: u64) -> Vec<Lag> {
+    fn behind(&self, version: u64) -> Vec<LaggingProcess> {
         let mut all = Vec::new();
-        for (who, account) in &self.accounts {
+        for (process, account) in &self.accounts {
             let holds = !account.ended.is_some_and(|(_, known)| known);
             if holds && account.version < version {
                 let (node, refused, linked) = (None, None, account.ended.is_none());
-                all.push(Lag {
+                all.push(LaggingProcess {
                     node,
-                    distributor: who.name.clone(),
+                    distributor: process.name.clone(),
                     version: account.version,
                     refused,
                     linked,
@@ -174,11 +179,11 @@
                 if every { Box::new(account.nodes.keys()) } else { Box::new(account.lagging.iter()) };
             for name in names {
                 let Some(line) = account.nodes.get(name) else { continue };
-                let held = line.lags.unwrap_or(account.version);
-                if held < version && !self.is_superseded(who, name, line) {
-                    all.push(Lag {
+                let held = line.lagging_version.unwrap_or(account.version);
+                if held < version && !self.is_superseded(process, name, line) {
+                    all.push(LaggingProcess {
                         node: Some(name.clone()),
-                        distributor: who.name.clone(),
+                        distributor: process.name.clone(),
                         version: held,
                         refused: line.refused.clone(),
                         linked: line.linked && account.ended.is_none(),
@@ -191,7 +196,7 @@
     }
 
     /// The version that is in force everywhere, of all up to `version`; and those that lag, so many as are shown.
-    pub fn in_force(&self, version: u64) -> (u64, Vec<Lag>) {
+    pub fn in_force(&self, version: u64) -> (u64, Vec<LaggingProcess>) {
         let mut behind = self.behind(version);
         let least = behind.first().map_or(version, |lag| lag.version);
         behind.truncate(SHOWN);
--- a/crates/pearfront-distribute/src/times.rs
+++ b/crates/pearfront-distribute/src/times.rs
@@ -9,12 +9,12 @@
 /// Services; the target has 4,200.
 pub const MOST_SERVICES: usize = 16_384;
 /// Servers of one service; the largest of the target is taken to have 2,000.
-pub const MOST_SERVERS: usize = 8192;
+pub const MAX_SERVERS_PER_SERVICE: usize = 8192;
 /// Services and servers that one change set may name, and bytes that it may have: it is one entry of the log.
 pub const MOST_IN_SET: usize = 4096;
-pub const LONGEST_SET: usize = 192 * 1024;
+pub const MAX_CHANGE_SET_BYTES: usize = 192 * 1024;
 /// Services that one node may subscribe to; it calls tens.
-pub const MOST_INTERESTS: usize = 1024;
+pub const MAX_SUBSCRIBED_SERVICES: usize = 1024;
 /// Changes of a service's servers that are remembered, beside twice as many as it has: the way for deltas.
 pub const LEAST_REMEMBERED: usize = 256;
 /// Services that were removed, change sets that only narrow, and outcomes of changes that are remembered.
@@ -42,42 +42,42 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Times {
     /// Time between two beats on a link.
-    pub beat: f64,
+    pub heartbeat_ms: f64,
     /// A link that was silent for so long is doubted: the other is asked.
-    pub doubt: f64,
+    pub suspect_after_ms: f64,
     /// A link that was silent for so long is given up.
-    pub give_up: f64,
+    pub close_after_ms: f64,
     /// Longest pause by chance before the next link after one that failed; doubles with each up to the second.
-    pub pause: (f64, f64),
+    pub reconnect_pause_ms: (f64, f64),
     /// A distributor whose link failed is not chosen again for so long, if there is another; doubles up to the second.
-    pub avoid: (f64, f64),
+    pub avoid_ms: (f64, f64),
     /// Least time between two reports of a distributor.
-    pub report: f64,
+    pub report_interval_ms: f64,
     /// A distributor that the voters have not answered for so long serves new nodes without their knowledge.
-    pub alone: f64,
+    pub isolated_after_ms: f64,
     /// A node or distributor that was not heard for so long is held to be gone in the count of what is in force.
-    pub silence: f64,
+    pub gone_after_ms: f64,
     /// A node that has not heard for so long that what it has is the newest is careful.
-    pub careful: f64,
+    pub stale_after_ms: f64,
     /// Bytes a second that a distributor sends beside beats, and at once.
-    pub rate: f64,
-    pub burst: f64,
+    pub bytes_per_s: f64,
+    pub burst_bytes: f64,
 }
 
 impl Default for Times {
     fn default() -> Self {
         Self {
-            beat: 500.0,
-            doubt: 1000.0,
-            give_up: 2000.0,
-            pause: (200.0, 2000.0),
-            avoid: (5000.0, 60_000.0),
-            report: 200.0,
-            alone: 4000.0,
-            silence: 60_000.0,
-            careful: 10_000.0,
-            rate: 2_000_000.0,
-            burst: 256_000.0,
+            heartbeat_ms: 500.0,
+            suspect_after_ms: 1000.0,
+            close_after_ms: 2000.0,
+            reconnect_pause_ms: (200.0, 2000.0),
+            avoid_ms: (5000.0, 60_000.0),
+            report_interval_ms: 200.0,
+            isolated_after_ms: 4000.0,
+            gone_after_ms: 60_000.0,
+            stale_after_ms: 10_000.0,
+            bytes_per_s: 2_000_000.0,
+            burst_bytes: 256_000.0,
         }
     }
 }
--- a/crates/pearfront-distribute/tests/catalog.rs
+++ b/crates/pearfront-distribute/tests/catalog.rs
@@ -1,8 +1,8 @@
 //! The log's state machine: change sets whole or not at all, versions, retries, and what subscribers are sent of it.
 
 use pearfront_distribute::{
-    Applied, Catalog, ChangeSet, Command, LONGEST_SET, Outcome, Restricts, Server, Service, ServiceChange,
-    ServiceUpdate, State, parse,
+    Applied, Catalog, ChangeSet, Command, MAX_CHANGE_SET_BYTES, Outcome, RestrictionKind, Server,
+    ServerState, Service, ServiceChange, ServiceUpdate, parse,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use test_case::test_case;
@@ -35,12 +35,12 @@
     let mut after = before.clone();
     for (name, update) in update {
         match update {
-            ServiceUpdate::Whole(whole) => drop(after.insert(name, whole)),
-            ServiceUpdate::Gone => drop(after.remove(&name)),
+            ServiceUpdate::Full(whole) => drop(after.insert(name, whole)),
+            ServiceUpdate::Removed => drop(after.remove(&name)),
             ServiceUpdate::Changed { limit, settings, servers } => {
                 let service = after.get_mut(&name).expect("a service to change");
-                service.head.limit = limit.unwrap_or(service.head.limit);
-                service.head.settings = settings.unwrap_or(service.head.settings.clone());
+                service.options.limit = limit.unwrap_or(service.options.limit);
+                service.options.settings = settings.unwrap_or(service.options.settings.clone());
                 for (name, server) in servers {
                     match server {
                         Some(server) => drop(service.servers.insert(name, server)),
@@ -77,7 +77,7 @@
     assert_eq!(apply(&mut catalog, &write("x", 3)), Outcome::Accepted(2));
     let refused = Outcome::Refused("services.cart.expected is 1, and its version 2".into());
     assert_eq!(apply(&mut catalog, &write("y", 4)), refused);
-    assert_eq!(catalog.get("cart").unwrap().head.limit, Some(3));
+    assert_eq!(catalog.get("cart").unwrap().options.limit, Some(3));
 }
 
 #[test]
@@ -90,7 +90,7 @@
         Outcome::Accepted(3)
     );
     assert_eq!(apply(&mut catalog, &limit(4)), Outcome::Accepted(2));
-    assert_eq!((catalog.version(), catalog.get("cart").unwrap().head.limit), (3, Some(8)));
+    assert_eq!((catalog.version(), catalog.get("cart").unwrap().options.limit), (3, Some(8)));
     // Another one under that number is not it.
     assert_eq!(apply(&mut catalog, &limit(5)), Outcome::Refused("number is that of another change".into()));
     // Nor is one taken later that was refused.
@@ -117,9 +117,10 @@
 
 #[test]
 fn a_change_that_is_too_large_is_refused_before_the_log_and_on_it() {
-    let text = format!(r#"{{"number": "{}", "services": {{}}}}"#, "x".repeat(LONGEST_SET));
+    let text = format!(r#"{{"number": "{}", "services": {{}}}}"#, "x".repeat(MAX_CHANGE_SET_BYTES));
     assert!(parse(text.as_bytes()).unwrap_err().contains("not up to"));
-    let server = Server { address: "x".repeat(100), zone: String::new(), state: State::Serving, limit: None };
+    let server =
+        Server { address: "x".repeat(100), zone: String::new(), state: ServerState::Serving, limit: None };
     let servers = (0..4000).map(|place| (format!("a{place}"), Some(server.clone()))).collect();
     let change = ServiceChange { servers, ..ServiceChange::default() };
     let set = ChangeSet { number: "1".into(), services: BTreeMap::from([("cart".into(), change)]) };
@@ -168,13 +169,13 @@
     let mut catalog = cart();
     let set = parse(br#"{"number": "2", "services": {"cart": {"servers": {"a": null}}}}"#).unwrap();
     let mut follows = catalog.clone();
-    assert!(!follows.follow(set.clone(), 3) && follows.version() == 1);
-    assert!(follows.follow(set.clone(), 2));
+    assert!(!follows.apply_accepted(set.clone(), 3) && follows.version() == 1);
+    assert!(follows.apply_accepted(set.clone(), 2));
     catalog.apply(&Command::Change(set).encode());
     assert_eq!(follows.get("cart"), catalog.get("cart"));
     assert_eq!(
-        follows.update(&wants(&["cart"]), Some(1), &BTreeSet::new()),
-        catalog.update(&wants(&["cart"]), Some(1), &BTreeSet::new())
+        follows.updates_for(&wants(&["cart"]), Some(1), &BTreeSet::new()),
+        catalog.updates_for(&wants(&["cart"]), Some(1), &BTreeSet::new())
     );
 }
 
@@ -183,7 +184,7 @@
     let mut catalog = cart();
     let all = wants(&["cart", "user", "none"]);
     let none = BTreeSet::new();
-    let mut held = vec![(1, updated(&BTreeMap::new(), catalog.update(&all, None, &none)))];
+    let mut held = vec![(1, updated(&BTreeMap::new(), catalog.updates_for(&all, None, &none)))];
     for text in [
         r#"{"number": "2", "services": {"cart": {"servers": {"a": null}}}}"#,
         r#"{"number": "3", "services": {"cart": {"limit": null}, "user": {"servers": {"u": {"address": "1"}}}}}"#,
@@ -192,15 +193,19 @@
         r#"{"number": "6", "services": {"cart": {"servers": {"a": {"address": "5", "state": "draining"}}}}}"#,
     ] {
         let Outcome::Accepted(version) = apply(&mut catalog, text) else { panic!("{text}") };
-        let whole = updated(&BTreeMap::new(), catalog.update(&all, None, &none));
+        let whole = updated(&BTreeMap::new(), catalog.updates_for(&all, None, &none));
         for (from, had) in &held {
-            assert_eq!(updated(had, catalog.update(&all, Some(*from), &none)), whole, "{from} to {version}");
+            assert_eq!(
+                updated(had, catalog.updates_for(&all, Some(*from), &none)),
+                whole,
+                "{from} to {version}"
+            );
         }
         held.push((version, whole));
     }
-    assert_eq!(catalog.update(&all, Some(6), &none), BTreeMap::new());
+    assert_eq!(catalog.updates_for(&all, Some(6), &none), BTreeMap::new());
     // One server of two, and nothing else of the service.
-    let delta = catalog.update(&all, Some(5), &none);
+    let delta = catalog.updates_for(&all, Some(5), &none);
     assert!(
         matches!(&delta["cart"], ServiceUpdate::Changed { limit: None, settings: None, servers } if servers.len() == 1)
     );
@@ -219,20 +224,20 @@
         );
     }
     let (all, none) = (wants(&["cart", "user"]), BTreeSet::new());
-    assert!(catalog.needs_whole(&all, Some(2), &none));
-    let update = catalog.update(&all, Some(2), &none);
-    assert!(matches!(update["cart"], ServiceUpdate::Whole(_)) && !update.contains_key("user"));
-    assert!(!catalog.needs_whole(&all, Some(390), &none));
+    assert!(catalog.needs_full(&all, Some(2), &none));
+    let update = catalog.updates_for(&all, Some(2), &none);
+    assert!(matches!(update["cart"], ServiceUpdate::Full(_)) && !update.contains_key("user"));
+    assert!(!catalog.needs_full(&all, Some(390), &none));
     // Of one that is new to the subscriber it is whole, whatever version it has.
-    let fresh = BTreeSet::from(["user".to_string()]);
-    assert!(matches!(catalog.update(&all, Some(399), &fresh)["user"], ServiceUpdate::Whole(_)));
+    let new_services = BTreeSet::from(["user".to_string()]);
+    assert!(matches!(catalog.updates_for(&all, Some(399), &new_services)["user"], ServiceUpdate::Full(_)));
 }
 
-#[test_case(r#"{"cart": {"servers": {"a": null}}}"#, &[(Some("a"), Restricts::Gone)]; "gone")]
-#[test_case(r#"{"cart": {"servers": {"a": {"address": "127.0.0.1:1", "zone": "x", "state": "draining"}}}}"#, &[(Some("a"), Restricts::Drains)]; "drain")]
-#[test_case(r#"{"cart": {"servers": {"a": {"address": "127.0.0.1:1", "zone": "x", "limit": 3}}}}"#, &[(Some("a"), Restricts::Limit(3))]; "limit of a server")]
-#[test_case(r#"{"cart": {"limit": 3}}"#, &[(None, Restricts::Limit(3))]; "lower limit")]
-#[test_case(r#"{"cart": {"remove": true}}"#, &[(None, Restricts::Gone)]; "a service goes")]
+#[test_case(r#"{"cart": {"servers": {"a": null}}}"#, &[(Some("a"), RestrictionKind::Removed)]; "gone")]
+#[test_case(r#"{"cart": {"servers": {"a": {"address": "127.0.0.1:1", "zone": "x", "state": "draining"}}}}"#, &[(Some("a"), RestrictionKind::Drain)]; "drain")]
+#[test_case(r#"{"cart": {"servers": {"a": {"address": "127.0.0.1:1", "zone": "x", "limit": 3}}}}"#, &[(Some("a"), RestrictionKind::Limit(3))]; "limit of a server")]
+#[test_case(r#"{"cart": {"limit": 3}}"#, &[(None, RestrictionKind::Limit(3))]; "lower limit")]
+#[test_case(r#"{"cart": {"remove": true}}"#, &[(None, RestrictionKind::Removed)]; "a service goes")]
 #[test_case(r#"{"cart": {"limit": 12}}"#, &[]; "higher limit")]
 #[test_case(r#"{"cart": {"limit": null}}"#, &[]; "no limit")]
 #[test_case(r#"{"cart": {"settings": "b"}}"#, &[]; "settings")]
@@ -240,14 +245,14 @@
 #[test_case(r#"{"cart": {"servers": {"a": null}}, "user": {}}"#, &[]; "beside a new service")]
 fn only_a_set_that_does_nothing_but_narrow_may_go_ahead(
     services: &str,
-    wanted: &[(Option<&str>, Restricts)],
+    wanted: &[(Option<&str>, RestrictionKind)],
 ) {
     let mut catalog = cart();
     apply(&mut catalog, &format!(r#"{{"number": "2", "services": {services}}}"#));
     let found = catalog.restrictions(&BTreeSet::from(["cart".to_string()]), 1);
-    let found: Vec<_> = found.iter().map(|one| (one.server.as_deref(), one.what)).collect();
+    let found: Vec<_> = found.iter().map(|one| (one.server.as_deref(), one.kind)).collect();
     assert_eq!(found, wanted);
-    assert_eq!(catalog.is_narrowing(2), !wanted.is_empty());
+    assert_eq!(catalog.is_restricting(2), !wanted.is_empty());
     assert_eq!(catalog.restrictions(&BTreeSet::from(["user".to_string()]), 1), []);
 }
 
--- a/crates/pearfront-distribute/tests/distributor.rs
+++ b/crates/pearfront-distribute/tests/distributor.rs
@@ -1,8 +1,8 @@
 //! A distributor: one update under way to each node, the newest; what narrows first; a bounded rate; what the voters are told.
 
 use pearfront_distribute::{
-    Catalog, Command, Distributor, DistributorOut, FromVoter, Line, No, Peer, Report, Restricts, Times,
-    ToDistributor, ToSubscriber, ToVoter, Update, Who, decode, parse,
+    Catalog, Command, Distributor, DistributorAction, FromVoter, NodeStatus, Peer, ProcessId, Rejection,
+    Report, RestrictionKind, Times, ToDistributor, ToSubscriber, ToVoter, Update, decode, parse,
 };
 use std::collections::BTreeSet;
 
@@ -19,14 +19,14 @@
     beats: u64,
 }
 
-fn who(name: &str) -> Who {
-    Who { name: name.into(), life: 1 }
+fn process(name: &str) -> ProcessId {
+    ProcessId { name: name.into(), incarnation: 1 }
 }
 
 impl Rig {
     fn new(times: Times) -> Self {
         let voters = [Peer { name: "v1".into(), zone: "z1".into(), region: "r1".into() }];
-        let core = Distributor::new("shop", who("d1"), ("z1", "r1"), &voters, times, (1, 0.0));
+        let core = Distributor::new("shop", process("d1"), ("z1", "r1"), &voters, times, (1, 0.0));
         let (sent, reports, closed) = (Vec::new(), Vec::new(), Vec::new());
         let catalog = Catalog::default();
         Self { core, catalog, above: 0, sent, reports, closed, now: 0.0, answers: true, beats: 0 }
@@ -45,33 +45,37 @@
     }
 
     fn whole(&mut self) {
-        let message = FromVoter::Whole { catalog: self.catalog.encode() };
-        self.core.voter_heard(self.above, message, self.now);
+        let message = FromVoter::Snapshot { catalog: self.catalog.encode() };
+        self.core.receive_from_voter(self.above, message, self.now);
         self.out();
     }
 
     fn out(&mut self) {
         loop {
-            let out = self.core.take_out();
+            let out = self.core.take_actions();
             if out.is_empty() {
                 return;
             }
             for out in out {
                 match out {
-                    DistributorOut::OpenVoter { link, .. } => self.above = link,
-                    DistributorOut::SendVoter { message: ToVoter::Report(report), .. } => {
+                    DistributorAction::OpenVoter { link, .. } => self.above = link,
+                    DistributorAction::SendVoter { message: ToVoter::Report(report), .. } => {
                         let number = report.number;
                         self.reports.push(report);
                         if self.answers {
-                            self.core.voter_heard(self.above, FromVoter::ReportTaken { number }, self.now);
+                            self.core.receive_from_voter(
+                                self.above,
+                                FromVoter::ReportAccepted { number },
+                                self.now,
+                            );
                         }
                     }
-                    DistributorOut::Send { link, bytes, urgent } => {
+                    DistributorAction::Send { link, bytes, urgent } => {
                         let message = decode(&bytes).expect("a message");
                         self.sent.push((link, message, bytes.len(), urgent));
                     }
-                    DistributorOut::Close { link } => self.closed.push(link),
-                    DistributorOut::CloseVoter { .. } | DistributorOut::SendVoter { .. } => {}
+                    DistributorAction::Close { link } => self.closed.push(link),
+                    DistributorAction::CloseVoter { .. } | DistributorAction::SendVoter { .. } => {}
                 }
             }
         }
@@ -84,9 +88,9 @@
             if self.answers {
                 self.beats += 1;
                 let (number, version) = (self.beats, self.catalog.version());
-                self.core.voter_heard(
+                self.core.receive_from_voter(
                     self.above,
-                    FromVoter::Beat { number, version, in_force: None },
+                    FromVoter::Heartbeat { number, version, in_force: None },
                     self.now,
                 );
             }
@@ -100,26 +104,30 @@
         let set = parse(format!(r#"{{"number": "{number}", "services": {services}}}"#).as_bytes()).unwrap();
         self.catalog.apply(&Command::Change(set.clone()).encode());
         assert_eq!(self.catalog.version(), number);
-        self.core.voter_heard(self.above, FromVoter::Sets { to: number, sets: vec![set] }, self.now);
+        self.core.receive_from_voter(
+            self.above,
+            FromVoter::ChangeSets { to: number, sets: vec![set] },
+            self.now,
+        );
         self.out();
     }
 
     fn subscribe(&mut self, link: u64, name: &str, held: Option<u64>) {
-        let fresh = BTreeSet::from_iter(held.is_none().then(|| "cart".to_string()));
+        let new_services = BTreeSet::from_iter(held.is_none().then(|| "cart".to_string()));
         let services = vec!["cart".into()];
         let message = ToDistributor::Subscribe {
             installation: "shop".into(),
-            who: who(name),
+            process: process(name),
             session: 1,
             held,
             services,
-            fresh,
+            new_services,
         };
         self.say(link, message);
     }
 
     fn say(&mut self, link: u64, message: ToDistributor) {
-        self.core.heard(link, message, self.now);
+        self.core.receive(link, message, self.now);
         self.out();
     }
 
@@ -138,7 +146,7 @@
         self.say(link, ToDistributor::Acknowledge { session: 1, version });
     }
 
-    fn line(&self, node: &str) -> Option<Line> {
+    fn line(&self, node: &str) -> Option<NodeStatus> {
         self.reports.iter().rev().find_map(|report| report.nodes.get(node)).cloned().flatten()
     }
 }
@@ -171,18 +179,18 @@
     let [(1, ToSubscriber::Restrict { to: 4, all, .. }, _, true)] = &rig.sent[before..] else {
         panic!("{:?}", &rig.sent[before..])
     };
-    assert_eq!(all.iter().map(|one| one.what).collect::<Vec<_>>(), [Restricts::Drains]);
+    assert_eq!(all.iter().map(|one| one.kind).collect::<Vec<_>>(), [RestrictionKind::Drain]);
     // The next waits until that one is there, and says no more than is new.
     rig.commit(r#"{"cart": {"limit": 3}}"#);
     assert_eq!(rig.sent.len(), before + 1);
-    rig.say(1, ToDistributor::Restricted { session: 1, version: 4 });
+    rig.say(1, ToDistributor::AcknowledgeRestrictions { session: 1, version: 4 });
     let Some((1, ToSubscriber::Restrict { to: 5, all, .. }, ..)) = rig.sent.last() else { panic!() };
-    assert_eq!(all.iter().map(|one| one.what).collect::<Vec<_>>(), [Restricts::Limit(3)]);
+    assert_eq!(all.iter().map(|one| one.kind).collect::<Vec<_>>(), [RestrictionKind::Limit(3)]);
 }
 
 #[test]
 fn what_narrows_goes_first_where_the_pipe_is_full() {
-    let times = Times { rate: 1000.0, burst: 400.0, ..Times::default() };
+    let times = Times { bytes_per_s: 1000.0, burst_bytes: 400.0, ..Times::default() };
     let mut rig = Rig::fed(times);
     for node in 1..=30 {
         rig.subscribe(node, &format!("n{node}"), Some(1));
@@ -202,7 +210,7 @@
 
 #[test]
 fn those_who_hold_a_version_come_before_those_who_hold_none_and_all_at_a_bounded_rate() {
-    let times = Times { rate: 20_000.0, burst: 4000.0, ..Times::default() };
+    let times = Times { bytes_per_s: 20_000.0, burst_bytes: 4000.0, ..Times::default() };
     let mut rig = Rig::fed(times);
     rig.commit(&format!(r#"{{"cart": {{"settings": "{}"}}}}"#, "x".repeat(1000)));
     rig.commit(r#"{"cart": {"limit": 3}}"#);
@@ -230,7 +238,7 @@
             "{bytes} bytes after {step} steps"
         );
         new.iter().for_each(|link| rig.acknowledge(*link));
-        (1..=400).for_each(|node| rig.say(node, ToDistributor::Beat { session: 1 }));
+        (1..=400).for_each(|node| rig.say(node, ToDistributor::Heartbeat { session: 1 }));
     }
     let place = |node: u64| {
         rig.sent
@@ -249,25 +257,28 @@
     rig.subscribe(1, "n1", Some(9));
     assert!(matches!(
         rig.sent.last(),
-        Some((1, ToSubscriber::No { why: No::Behind { version: 1 }, .. }, ..))
+        Some((1, ToSubscriber::Rejected { reason: Rejection::Behind { version: 1 }, .. }, ..))
     ));
     let subscribe = ToDistributor::Subscribe {
         installation: "other".into(),
-        who: who("n2"),
+        process: process("n2"),
         session: 1,
         held: Some(1),
         services: Vec::new(),
-        fresh: BTreeSet::new(),
+        new_services: BTreeSet::new(),
     };
     rig.say(2, subscribe);
-    assert!(matches!(rig.sent.last(), Some((2, ToSubscriber::No { why: No::Installation, .. }, ..))));
-    assert_eq!(rig.core.linked(), 0);
+    assert!(matches!(
+        rig.sent.last(),
+        Some((2, ToSubscriber::Rejected { reason: Rejection::WrongInstallation, .. }, ..))
+    ));
+    assert_eq!(rig.core.connected_nodes(), 0);
     // One that has nothing itself serves nobody.
     let mut empty = Rig::new(Times::default());
     empty.subscribe(1, "n1", None);
     assert!(matches!(
         empty.sent.last(),
-        Some((1, ToSubscriber::No { why: No::Behind { version: 0 }, .. }, ..))
+        Some((1, ToSubscriber::Rejected { reason: Rejection::Behind { version: 0 }, .. }, ..))
     ));
 }
 
@@ -280,14 +291,14 @@
     rig.at(1000.0);
     assert_eq!(rig.updates(1).len(), 1, "what was refused is not sent again");
     let line = rig.line("n1").unwrap();
-    assert_eq!((line.lags, line.refused), (Some(1), Some((2, "settings: no".into()))));
-    rig.say(1, ToDistributor::Beat { session: 1 });
+    assert_eq!((line.lagging_version, line.refused), (Some(1), Some((2, "settings: no".into()))));
+    rig.say(1, ToDistributor::Heartbeat { session: 1 });
     rig.commit(r#"{"cart": {"settings": "good"}}"#);
     assert_eq!(rig.updates(1).last().map(|update| (update.from, update.to)), Some((Some(1), 3)));
     rig.acknowledge(1);
     rig.at(2000.0);
     let line = rig.line("n1").unwrap();
-    assert_eq!((line.lags, line.refused), (None, None));
+    assert_eq!((line.lagging_version, line.refused), (None, None));
 }
 
 #[test]
@@ -297,11 +308,11 @@
     (0..50).for_each(|n| rig.commit(&format!(r#"{{"other": {{"limit": {n}}}}}"#)));
     rig.at(600.0);
     assert!(rig.updates(1).is_empty());
-    let through = rig.sent.iter().rev().find_map(|(_, message, ..)| match message {
-        ToSubscriber::Beat { through, .. } => Some(*through),
+    let unchanged = rig.sent.iter().rev().find_map(|(_, message, ..)| match message {
+        ToSubscriber::Heartbeat { unchanged, .. } => Some(*unchanged),
         _ => None,
     });
-    assert_eq!(through, Some(Some((1, 51))));
+    assert_eq!(unchanged, Some(Some((1, 51))));
     rig.commit(r#"{"cart": {"limit": 1}}"#);
     assert_eq!(rig.updates(1).last().map(|update| (update.from, update.to)), Some((Some(51), 52)));
 }
@@ -312,14 +323,14 @@
     rig.answers = false;
     rig.subscribe(1, "n1", None);
     rig.at(1500.0);
-    rig.say(1, ToDistributor::Beat { session: 1 });
+    rig.say(1, ToDistributor::Heartbeat { session: 1 });
     rig.at(2500.0);
     assert!(rig.updates(1).is_empty());
-    rig.say(1, ToDistributor::Beat { session: 1 });
+    rig.say(1, ToDistributor::Heartbeat { session: 1 });
     // All voters gone: after the stated time it is served all the same.
     rig.at(3900.0);
     assert!(rig.updates(1).is_empty());
-    rig.say(1, ToDistributor::Beat { session: 1 });
+    rig.say(1, ToDistributor::Heartbeat { session: 1 });
     rig.at(5100.0);
     assert_eq!(rig.updates(1).len(), 1);
     assert!(rig.core.age(rig.now).is_some_and(|age| age > 5000.0));
@@ -327,13 +338,13 @@
 
 #[test]
 fn a_silent_node_is_lost_after_two_seconds_and_counts_until_it_is_gone() {
-    let mut rig = Rig::fed(Times { silence: 10_000.0, ..Times::default() });
+    let mut rig = Rig::fed(Times { gone_after_ms: 10_000.0, ..Times::default() });
     rig.subscribe(1, "n1", Some(1));
     rig.at(2600.0);
-    assert_eq!((rig.closed.as_slice(), rig.core.linked()), ([1].as_slice(), 0));
+    assert_eq!((rig.closed.as_slice(), rig.core.connected_nodes()), ([1].as_slice(), 0));
     rig.commit(r#"{"cart": {"limit": 1}}"#);
     rig.at(9000.0);
-    assert_eq!(rig.line("n1").map(|line| (line.linked, line.lags)), Some((false, Some(1))));
+    assert_eq!(rig.line("n1").map(|line| (line.linked, line.lagging_version)), Some((false, Some(1))));
     rig.at(13_500.0);
     assert_eq!(rig.reports.iter().rev().find_map(|report| report.nodes.get("n1")), Some(&None));
 }
--- a/crates/pearfront-distribute/tests/registry.rs
+++ b/crates/pearfront-distribute/tests/registry.rs
@@ -1,8 +1,8 @@
 //! The leader's side: distributors are fed without a gap, changes answered once, and what is in force is counted.
 
 use pearfront_distribute::{
-    Catalog, ChangeSet, FromVoter, Line, No, Outcome, Registry, RegistryOut, Report, Times, ToVoter, View,
-    Who, parse,
+    Catalog, ChangeSet, DistributionStatus, FromVoter, NodeStatus, Outcome, ProcessId, Registry,
+    RegistryAction, Rejection, Report, Times, ToVoter, parse,
 };
 use std::collections::BTreeMap;
 
@@ -14,8 +14,8 @@
     reports: BTreeMap<u64, u64>,
 }
 
-fn who(name: &str, life: u64) -> Who {
-    Who { name: name.into(), life }
+fn process(name: &str, incarnation: u64) -> ProcessId {
+    ProcessId { name: name.into(), incarnation }
 }
 
 fn set(number: &str, limit: u32) -> ChangeSet {
@@ -23,58 +23,64 @@
         .unwrap()
 }
 
-fn line(session: u64, lags: Option<u64>, linked: bool) -> Line {
-    Line { life: 1, session, lags, refused: None, linked }
+fn line(session: u64, lagging_version: Option<u64>, linked: bool) -> NodeStatus {
+    NodeStatus { incarnation: 1, session, lagging_version, refused: None, linked }
 }
 
 impl Rig {
     fn leading() -> Self {
         let mut core = Registry::new("shop", Times::default());
-        core.leads(Some(1), 0.0);
+        core.set_leading_term(Some(1), 0.0);
         Self { core, catalog: Catalog::default(), sent: Vec::new(), now: 0.0, reports: BTreeMap::new() }
     }
 
     /// Commits at once what is proposed.
     fn out(&mut self) {
         loop {
-            let out = self.core.take_out();
+            let out = self.core.take_actions();
             if out.is_empty() {
                 return;
             }
             for out in out {
                 match out {
-                    RegistryOut::Propose(bytes) => {
+                    RegistryAction::Propose(bytes) => {
                         let applied = self.catalog.apply(&bytes);
-                        self.core.applied(&bytes, &applied, &self.catalog);
+                        self.core.entry_applied(&bytes, &applied, &self.catalog);
                     }
-                    RegistryOut::Send { link, message } => self.sent.push((link, message)),
-                    RegistryOut::Close { .. } => {}
+                    RegistryAction::Send { link, message } => self.sent.push((link, message)),
+                    RegistryAction::Close { .. } => {}
                 }
             }
         }
     }
 
     fn hears(&mut self, link: u64, message: ToVoter) {
-        self.core.heard(link, message, None, &self.catalog, self.now);
+        self.core.receive(link, message, None, &self.catalog, self.now);
         self.out();
     }
 
-    fn follow(&mut self, link: u64, who: Who, version: Option<u64>) {
-        self.hears(link, ToVoter::Follow { installation: "shop".into(), who, version });
+    fn follow(&mut self, link: u64, process: ProcessId, version: Option<u64>) {
+        self.hears(link, ToVoter::Follow { installation: "shop".into(), process, version });
     }
 
-    fn report(&mut self, link: u64, version: u64, nodes: &[(&str, Option<Line>)]) {
-        let after = self.reports.get(&link).copied();
-        let number = after.unwrap_or(100 * link) + 1;
+    fn report(&mut self, link: u64, version: u64, nodes: &[(&str, Option<NodeStatus>)]) {
+        let base = self.reports.get(&link).copied();
+        let number = base.unwrap_or(100 * link) + 1;
         self.reports.insert(link, number);
-        let echo = self.sent.iter().rev().find_map(|(_, message)| match message {
-            FromVoter::Beat { number, .. } => Some(*number),
+        let heartbeat_echo = self.sent.iter().rev().find_map(|(_, message)| match message {
+            FromVoter::Heartbeat { number, .. } => Some(*number),
             _ => None,
         });
         let nodes = nodes.iter().map(|(name, line)| (name.to_string(), line.clone())).collect();
         self.hears(
             link,
-            ToVoter::Report(Report { number, after, echo: echo.unwrap_or_default(), version, nodes }),
+            ToVoter::Report(Report {
+                number,
+                base,
+                heartbeat_echo: heartbeat_echo.unwrap_or_default(),
+                version,
+                nodes,
+            }),
         );
     }
 
@@ -85,13 +91,13 @@
     }
 
     fn last(&self, link: u64) -> Option<&FromVoter> {
-        let beat = |message: &FromVoter| matches!(message, FromVoter::Beat { .. });
+        let beat = |message: &FromVoter| matches!(message, FromVoter::Heartbeat { .. });
         self.sent.iter().rev().find(|(to, message)| *to == link && !beat(message)).map(|(_, message)| message)
     }
 
-    fn view(&mut self) -> View {
-        self.hears(99, ToVoter::Look);
-        let Some(FromVoter::View(view)) = self.last(99) else { panic!() };
+    fn view(&mut self) -> DistributionStatus {
+        self.hears(99, ToVoter::QueryStatus);
+        let Some(FromVoter::Status(view)) = self.last(99) else { panic!() };
         view.clone()
     }
 
@@ -100,8 +106,8 @@
         let mut rig = Self::leading();
         rig.hears(50, ToVoter::Submit(set("1", 1)));
         for (link, name, node) in [(1, "d1", "n1"), (2, "d2", "n2")] {
-            rig.follow(link, who(name, 1), None);
-            rig.hears(link, ToVoter::Followed { version: 1 });
+            rig.follow(link, process(name, 1), None);
+            rig.hears(link, ToVoter::Acknowledge { version: 1 });
             rig.report(link, 1, &[(node, Some(line(1, None, true)))]);
         }
         rig.at(500.0);
@@ -114,19 +120,19 @@
 fn a_follower_gets_everything_then_what_came_since_one_message_at_a_time() {
     let mut rig = Rig::leading();
     rig.hears(50, ToVoter::Submit(set("1", 1)));
-    rig.follow(1, who("d1", 1), None);
-    assert!(matches!(rig.last(1), Some(FromVoter::Whole { .. })));
+    rig.follow(1, process("d1", 1), None);
+    assert!(matches!(rig.last(1), Some(FromVoter::Snapshot { .. })));
     (2..70).for_each(|n| rig.hears(50, ToVoter::Submit(set(&n.to_string(), n))));
-    assert!(matches!(rig.last(1), Some(FromVoter::Whole { .. })));
-    rig.hears(1, ToVoter::Followed { version: 1 });
-    assert!(matches!(rig.last(1), Some(FromVoter::Sets { to: 65, sets }) if sets.len() == 64));
-    rig.hears(1, ToVoter::Followed { version: 65 });
-    assert!(matches!(rig.last(1), Some(FromVoter::Sets { to: 69, sets }) if sets.len() == 4));
+    assert!(matches!(rig.last(1), Some(FromVoter::Snapshot { .. })));
+    rig.hears(1, ToVoter::Acknowledge { version: 1 });
+    assert!(matches!(rig.last(1), Some(FromVoter::ChangeSets { to: 65, sets }) if sets.len() == 64));
+    rig.hears(1, ToVoter::Acknowledge { version: 65 });
+    assert!(matches!(rig.last(1), Some(FromVoter::ChangeSets { to: 69, sets }) if sets.len() == 4));
     // One that comes back goes on where it was; one from the future is none of this log's.
-    rig.follow(2, who("d2", 1), Some(67));
-    assert!(matches!(rig.last(2), Some(FromVoter::Sets { to: 69, sets }) if sets.len() == 2));
-    rig.follow(3, who("d3", 1), Some(70));
-    assert_eq!(rig.last(3), Some(&FromVoter::No { why: No::Behind { version: 69 } }));
+    rig.follow(2, process("d2", 1), Some(67));
+    assert!(matches!(rig.last(2), Some(FromVoter::ChangeSets { to: 69, sets }) if sets.len() == 2));
+    rig.follow(3, process("d3", 1), Some(70));
+    assert_eq!(rig.last(3), Some(&FromVoter::Rejected { reason: Rejection::Behind { version: 69 } }));
 }
 
 #[test]
@@ -140,10 +146,10 @@
     assert!(matches!(rig.last(52), Some(FromVoter::Outcome { outcome: Outcome::Refused(_), .. })));
     assert_eq!(rig.catalog.version(), 1);
     // One that does not lead says so, and who does.
-    rig.core.leads(None, 1.0);
-    rig.core.heard(53, ToVoter::Submit(set("y", 1)), Some("v2"), &rig.catalog, 1.0);
+    rig.core.set_leading_term(None, 1.0);
+    rig.core.receive(53, ToVoter::Submit(set("y", 1)), Some("v2"), &rig.catalog, 1.0);
     rig.out();
-    assert_eq!(rig.last(53), Some(&FromVoter::Elsewhere { leader: Some("v2".into()) }));
+    assert_eq!(rig.last(53), Some(&FromVoter::NotLeader { leader: Some("v2".into()) }));
 }
 
 #[test]
@@ -155,7 +161,7 @@
     rig.at(1000.0);
     let view = rig.view();
     assert_eq!((view.version, view.in_force, view.nodes), (2, Some(1), 2));
-    assert_eq!(view.lags.iter().map(|lag| lag.node.as_deref()).collect::<Vec<_>>(), [Some("n2")]);
+    assert_eq!(view.lagging.iter().map(|lag| lag.node.as_deref()).collect::<Vec<_>>(), [Some("n2")]);
     rig.report(2, 2, &[("n2", Some(line(1, None, true)))]);
     rig.at(1500.0);
     assert_eq!(rig.view().in_force, Some(2));
@@ -187,19 +193,22 @@
 #[test]
 fn the_nodes_of_a_distributor_that_ended_count_until_they_are_elsewhere() {
     let mut rig = Rig::two();
-    rig.core.closed(1);
-    rig.core.ended(&who("d1", 1), 600.0);
+    rig.core.link_closed(1);
+    rig.core.distributor_ended(&process("d1", 1), 600.0);
     rig.hears(50, ToVoter::Submit(set("2", 2)));
     rig.report(2, 2, &[]);
     rig.at(1100.0);
     assert_eq!(rig.core.in_force(), Some(1));
     let view = rig.view();
-    assert_eq!((view.lags[0].node.as_deref(), view.lags[0].linked), (Some("n1"), false));
+    assert_eq!((view.lagging[0].node.as_deref(), view.lagging[0].linked), (Some("n1"), false));
     rig.report(2, 2, &[("n1", Some(line(2, None, true)))]);
     rig.at(1600.0);
     assert_eq!(rig.core.in_force(), Some(2));
     // The log names it no more.
-    assert_eq!(rig.catalog.distributors().iter().map(|who| who.name.as_str()).collect::<Vec<_>>(), ["d2"]);
+    assert_eq!(
+        rig.catalog.distributors().iter().map(|process| process.name.as_str()).collect::<Vec<_>>(),
+        ["d2"]
+    );
 }
 
 #[test]
@@ -210,7 +219,7 @@
         rig.at(500.0 * f64::from(step));
     }
     // It may have begun to serve others since it was heard last.
-    rig.core.ended(&who("d1", 1), rig.now);
+    rig.core.distributor_ended(&process("d1", 1), rig.now);
     rig.report(2, 1, &[("n1", Some(line(2, None, true)))]);
     rig.hears(50, ToVoter::Submit(set("2", 2)));
     rig.report(2, 2, &[]);
@@ -225,22 +234,28 @@
 #[test]
 fn a_new_leader_knows_nothing_until_all_have_told_it_all() {
     let mut rig = Rig::two();
-    rig.core.leads(None, 600.0);
-    rig.core.leads(Some(2), 700.0);
+    rig.core.set_leading_term(None, 600.0);
+    rig.core.set_leading_term(Some(2), 700.0);
     rig.at(1200.0);
     assert_eq!(rig.core.in_force(), None);
     rig.reports.clear();
-    rig.follow(1, who("d1", 1), Some(1));
+    rig.follow(1, process("d1", 1), Some(1));
     rig.report(1, 1, &[("n1", Some(line(1, None, true)))]);
     rig.at(1700.0);
     assert_eq!(rig.core.in_force(), None);
     // A part of what a former leader was told is no use to this one.
-    rig.follow(2, who("d2", 1), Some(1));
+    rig.follow(2, process("d2", 1), Some(1));
     rig.hears(
         2,
-        ToVoter::Report(Report { number: 9, after: Some(8), echo: 0, version: 1, nodes: BTreeMap::new() }),
+        ToVoter::Report(Report {
+            number: 9,
+            base: Some(8),
+            heartbeat_echo: 0,
+            version: 1,
+            nodes: BTreeMap::new(),
+        }),
     );
-    assert_eq!(rig.last(2), Some(&FromVoter::ReportAll));
+    assert_eq!(rig.last(2), Some(&FromVoter::FullReportNeeded));
     rig.report(2, 1, &[("n2", Some(line(1, None, true)))]);
     rig.at(2200.0);
     assert_eq!(rig.core.in_force(), Some(1));
--- a/crates/pearfront-distribute/tests/subscriber.rs
+++ b/crates/pearfront-distribute/tests/subscriber.rs
@@ -1,8 +1,9 @@
 //! A node's side: whole or not at all, no gap, nothing older, and whom it turns to.
 
 use pearfront_distribute::{
-    Config, Head, No, Peer, Restriction, Restricts, Server, Service, ServiceUpdate, State, Subscriber,
-    SubscriberOut, Times, ToDistributor, ToSubscriber, Update, Who, order,
+    Config, Peer, ProcessId, Rejection, Restriction, RestrictionKind, Server, ServerState, Service,
+    ServiceOptions, ServiceUpdate, Subscriber, SubscriberAction, Times, ToDistributor, ToSubscriber, Update,
+    rank_peers,
 };
 use std::collections::BTreeMap;
 
@@ -12,12 +13,16 @@
 
 fn service(limit: u32, servers: &[&str]) -> Service {
     let server = |name: &&str| {
-        let server =
-            Server { address: name.to_string(), zone: String::new(), state: State::Serving, limit: None };
+        let server = Server {
+            address: name.to_string(),
+            zone: String::new(),
+            state: ServerState::Serving,
+            limit: None,
+        };
         (name.to_string(), server)
     };
     Service {
-        head: Head { limit: Some(limit), settings: String::new() },
+        options: ServiceOptions { limit: Some(limit), settings: String::new() },
         servers: servers.iter().map(server).collect(),
     }
 }
@@ -34,7 +39,7 @@
 
 impl Node {
     fn new(interest: &[&str], distributors: &[Peer], seed: u64) -> Self {
-        let me = Who { name: "n1".into(), life: 1 };
+        let me = ProcessId { name: "n1".into(), incarnation: 1 };
         let interest = interest.iter().map(|name| name.to_string()).collect();
         let core =
             Subscriber::new("shop", me, ("z1", "r1"), distributors, interest, Times::default(), (seed, 0.0));
@@ -45,14 +50,14 @@
     }
 
     fn out(&mut self) {
-        for out in self.core.take_out() {
+        for out in self.core.take_actions() {
             match out {
-                SubscriberOut::Open { link, to } => {
+                SubscriberAction::Open { link, to } => {
                     self.opened.push((self.now, to.clone()));
                     (self.link, self.to) = (link, to);
                 }
-                SubscriberOut::Send { message, .. } => self.sent.push(message),
-                SubscriberOut::Close { link } => self.closed.push(link),
+                SubscriberAction::Send { message, .. } => self.sent.push(message),
+                SubscriberAction::Close { link } => self.closed.push(link),
             }
         }
     }
@@ -68,7 +73,7 @@
     }
 
     fn heard(&mut self, message: ToSubscriber) {
-        self.core.heard(self.link, message, self.now);
+        self.core.receive(self.link, message, self.now);
         self.out();
     }
 
@@ -79,7 +84,7 @@
     }
 
     fn take(&mut self) -> bool {
-        let taken = self.core.apply(|_| Ok(()));
+        let taken = self.core.apply_pending(|_| Ok(()));
         self.out();
         taken
     }
@@ -103,7 +108,7 @@
 
 fn at_7() -> Node {
     let mut node = Node::new(&["cart", "user"], &near(), 1);
-    node.update(None, 7, &[("cart", ServiceUpdate::Whole(service(5, &["a", "b"])))]);
+    node.update(None, 7, &[("cart", ServiceUpdate::Full(service(5, &["a", "b"])))]);
     assert!(node.version().is_none() && node.take());
     node
 }
@@ -111,7 +116,7 @@
 #[test]
 fn what_comes_is_in_force_only_when_the_node_takes_it_and_whole() {
     let mut node = at_7();
-    let both = [("cart", ServiceUpdate::Gone), ("user", ServiceUpdate::Whole(service(1, &["u"])))];
+    let both = [("cart", ServiceUpdate::Removed), ("user", ServiceUpdate::Full(service(1, &["u"])))];
     node.update(Some(7), 9, &both);
     let before = node.core.config().cloned();
     assert_eq!(before.as_ref().map(|config| config.version), Some(7));
@@ -125,13 +130,13 @@
 fn one_that_can_not_take_a_version_says_why_and_keeps_what_it_had() {
     let mut node = at_7();
     let before = node.core.config().cloned();
-    let both = [("cart", ServiceUpdate::Gone), ("user", ServiceUpdate::Whole(service(1, &["u"])))];
+    let both = [("cart", ServiceUpdate::Removed), ("user", ServiceUpdate::Full(service(1, &["u"])))];
     node.update(Some(7), 9, &both);
     let check = |config: &Config| match config.services.contains_key("user") {
         true => Err(format!("user.settings: {}", "é".repeat(300))),
         false => Ok(()),
     };
-    assert!(!node.core.apply(check));
+    assert!(!node.core.apply_pending(check));
     node.out();
     assert_eq!(node.core.config().cloned(), before);
     let Some(ToDistributor::Refuse { session: 1, version: 9, reason }) = node.sent.last() else { panic!() };
@@ -144,7 +149,7 @@
 #[test]
 fn a_gap_is_a_subscription_anew_and_never_a_guess() {
     let mut node = at_7();
-    node.update(Some(8), 9, &[("cart", ServiceUpdate::Gone)]);
+    node.update(Some(8), 9, &[("cart", ServiceUpdate::Removed)]);
     assert!(!node.take() && node.version() == Some(7));
     assert_eq!(node.subscribed(), [None, Some(7)]);
     // What was under way for the subscription before it is void.
@@ -156,9 +161,9 @@
 #[test]
 fn nothing_older_takes_the_place_of_what_was_in_force() {
     let mut node = at_7();
-    node.update(Some(7), 6, &[("cart", ServiceUpdate::Gone)]);
+    node.update(Some(7), 6, &[("cart", ServiceUpdate::Removed)]);
     assert!(!node.take() && node.version() == Some(7));
-    node.update(None, 9, &[("cart", ServiceUpdate::Gone)]);
+    node.update(None, 9, &[("cart", ServiceUpdate::Removed)]);
     assert!(!node.take() && node.version() == Some(7));
 }
 
@@ -166,14 +171,20 @@
 fn one_that_is_behind_the_node_is_left_for_the_next_and_nothing_is_lost() {
     let mut node = at_7();
     let first = node.to.clone();
-    node.heard(ToSubscriber::No { session: 1, why: No::Behind { version: 3 } });
-    assert_eq!((node.closed.len(), node.core.last_no.clone()), (1, Some(No::Behind { version: 3 })));
+    node.heard(ToSubscriber::Rejected { session: 1, reason: Rejection::Behind { version: 3 } });
+    assert_eq!(
+        (node.closed.len(), node.core.last_rejection.clone()),
+        (1, Some(Rejection::Behind { version: 3 }))
+    );
     node.at(300.0);
     assert!(node.to != first && node.version() == Some(7));
     assert_eq!(node.subscribed(), [None, Some(7)]);
     // So it is with another installation's.
-    node.heard(ToSubscriber::No { session: 2, why: No::Installation });
-    assert_eq!((node.version(), node.core.last_no.clone()), (Some(7), Some(No::Installation)));
+    node.heard(ToSubscriber::Rejected { session: 2, reason: Rejection::WrongInstallation });
+    assert_eq!(
+        (node.version(), node.core.last_rejection.clone()),
+        (Some(7), Some(Rejection::WrongInstallation))
+    );
 }
 
 #[test]
@@ -181,16 +192,16 @@
     let mut node = at_7();
     assert_eq!(node.to, "d1");
     node.at(999.0);
-    assert_eq!(node.core.source(node.now), Some("d1"));
+    assert_eq!(node.core.current_distributor(node.now), Some("d1"));
     node.at(1001.0);
-    assert_eq!((node.core.source(node.now), node.closed.len()), (None, 0));
+    assert_eq!((node.core.current_distributor(node.now), node.closed.len()), (None, 0));
     node.at(2201.0);
     assert_eq!((node.to.as_str(), node.closed.len()), ("d2", 1));
     // A late word over the old link is nobody's.
-    node.core.heard(1, ToSubscriber::No { session: 2, why: No::Full }, node.now);
+    node.core.receive(1, ToSubscriber::Rejected { session: 2, reason: Rejection::Full }, node.now);
     node.out();
     assert_eq!(node.closed.len(), 1);
-    node.heard(ToSubscriber::Beat { session: 2, through: Some((7, 8)), age: 0.0 });
+    node.heard(ToSubscriber::Heartbeat { session: 2, unchanged: Some((7, 8)), age: 0.0 });
     assert_eq!(node.version(), Some(8));
 }
 
@@ -201,7 +212,7 @@
     node.at(600_000.0);
     assert_eq!(node.core.config().cloned(), before);
     assert_eq!(node.core.age(node.now), Some(600_000.0));
-    assert!(node.core.is_careful(node.now));
+    assert!(node.core.is_stale(node.now));
     // It asks all of them, and ever less often: pauses by chance of up to 2 s beside 2 s of silence.
     let all: Vec<&str> = node.opened.iter().map(|(_, to)| to.as_str()).collect();
     assert!(["d1", "d2", "d3"].iter().all(|name| all.contains(name)));
@@ -210,15 +221,19 @@
     while node.closed.contains(&node.link) {
         node.at(node.now + 100.0);
     }
-    node.heard(ToSubscriber::Beat { session: node.core.session(), through: Some((7, 7)), age: 5000.0 });
-    assert_eq!((node.core.age(node.now), node.core.is_careful(node.now)), (Some(5000.0), false));
+    node.heard(ToSubscriber::Heartbeat {
+        session: node.core.session(),
+        unchanged: Some((7, 7)),
+        age: 5000.0,
+    });
+    assert_eq!((node.core.age(node.now), node.core.is_stale(node.now)), (Some(5000.0), false));
 }
 
 #[test]
 fn those_who_lost_the_same_one_come_back_spread_over_the_pause() {
     let first = |seed: u64| {
         let mut node = Node::new(&["cart"], &near(), seed);
-        node.core.closed(1, 100.0);
+        node.core.link_closed(1, 100.0);
         node.now = 100.0;
         node.at(400.0);
         node.opened[1].0 - 100.0
@@ -231,51 +246,58 @@
 #[test]
 fn what_narrows_is_in_force_at_once_and_goes_with_the_update_that_holds_it() {
     let mut node = at_7();
-    let one = |server: Option<&str>, what| Restriction {
+    let one = |server: Option<&str>, kind| Restriction {
         service: "cart".into(),
         server: server.map(str::to_string),
-        what,
+        kind,
     };
     let all = vec![
-        one(Some("a"), Restricts::Drains),
-        one(Some("b"), Restricts::Gone),
-        one(None, Restricts::Limit(9)),
+        one(Some("a"), RestrictionKind::Drain),
+        one(Some("b"), RestrictionKind::Removed),
+        one(None, RestrictionKind::Limit(9)),
     ];
     node.heard(ToSubscriber::Restrict { session: 1, to: 9, all });
-    assert_eq!(node.sent.last(), Some(&ToDistributor::Restricted { session: 1, version: 9 }));
+    assert_eq!(node.sent.last(), Some(&ToDistributor::AcknowledgeRestrictions { session: 1, version: 9 }));
     let cart = node.core.service("cart").unwrap();
-    assert_eq!((cart.servers["a"].state, cart.servers.len(), cart.head.limit), (State::Draining, 1, Some(5)));
+    assert_eq!(
+        (cart.servers["a"].state, cart.servers.len(), cart.options.limit),
+        (ServerState::Draining, 1, Some(5))
+    );
     // What is in force whole is the version before, as it was committed.
     assert_eq!(node.core.config().unwrap().services["cart"], service(5, &["a", "b"]));
     // It stays while another distributor leads up to less, and is over with what holds it.
     node.update(Some(7), 8, &[]);
     assert!(node.take());
     assert_eq!(node.core.service("cart").unwrap().servers.len(), 1);
-    node.update(Some(8), 9, &[("cart", ServiceUpdate::Whole(service(9, &["b"])))]);
+    node.update(Some(8), 9, &[("cart", ServiceUpdate::Full(service(9, &["b"])))]);
     assert!(node.take() && node.core.restrictions().is_empty());
     assert_eq!(node.core.service("cart"), Some(service(9, &["b"])));
     // One that comes late says nothing new.
-    node.heard(ToSubscriber::Restrict { session: 1, to: 9, all: vec![one(None, Restricts::Gone)] });
+    node.heard(ToSubscriber::Restrict { session: 1, to: 9, all: vec![one(None, RestrictionKind::Removed)] });
     assert_eq!(node.core.service("cart"), Some(service(9, &["b"])));
 }
 
 #[test]
 fn services_that_are_new_to_it_are_fresh_until_they_came_and_others_go_at_once() {
     let mut node = at_7();
-    node.core.set_interest(vec!["user".into(), "pay".into()]);
+    node.core.set_services(vec!["user".into(), "pay".into()]);
     node.out();
-    let Some(ToDistributor::Subscribe { held: Some(7), services, fresh, .. }) = node.sent.last() else {
+    let Some(ToDistributor::Subscribe { held: Some(7), services, new_services, .. }) = node.sent.last()
+    else {
         panic!()
     };
-    assert_eq!((services.len(), fresh.iter().map(String::as_str).collect::<Vec<_>>()), (2, vec!["pay"]));
+    assert_eq!(
+        (services.len(), new_services.iter().map(String::as_str).collect::<Vec<_>>()),
+        (2, vec!["pay"])
+    );
     assert!(node.core.config().unwrap().services.is_empty());
     // A beat does not make it whole.
-    node.heard(ToSubscriber::Beat { session: 2, through: Some((7, 9)), age: 0.0 });
+    node.heard(ToSubscriber::Heartbeat { session: 2, unchanged: Some((7, 9)), age: 0.0 });
     assert_eq!(node.version(), Some(7));
     node.update(
         Some(7),
         9,
-        &[("pay", ServiceUpdate::Whole(service(1, &["p"]))), ("cart", ServiceUpdate::Gone)],
+        &[("pay", ServiceUpdate::Full(service(1, &["p"]))), ("cart", ServiceUpdate::Removed)],
     );
     assert!(node.take());
     assert_eq!(node.core.config().unwrap().services.keys().collect::<Vec<_>>(), ["pay"]);
@@ -285,7 +307,8 @@
 fn the_nearest_are_first_and_the_loss_of_one_moves_only_its_own() {
     let peers: Vec<Peer> =
         (0..9).map(|n| peer(&format!("d{n}"), &format!("z{}", n % 3), &format!("r{}", n / 3))).collect();
-    let first = |node: usize, peers: &[Peer]| order(&format!("n{node}"), "z1", "r1", peers)[0].name.clone();
+    let first =
+        |node: usize, peers: &[Peer]| rank_peers(&format!("n{node}"), "z1", "r1", peers)[0].name.clone();
     assert!((0..100).all(|node| first(node, &peers) == "d4"));
     let zone: Vec<Peer> = (0..10).map(|n| peer(&format!("d{n}"), "z1", "r1")).collect();
     let without: Vec<Peer> = zone.iter().filter(|peer| peer.name != "d3").cloned().collect();
--- a/crates/pearfront-distribute/tests/wire.rs
+++ b/crates/pearfront-distribute/tests/wire.rs
@@ -1,16 +1,18 @@
 //! Messages come back whole or not at all, and in pieces as they were.
 
-use pearfront_distribute::{Assembler, ToDistributor, ToSubscriber, Who, decode, encode, split};
+use pearfront_distribute::{
+    FrameAssembler, ProcessId, ToDistributor, ToSubscriber, decode, encode, split_frames,
+};
 use std::collections::BTreeSet;
 
 fn subscribe() -> ToDistributor {
     ToDistributor::Subscribe {
         installation: "shop".into(),
-        who: Who { name: "n1".into(), life: 7 },
+        process: ProcessId { name: "n1".into(), incarnation: 7 },
         session: 1,
         held: Some(4),
         services: vec!["cart".into(), "user".into()],
-        fresh: BTreeSet::from(["user".to_string()]),
+        new_services: BTreeSet::from(["user".to_string()]),
     }
 }
 
@@ -28,28 +30,29 @@
 
 #[test]
 fn what_is_out_of_bounds_is_not_taken() {
-    let ToDistributor::Subscribe { installation, who, session, held, fresh, .. } = subscribe() else {
+    let ToDistributor::Subscribe { installation, process, session, held, new_services, .. } = subscribe()
+    else {
         panic!()
     };
     let services = vec!["cart".to_string(); 1025];
-    let many = ToDistributor::Subscribe { installation, who, session, held, services, fresh };
+    let many = ToDistributor::Subscribe { installation, process, session, held, services, new_services };
     assert_eq!(decode::<ToDistributor>(&encode(&many)), None);
     let long = ToDistributor::Refuse { session: 1, version: 1, reason: "x".repeat(257) };
     assert_eq!(decode::<ToDistributor>(&encode(&long)), None);
-    let beat = ToSubscriber::Beat { session: 1, through: None, age: f64::NAN };
+    let beat = ToSubscriber::Heartbeat { session: 1, unchanged: None, age: f64::NAN };
     assert_eq!(decode::<ToSubscriber>(&encode(&beat)), None);
 }
 
 #[test]
 fn a_message_in_pieces_is_put_together_again() {
-    let mut lane = Assembler::default();
+    let mut lane = FrameAssembler::default();
     for length in [0_usize, 1, 16 * 1024, 16 * 1024 + 1, 100_000] {
         let message: Vec<u8> = (0..length).map(|place| place as u8).collect();
-        let frames = split(&message);
+        let frames = split_frames(&message);
         assert_eq!(frames.len(), length.div_ceil(16 * 1024).max(1));
         let (last, first) = frames.split_last().unwrap();
-        assert!(first.iter().all(|frame| lane.take(frame) == Ok(None)));
-        assert_eq!(lane.take(last), Ok(Some(message)));
+        assert!(first.iter().all(|frame| lane.push(frame) == Ok(None)));
+        assert_eq!(lane.push(last), Ok(Some(message)));
     }
-    assert!(lane.take(&[]).is_err() && lane.take(&[7, 1]).is_err());
+    assert!(lane.push(&[]).is_err() && lane.push(&[7, 1]).is_err());
 }
--- a/crates/pearfront-emulator/benches/distribute.rs
+++ b/crates/pearfront-emulator/benches/distribute.rs
@@ -2,8 +2,8 @@
 //! by services called; one thread, links at once. `make bench-distribute`. One line a point, for slopes.
 
 use pearfront_distribute::{
-    Catalog, ChangeSet, Command, Distributor, DistributorOut, FromVoter, Peer, Subscriber, SubscriberOut,
-    Times, ToSubscriber, ToVoter, Who, decode, encode, parse,
+    Catalog, ChangeSet, Command, Distributor, DistributorAction, FromVoter, Peer, ProcessId, Subscriber,
+    SubscriberAction, Times, ToSubscriber, ToVoter, decode, encode, parse,
 };
 use std::time::{Duration, Instant};
 
@@ -31,9 +31,9 @@
 
 impl World {
     fn new(subscribers: usize, servers_of_each: usize, services: usize) -> Self {
-        let times = Times { rate: 1e12, burst: 1e12, ..Times::default() };
+        let times = Times { bytes_per_s: 1e12, burst_bytes: 1e12, ..Times::default() };
         let peer = |name: &str| [Peer { name: name.into(), zone: String::new(), region: String::new() }];
-        let who = |name: String| Who { name, life: 1 };
+        let who = |name: String| ProcessId { name, incarnation: 1 };
         let distributor = Distributor::new("shop", who("d".into()), ("", ""), &peer("v"), times, (1, 0.0));
         let interest: Vec<String> = (0..services).map(|n| format!("s{n}")).collect();
         let node = |n: usize| {
@@ -58,7 +58,11 @@
                 catalog.apply(&Command::Change(set(catalog.version() + 1, &text)).encode());
             }
         }
-        world.distributor.voter_heard(world.above, FromVoter::Whole { catalog: catalog.encode() }, 1.0);
+        world.distributor.receive_from_voter(
+            world.above,
+            FromVoter::Snapshot { catalog: catalog.encode() },
+            1.0,
+        );
         world.settle(1.0);
         world.nodes.iter_mut().for_each(|node| node.tick(2.0));
         world.settle(2.0);
@@ -75,31 +79,35 @@
         loop {
             let started = Instant::now();
             let mut idle = true;
-            for out in self.distributor.take_out() {
+            for out in self.distributor.take_actions() {
                 idle = false;
                 match out {
-                    DistributorOut::OpenVoter { link, .. } => self.above = link,
-                    DistributorOut::SendVoter { message: ToVoter::Report(report), .. } => {
+                    DistributorAction::OpenVoter { link, .. } => self.above = link,
+                    DistributorAction::SendVoter { message: ToVoter::Report(report), .. } => {
                         let number = report.number;
-                        self.distributor.voter_heard(self.above, FromVoter::ReportTaken { number }, now);
+                        self.distributor.receive_from_voter(
+                            self.above,
+                            FromVoter::ReportAccepted { number },
+                            now,
+                        );
                     }
-                    DistributorOut::Send { link, bytes, .. } => {
+                    DistributorAction::Send { link, bytes, .. } => {
                         self.bytes.0 += bytes.len() as u64;
                         let started = Instant::now();
                         let message: ToSubscriber = decode(&bytes).expect("a message");
-                        self.nodes[link as usize].heard(1, message, now);
-                        self.nodes[link as usize].apply(|_| Ok(()));
+                        self.nodes[link as usize].receive(1, message, now);
+                        self.nodes[link as usize].apply_pending(|_| Ok(()));
                         self.spent.1 += started.elapsed();
                     }
                     _ => {}
                 }
             }
             for at in 0..self.nodes.len() {
-                for out in self.nodes[at].take_out() {
+                for out in self.nodes[at].take_actions() {
                     idle = false;
-                    if let SubscriberOut::Send { message, .. } = out {
+                    if let SubscriberAction::Send { message, .. } = out {
                         self.bytes.1 += encode(&message).len() as u64;
-                        self.distributor.heard(at as u64, message, now);
+                        self.distributor.receive(at as u64, message, now);
                     }
                 }
             }
@@ -118,7 +126,7 @@
             let sets = vec![set(version, &text)];
             let now = 1000.0 + n as f64;
             let started = Instant::now();
-            self.distributor.voter_heard(self.above, FromVoter::Sets { to: version, sets }, now);
+            self.distributor.receive_from_voter(self.above, FromVoter::ChangeSets { to: version, sets }, now);
             self.spent.0 += started.elapsed();
             self.settle(now);
         }
--- a/crates/pearfront-emulator/src/cores/distribute.rs
+++ b/crates/pearfront-emulator/src/cores/distribute.rs
@@ -6,9 +6,9 @@
 use crate::agenda::Agenda;
 use pearfront_consensus::{Entry, Kept, Message, Out, Record, Voter, recover};
 use pearfront_distribute::{
-    Catalog, ChangeSet, Config, Distributor, DistributorOut, FromVoter, Outcome, Peer, Registry, RegistryOut,
-    Server, Service, ServiceChange, State, Subscriber, SubscriberOut, Times, ToDistributor, ToSubscriber,
-    ToVoter, Who, decode, encode,
+    Catalog, ChangeSet, Config, Distributor, DistributorAction, FromVoter, Outcome, Peer, ProcessId,
+    Registry, RegistryAction, Server, ServerState, Service, ServiceChange, Subscriber, SubscriberAction,
+    Times, ToDistributor, ToSubscriber, ToVoter, decode, encode,
 };
 use rand::prelude::{IndexedRandom, Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -99,7 +99,7 @@
         };
         let loss = 0.001;
         let (refusals, services, interest) = (false, 60, 10);
-        let silence = Times::default().silence;
+        let silence = Times::default().gone_after_ms;
         Self {
             voters: 5,
             distributors,
@@ -201,7 +201,7 @@
     Heal(u64),
     Script(u32),
     Proof {
-        of: Who,
+        of: ProcessId,
     },
     Resume {
         who: usize,
@@ -293,8 +293,8 @@
     pub findings: Findings,
 }
 
-fn who(place: &Place) -> Who {
-    Who { name: place.name.clone(), life: place.life }
+fn who(place: &Place) -> ProcessId {
+    ProcessId { name: place.name.clone(), incarnation: place.life }
 }
 
 impl World {
@@ -329,7 +329,7 @@
         let places = (0..count).map(place).collect();
         let writer = |to| Writer { set: None, link: None, attempt: 0, to, count: 0 };
         let mut world = Self {
-            times: Times { silence: plan.silence, ..Times::default() },
+            times: Times { gone_after_ms: plan.silence, ..Times::default() },
             places,
             links: BTreeMap::new(),
             link_number: 0,
@@ -516,21 +516,21 @@
             let out = seat.voter.take_out();
             let term = seat.voter.settled().then(|| seat.voter.term());
             if out.is_empty() {
-                seat.registry.leads(term, now);
+                seat.registry.set_leading_term(term, now);
             }
-            let above = if out.is_empty() { seat.registry.take_out() } else { Vec::new() };
+            let above = if out.is_empty() { seat.registry.take_actions() } else { Vec::new() };
             if out.is_empty() && above.is_empty() {
                 break;
             }
             out.into_iter().for_each(|out| self.carry(at, out));
             for out in above {
                 match out {
-                    RegistryOut::Propose(bytes) => {
+                    RegistryAction::Propose(bytes) => {
                         let Core::Voter(seat) = &mut self.places[at].core else { return };
                         seat.voter.propose(bytes, now);
                     }
-                    RegistryOut::Send { link, message } => self.send(link, false, false, encode(&message)),
-                    RegistryOut::Close { link } => self.close(link, false),
+                    RegistryAction::Send { link, message } => self.send(link, false, false, encode(&message)),
+                    RegistryAction::Close { link } => self.close(link, false),
                 }
             }
         }
@@ -571,7 +571,7 @@
                 let Core::Voter(seat) = &mut self.places[at].core else { return };
                 seat.catalog = Catalog::decode(&bytes).unwrap_or_default();
                 (seat.applied, seat.snapshot_at) = (index, index);
-                seat.registry.restored();
+                seat.registry.snapshot_restored();
             }
             Out::Read { .. } | Out::NoRead { .. } => {}
         }
@@ -593,7 +593,7 @@
         }
         let Core::Voter(seat) = &mut self.places[at].core else { return };
         let applied = seat.catalog.apply(&entry.bytes);
-        seat.registry.applied(&entry.bytes, &applied, &seat.catalog);
+        seat.registry.entry_applied(&entry.bytes, &applied, &seat.catalog);
         seat.applied = entry.index;
         if entry.index >= seat.snapshot_at + SNAPSHOT {
             seat.snapshot_at = entry.index;
@@ -604,12 +604,12 @@
 
     fn settle_distributor(&mut self, at: usize) {
         let Core::Distributor(core) = &mut self.places[at].core else { return };
-        for out in core.take_out() {
+        for out in core.take_actions() {
             match out {
-                DistributorOut::OpenVoter { link, to } => self.open(at, link, &to),
-                DistributorOut::SendVoter { link, message } => self.send_up(at, link, encode(&message)),
-                DistributorOut::CloseVoter { link } => self.close_own(at, link),
-                DistributorOut::Send { link, bytes, urgent } => {
+                DistributorAction::OpenVoter { link, to } => self.open(at, link, &to),
+                DistributorAction::SendVoter { link, message } => self.send_up(at, link, encode(&message)),
+                DistributorAction::CloseVoter { link } => self.close_own(at, link),
+                DistributorAction::Send { link, bytes, urgent } => {
                     *self.places[at].bytes.entry((self.now / 1000.0) as u64).or_default() +=
                         bytes.len() as u64;
                     if let Some(one) = self.links.get(&link) {
@@ -623,7 +623,7 @@
                     }
                     self.send(link, false, urgent, bytes);
                 }
-                DistributorOut::Close { link } => self.close(link, false),
+                DistributorAction::Close { link } => self.close(link, false),
             }
         }
     }
@@ -633,14 +633,14 @@
         let Core::Node(core) = &mut self.places[at].core else { return };
         let before = core.config().map(|config| config.version);
         let check = |config: &Config| {
-            let bad = config.services.iter().find(|(_, service)| service.head.settings == "bad");
+            let bad = config.services.iter().find(|(_, service)| service.options.settings == "bad");
             bad.filter(|_| refuses).map_or(Ok(()), |(name, _)| Err(format!("services.{name}.settings: bad")))
         };
-        let coming = core.has_coming();
-        if coming && !core.apply(check) {
+        let coming = core.has_pending_update();
+        if coming && !core.apply_pending(check) {
             self.findings.node_refusals += 1;
         }
-        let out = core.take_out();
+        let out = core.take_actions();
         let version = core.config().map(|config| config.version);
         if version != before
             && let Some(version) = version
@@ -654,9 +654,9 @@
         }
         for out in out {
             match out {
-                SubscriberOut::Open { link, to } => self.open(at, link, &to),
-                SubscriberOut::Send { link, message } => self.send_up(at, link, encode(&message)),
-                SubscriberOut::Close { link } => self.close_own(at, link),
+                SubscriberAction::Open { link, to } => self.open(at, link, &to),
+                SubscriberAction::Send { link, message } => self.send_up(at, link, encode(&message)),
+                SubscriberAction::Close { link } => self.close_own(at, link),
             }
         }
         self.look_at_node(at);
@@ -710,7 +710,7 @@
         let Core::Node(core) = &place.core else { return };
         let Some(config) = core.config() else { return };
         let gone = self.apart.is_some_and(|(since, region)| {
-            region == place.region && self.now >= since + 0.9 * self.times.silence
+            region == place.region && self.now >= since + 0.9 * self.times.gone_after_ms
         });
         let behind = (config.version + 1..=self.stated).find(|v| {
             let touched = &self.history[*v as usize].2;
@@ -824,17 +824,17 @@
             Core::Voter(seat) => {
                 let leader = seat.voter.leader().map(str::to_string);
                 let Some(message) = decode::<ToVoter>(&bytes) else { return };
-                seat.registry.heard(link, message, leader.as_deref(), &seat.catalog, now);
+                seat.registry.receive(link, message, leader.as_deref(), &seat.catalog, now);
             }
             Core::Distributor(core) if up => {
                 let Some(message) = decode::<ToDistributor>(&bytes) else { return };
-                core.heard(link, message, now);
+                core.receive(link, message, now);
                 self.findings.spent_distributors += started.elapsed();
                 self.findings.node_bytes += bytes.len() as f64;
             }
             Core::Distributor(core) => {
                 let Some(message) = decode::<FromVoter>(&bytes) else { return };
-                core.voter_heard(number, message, now);
+                core.receive_from_voter(number, message, now);
                 self.findings.spent_distributors += started.elapsed();
             }
             Core::Node(core) => {
@@ -847,7 +847,7 @@
                     ToSubscriber::Restrict { .. } => self.findings.restricts += 1,
                     _ => {}
                 }
-                core.heard(number, message, now);
+                core.receive(number, message, now);
                 self.findings.spent_nodes += started.elapsed();
                 self.findings.node_bytes += bytes.len() as f64;
                 *place.bytes.entry((now / 1000.0) as u64).or_default() += bytes.len() as u64;
@@ -876,10 +876,10 @@
         }
         match &mut self.places[to].core {
             Core::Down => {}
-            Core::Voter(seat) => seat.registry.closed(link),
-            Core::Distributor(core) if up => core.closed(link, now),
-            Core::Distributor(core) => core.voter_closed(one.number, now),
-            Core::Node(core) => core.closed(one.number, now),
+            Core::Voter(seat) => seat.registry.link_closed(link),
+            Core::Distributor(core) if up => core.link_closed(link, now),
+            Core::Distributor(core) => core.voter_link_closed(one.number, now),
+            Core::Node(core) => core.link_closed(one.number, now),
         }
         self.settle(to);
     }
@@ -921,19 +921,26 @@
                     let bad = self.plan.refusals && !self.is_quiet() && self.chance.random_range(0..10) == 0;
                     change.settings = Some(if bad { "bad".into() } else { format!("good {number}") });
                 }
-                (3, Some(service)) if service.head.settings == "bad" => change.settings = Some(String::new()),
+                (3, Some(service)) if service.options.settings == "bad" => {
+                    change.settings = Some(String::new())
+                }
                 (_, service) => {
                     let server = format!("{name}-{}", self.chance.random_range(0..self.plan.servers));
                     let was = service.as_ref().and_then(|service| service.servers.get(&server)).cloned();
                     let next = match (was, self.chance.random_range(0..3)) {
                         (Some(_), 0) => None,
-                        (Some(was), 1) => Some(Server { state: State::Draining, ..was }),
+                        (Some(was), 1) => Some(Server { state: ServerState::Draining, ..was }),
                         (Some(was), _) => {
                             Some(Server { limit: Some(self.chance.random_range(1..50)), ..was })
                         }
                         (None, _) => {
                             let address = format!("127.0.0.1:{}", self.chance.random_range(1024..65_535));
-                            Some(Server { address, zone: "z1".into(), state: State::Serving, limit: None })
+                            Some(Server {
+                                address,
+                                zone: "z1".into(),
+                                state: ServerState::Serving,
+                                limit: None,
+                            })
                         }
                     };
                     change.servers.insert(server, next);
@@ -981,7 +988,7 @@
                     Outcome::Refused(_) => self.findings.refused_sets += 1,
                 }
             }
-            Some(FromVoter::Elsewhere { leader: Some(leader) }) => {
+            Some(FromVoter::NotLeader { leader: Some(leader) }) => {
                 self.writers[writer].to =
                     self.places.iter().position(|place| place.name == leader).unwrap_or_default();
                 self.findings.said_again += 1;
@@ -1182,7 +1189,7 @@
             Event::Proof { of } => {
                 for at in 0..self.plan.voters {
                     if let Core::Voter(seat) = &mut self.places[at].core {
-                        seat.registry.ended(&of, self.now);
+                        seat.registry.distributor_ended(&of, self.now);
                         self.settle(at);
                     }
                 }
--- a/crates/pearfront-scale/src/measure/distribution.rs
+++ b/crates/pearfront-scale/src/measure/distribution.rs
@@ -6,8 +6,9 @@
 use crate::clock::{Meter, memory_mb};
 use hdrhistogram::Histogram;
 use pearfront_distribute::{
-    Catalog, ChangeSet, Command, Distributor, DistributorOut, FromVoter, Peer, Server, ServiceChange, State,
-    Subscriber, SubscriberOut, Times, ToDistributor, ToSubscriber, ToVoter, Who, decode, encode,
+    Catalog, ChangeSet, Command, Distributor, DistributorAction, FromVoter, Peer, ProcessId, Server,
+    ServerState, ServiceChange, Subscriber, SubscriberAction, Times, ToDistributor, ToSubscriber, ToVoter,
+    decode, encode,
 };
 use pearfront_emulator::agenda::Agenda;
 use rand::distr::weighted::WeightedIndex;
@@ -96,7 +97,7 @@
         let server = Server {
             address: format!("10.{high}.{middle}.{low}:8080"),
             zone: format!("zone-{}", number % 12),
-            state: State::Serving,
+            state: ServerState::Serving,
             limit: None,
         };
         (format!("{}-{number}", name(service)), Some(server))
@@ -119,7 +120,7 @@
         }
         let peer = |name: &str| Peer { name: name.into(), zone: "z".into(), region: "r".into() };
         let times = Times::default();
-        let me = Who { name: "d0".into(), life: 1 };
+        let me = ProcessId { name: "d0".into(), incarnation: 1 };
         let distributor = Distributor::new("scale", me, ("z", "r"), &[peer("v0")], times, (seed, 0.0));
         let mut chance = ChaCha8Rng::seed_from_u64(seed);
         let weights = WeightedIndex::new((0..SERVICES).map(|service| (size(service) as f64).sqrt()));
@@ -129,7 +130,7 @@
             while interest.len() < CALLED {
                 interest.insert(name(weights.sample(&mut chance)));
             }
-            let me = Who { name: format!("n{number:05}"), life: 1 };
+            let me = ProcessId { name: format!("n{number:05}"), incarnation: 1 };
             let services = interest.iter().cloned().collect();
             let seeded = (chance.random(), 0.0);
             let core = Subscriber::new("scale", me, ("z", "r"), &[peer("d0")], services, times, seeded);
@@ -161,9 +162,9 @@
     /// The distributor gets all that there is; then the nodes start.
     fn begin(&mut self) {
         self.distribute(|core, now| core.tick(now));
-        let message = FromVoter::Whole { catalog: self.catalog.encode() };
+        let message = FromVoter::Snapshot { catalog: self.catalog.encode() };
         let above = self.above;
-        self.distribute(|core, now| core.voter_heard(above, message, now));
+        self.distribute(|core, now| core.receive_from_voter(above, message, now));
         self.events.put(self.now, Event::VotersBeat);
         self.run_to(self.now + 1000.0);
         (0..self.nodes.len()).for_each(|who| self.node(who, |core, now| core.tick(now)));
@@ -177,16 +178,16 @@
         let (now, core) = (self.now, &mut self.distributor);
         let out = self.meter.take(|| {
             call(core, now);
-            core.take_out()
+            core.take_actions()
         });
         for out in out {
             match out {
-                DistributorOut::OpenVoter { link, .. } => self.above = link,
-                DistributorOut::SendVoter { link, message: ToVoter::Report(report) } => {
+                DistributorAction::OpenVoter { link, .. } => self.above = link,
+                DistributorAction::SendVoter { link, message: ToVoter::Report(report) } => {
                     let (number, at) = (report.number, self.now + DELAY.1);
                     self.events.put(at, Event::ReportTaken { link, number });
                 }
-                DistributorOut::Send { link, bytes, .. } => {
+                DistributorAction::Send { link, bytes, .. } => {
                     self.down += bytes.len() as u64;
                     let Some(&who) = self.links.get(&link) else { continue };
                     let message = decode(&bytes);
@@ -195,8 +196,8 @@
                         self.events.put(at, Event::ToNode { who, link, message });
                     }
                 }
-                DistributorOut::Close { link } => drop(self.links.remove(&link)),
-                DistributorOut::SendVoter { .. } | DistributorOut::CloseVoter { .. } => {}
+                DistributorAction::Close { link } => drop(self.links.remove(&link)),
+                DistributorAction::SendVoter { .. } | DistributorAction::CloseVoter { .. } => {}
             }
         }
         let due = self.distributor.due().max(now);
@@ -212,8 +213,8 @@
         let work = || {
             call(core, now);
             // Between two rounds of a node's decisions; here there are none.
-            let applied = core.apply(|_| Ok(()));
-            (core.take_out(), core.due().max(now), applied)
+            let applied = core.apply_pending(|_| Ok(()));
+            (core.take_actions(), core.due().max(now), applied)
         };
         let (out, due, applied) = if metered { self.node_meter.take(work) } else { work() };
         let node = &mut self.nodes[who];
@@ -226,12 +227,12 @@
         }
         for out in out {
             match out {
-                SubscriberOut::Open { link, .. } => {
+                SubscriberAction::Open { link, .. } => {
                     self.numbered += 1;
                     self.links.insert(self.numbered, who);
                     self.nodes[who].link = Some((self.numbered, link));
                 }
-                SubscriberOut::Send { link, message } => {
+                SubscriberAction::Send { link, message } => {
                     self.up += encode(&message).len() as u64;
                     let there = self.nodes[who].link.filter(|(_, own)| *own == link);
                     let at = self.now + self.delay();
@@ -239,11 +240,11 @@
                         self.events.put(at, Event::ToDistributor { link, message });
                     }
                 }
-                SubscriberOut::Close { link } => {
+                SubscriberAction::Close { link } => {
                     let there = self.nodes[who].link.take_if(|(_, own)| *own == link);
                     if let Some((link, _)) = there {
                         self.links.remove(&link);
-                        self.distribute(|core, now| core.closed(link, now));
+                        self.distribute(|core, now| core.link_closed(link, now));
                     }
                 }
             }
@@ -268,12 +269,12 @@
             match event {
                 Event::ToNode { who, link, message } => {
                     if let Some((_, own)) = self.nodes[who].link.filter(|(there, _)| *there == link) {
-                        self.node(who, |core, now| core.heard(own, message, now));
+                        self.node(who, |core, now| core.receive(own, message, now));
                     }
                 }
                 Event::ToDistributor { link, message } => {
                     if self.links.contains_key(&link) {
-                        self.distribute(|core, now| core.heard(link, message, now));
+                        self.distribute(|core, now| core.receive(link, message, now));
                     }
                 }
                 Event::Node { who, due } => {
@@ -292,12 +293,12 @@
                     self.events.put(at + VOTERS_BEAT, Event::VotersBeat);
                     self.beats += 1;
                     let (number, above, version) = (self.beats, self.above, self.catalog.version());
-                    let beat = FromVoter::Beat { number, version, in_force: None };
-                    self.distribute(|core, now| core.voter_heard(above, beat, now));
+                    let beat = FromVoter::Heartbeat { number, version, in_force: None };
+                    self.distribute(|core, now| core.receive_from_voter(above, beat, now));
                 }
                 Event::ReportTaken { link, number } => {
                     self.distribute(|core, now| {
-                        core.voter_heard(link, FromVoter::ReportTaken { number }, now)
+                        core.receive_from_voter(link, FromVoter::ReportAccepted { number }, now)
                     });
                 }
                 Event::Change => self.change(),
@@ -319,8 +320,8 @@
             set(to + SERVICES as u64, service, ServiceChange { settings, ..ServiceChange::default() });
         self.catalog.apply(&Command::Change(change.clone()).encode());
         self.committed.insert(to, (self.now, name(service)));
-        let (above, message) = (self.above, FromVoter::Sets { to, sets: vec![change] });
-        self.distribute(|core, now| core.voter_heard(above, message, now));
+        let (above, message) = (self.above, FromVoter::ChangeSets { to, sets: vec![change] });
+        self.distribute(|core, now| core.receive_from_voter(above, message, now));
     }
 
     /// Until that holds of every node: ms, bytes of a node, most of the distributor in a second.
@@ -360,8 +361,8 @@
         for who in 0..self.nodes.len() {
             if let Some((there, own)) = self.nodes[who].link.take() {
                 self.links.remove(&there);
-                self.distribute(|core, now| core.closed(there, now));
-                self.node(who, |core, now| core.closed(own, now));
+                self.distribute(|core, now| core.link_closed(there, now));
+                self.node(who, |core, now| core.link_closed(own, now));
             }
         }
     }
