--- a/crates/pearfront-node/src/accept.rs
+++ b/crates/pearfront-node/src/accept.rs
@@ -2,13 +2,13 @@
 //! request may lie on each connection there.
 
 use crate::BACKLOG;
-use crate::established;
+use crate::accept_queue::AcceptQueue;
+use crate::client_service::{CLOSING_PERIOD_MS, ClientService};
 use crate::framing::Framing;
 use crate::inherited;
 use crate::logger::Seldom;
 use crate::pulse::CATCH_UP;
-use crate::queue::Queue;
-use crate::take_in::{LAST_SERVED, TakeIn};
+use crate::tcp_info;
 use socket2::SockRef;
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -50,8 +50,8 @@
 pub struct Acceptor {
     listener: TcpListener,
     /// When what waits in the queue came.
-    queue: Queue,
-    take_in: Rc<TakeIn>,
+    queue: AcceptQueue,
+    take_in: Rc<ClientService>,
     /// Has a connection had to go for another since the queue was empty?
     crowded: Cell<bool>,
     /// Is the place that was made for the last one still there?
@@ -69,7 +69,7 @@
 impl Acceptor {
     /// `shared` says that other processes may have served the listener before: what they leave in its queue came while they
     /// did.
-    pub fn new(listener: TcpListener, shared: bool, take_in: Rc<TakeIn>) -> Self {
+    pub fn new(listener: TcpListener, shared: bool, take_in: Rc<ClientService>) -> Self {
         let now = Instant::now();
         let (most, opened) = if shared {
             (inherited::longest_queue(), now.checked_sub(LONGEST_WAIT + NO_PLACE).unwrap_or(now))
@@ -78,7 +78,7 @@
         };
         Self {
             listener,
-            queue: Queue::since(most + BEYOND_BACKLOG, opened),
+            queue: AcceptQueue::since(most + BEYOND_BACKLOG, opened),
             take_in,
             crowded: Cell::new(false),
             has_place_left: Cell::new(false),
@@ -101,17 +101,17 @@
         };
         let _ = timeout(STILL_COMING, self.accept_all()).await;
         let clients_end = async {
-            while self.take_in.room.has_callers() {
+            while self.take_in.capacity.has_callers() {
                 sleep(PAUSE).await;
             }
         };
         tokio::select! {
             never = self.accept_all() => match never {},
-            () = sleep_until(self.take_in.route.clock.at(answered - LAST_SERVED)) => {}
+            () = sleep_until(self.take_in.dispatcher.clock.at(answered - CLOSING_PERIOD_MS)) => {}
             () = clients_end => {}
         }
         let end = Instant::now() + LAST_LOOK;
-        let _ = timeout_at(end.min(self.take_in.route.clock.at(answered)), self.empty_queue()).await;
+        let _ = timeout_at(end.min(self.take_in.dispatcher.clock.at(answered)), self.empty_queue()).await;
     }
 
     /// What the kernel has accepted counts as ours, unless another process serves the same socket. It takes places as at any other
@@ -171,7 +171,7 @@
         let mut framing = Framing::default();
         framing.read(&head[..length], Instant::now());
         let is_half = length < LONG_HEAD && framing.in_head();
-        if is_half && !self.take_in.room.has_idle() {
+        if is_half && !self.take_in.capacity.has_idle() {
             return None;
         }
         TcpStream::from_std(stream).ok()
@@ -219,9 +219,9 @@
 
     /// Attempts and probes that wait for a connection go first.
     fn has_place(&self) -> bool {
-        let room = &self.take_in.room;
-        self.crowded.set(self.crowded.get() || !room.has_caller_place());
-        let has_place_left = self.has_place_left.take() && room.has_last_caller_place();
+        let room = &self.take_in.capacity;
+        self.crowded.set(self.crowded.get() || !room.has_client_slot());
+        let has_place_left = self.has_place_left.take() && room.has_reserve_client_slot();
         let has_place = !room.is_waited_for() && (has_place_left || self.take_in.make_place());
         self.note_stop();
         let since = self.without_place.get().unwrap_or_else(Instant::now);
@@ -232,14 +232,14 @@
     /// Is there no place, and something in the queue that can't wait for one any longer?
     fn is_too_late(&self) -> bool {
         // Behind a stop what came meanwhile is read first, and answered.
-        let no_place = if self.take_in.route.stopped_since().is_some() { CATCH_UP } else { NO_PLACE };
+        let no_place = if self.take_in.dispatcher.stopped_since().is_some() { CATCH_UP } else { NO_PLACE };
         let without_place = self.without_place.get().is_some_and(|since| since.elapsed() > no_place);
         without_place && self.queue.of_waiting().elapsed() > LONGEST_WAIT
     }
 
     /// While the process stood still nobody could make a place: the time without one counts anew, once for each stop.
     fn note_stop(&self) {
-        let stopped = self.take_in.route.stopped_since();
+        let stopped = self.take_in.dispatcher.stopped_since();
         if stopped.is_some() && self.stopped.replace(stopped) != stopped {
             self.without_place.set(None);
         }
@@ -261,11 +261,11 @@
         // What was just let in has not been read yet, and what was closed is still open: both are done soon.
         for _ in 0..MOST_YIELDS {
             yield_now().await;
-            if self.take_in.room.has_last_caller_place() {
+            if self.take_in.capacity.has_reserve_client_slot() {
                 return;
             }
         }
-        self.take_in.room.freed().await;
+        self.take_in.capacity.slot_may_be_free().await;
     }
 
     /// Closes a connection without a look at what has come on it: its client may send that again.
@@ -303,8 +303,9 @@
     /// The earliest time at which a connection can have been established, where that is known. Where the kernel doesn't say, it may
     /// have been while the process stood still.
     fn established(&self, stream: &TcpStream) -> Option<Instant> {
-        let route = &self.take_in.route;
-        established::earliest(stream).or_else(|| route.stopped_since().map(|begun| route.clock.at(begun)))
+        let route = &self.take_in.dispatcher;
+        tcp_info::earliest_established(stream)
+            .or_else(|| route.stopped_since().map(|begun| route.clock.at(begun)))
     }
 
     async fn let_others_go_on(&self) {
--- a/crates/pearfront-node/src/queue.rs
+++ b/crates/pearfront-node/src/accept_queue.rs
@@ -13,7 +13,7 @@
 const AT_ONCE: Duration = Duration::from_millis(20);
 
 /// Follows the accepts from one queue.
-pub struct Queue {
+pub struct AcceptQueue {
     /// So many connections wait in it at the most.
     most: usize,
     /// What was accepted last came after this time.
@@ -26,7 +26,7 @@
     marks: RefCell<VecDeque<(usize, Instant)>>,
 }
 
-impl Queue {
+impl AcceptQueue {
     /// A queue that holds so many at the most, none of which came before this time.
     pub fn since(most: usize, opened: Instant) -> Self {
         Self {
--- a/crates/pearfront-node/src/admin.rs
+++ b/crates/pearfront-node/src/admin.rs
@@ -4,7 +4,7 @@
 use crate::lifecycle::{Lifecycle, State};
 use crate::logger::{Limited, Seldom};
 use crate::message::{self, AdminCall, Body};
-use crate::wire::{Socket, Wire};
+use crate::tracked_stream::{HyperIo, TrackedStream};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use hyper::http::request::Parts;
@@ -97,7 +97,7 @@
 
     async fn call(&self, stream: TcpStream) {
         let service = service_fn(async |request| Ok::<_, Infallible>(self.answer(request).await));
-        let socket = Socket(Wire::of_operator(stream));
+        let socket = HyperIo(TrackedStream::from_operator(stream));
         let mut server = Builder::new();
         server.keep_alive(false).half_close(true).max_buf_size(LARGEST);
         // How it ended only its caller can care about.
--- a/crates/pearfront-node/src/relay.rs
+++ b/crates/pearfront-node/src/answer_sender.rs
@@ -1,21 +1,21 @@
 //! Fifth stage: the one final answer of a job, on its way back to the caller.
 
-use crate::book::Book;
+use crate::counters::Counters;
 use crate::message::Answer;
 use std::cell::RefCell;
 use std::rc::Rc;
 use tokio::sync::{Notify, oneshot};
 
 /// Where a job's answer goes; takes the first one only.
-pub struct Relay {
+pub struct AnswerSender {
     caller: RefCell<Option<oneshot::Sender<Answer>>>,
     /// Rung when it has its answer, or its caller has left.
     closed: Notify,
-    book: Rc<Book>,
+    book: Rc<Counters>,
 }
 
-impl Relay {
-    pub fn new(book: Rc<Book>) -> (Self, oneshot::Receiver<Answer>) {
+impl AnswerSender {
+    pub fn new(book: Rc<Counters>) -> (Self, oneshot::Receiver<Answer>) {
         let (caller, answer) = oneshot::channel();
         (Self { caller: RefCell::new(Some(caller)), closed: Notify::new(), book }, answer)
     }
--- a/crates/pearfront-node/src/admit.rs
+++ b/crates/pearfront-node/src/capacity.rs
@@ -1,9 +1,9 @@
 //! Second stage: is there room for a connection or a job? What finds none is rejected at once, before the
 //! module hears of it: nothing was sent, so trying again is harmless.
 
-use crate::book::Book;
-use crate::client::Client;
-use crate::wire::Wire;
+use crate::client_connection::ClientConnection;
+use crate::counters::Counters;
+use crate::tracked_stream::TrackedStream;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -36,17 +36,17 @@
 
 /// What a process uses of the limits that all processes of a node share.
 #[derive(Debug, Default, Clone, Copy)]
-pub struct Use {
+pub struct Usage {
     pub connections: usize,
     pub bytes: usize,
 }
 
-pub struct Room {
+pub struct Capacity {
     /// The limits: descriptors that are left for connections, and bytes of memory.
     sockets: Cell<usize>,
     memory: Cell<usize>,
     /// What other processes of this node use.
-    others: RefCell<Vec<Use>>,
+    others: RefCell<Vec<Usage>>,
     most_open: Cell<usize>,
     last_resort: Cell<usize>,
     open: Cell<usize>,
@@ -59,11 +59,11 @@
     /// Attempts that wait for a connection: callers stand back for them.
     waiting: Cell<usize>,
     freed: Notify,
-    callers: RefCell<BTreeMap<u64, Rc<Client>>>,
+    callers: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
     numbered: Cell<u64>,
 }
 
-impl Room {
+impl Capacity {
     pub fn new(sockets: usize, memory_mb: f64) -> Rc<Self> {
         let room = Self {
             sockets: Cell::new(0),
@@ -81,25 +81,25 @@
             callers: RefCell::default(),
             numbered: Cell::new(0),
         };
-        room.limit(sockets, memory_mb);
+        room.set_limits(sockets, memory_mb);
         Rc::new(room)
     }
 
     /// The limits from now on; what is over them already is not cut off.
-    pub fn limit(&self, sockets: usize, memory_mb: f64) {
+    pub fn set_limits(&self, sockets: usize, memory_mb: f64) {
         self.sockets.set(sockets);
         self.memory.set((memory_mb * 1024.0 * 1024.0 * BODIES) as usize);
         self.divide();
     }
 
     /// Other processes of this node use this much of the same limits.
-    pub fn share(&self, others: &[Use]) {
+    pub fn set_others(&self, others: &[Usage]) {
         others.clone_into(&mut self.others.borrow_mut());
         self.divide();
     }
 
-    pub fn uses(&self) -> Use {
-        Use { connections: self.open.get(), bytes: self.bytes.get() }
+    pub fn usage(&self) -> Usage {
+        Usage { connections: self.open.get(), bytes: self.bytes.get() }
     }
 
     /// Each process has an equal part; what one has above it already is missing to the others.
@@ -112,30 +112,30 @@
         let kept = FIXED * (others.len() + 1) + crate::admin::DESCRIPTORS * others.len();
         let last_resort = (self.sockets.get() / LAST_RESORT.0).min(LAST_RESORT.1) / (others.len() + 1);
         let connections = self.sockets.get().saturating_sub(kept + last_resort * (others.len() + 1));
-        let used = |what: fn(&Use) -> usize| others.iter().map(what).sum();
+        let used = |what: fn(&Usage) -> usize| others.iter().map(what).sum();
         self.last_resort.set(last_resort);
         self.most_open.set(part(connections, used(|other| other.connections)).max(CONNECTIONS));
         self.most_bytes.set(part(self.memory.get(), used(|other| other.bytes)));
     }
 
     /// Room for one more connection.
-    pub fn has_place(&self) -> bool {
+    pub fn has_slot(&self) -> bool {
         self.open.get() < self.most_open.get()
     }
 
     /// The same, if it is only to reject a job, or stands in for one that is being closed.
-    pub fn has_last_place(&self) -> bool {
+    pub fn has_reserve_slot(&self) -> bool {
         self.open.get() < self.most_open.get() + self.last_resort.get()
     }
 
-    pub fn place(self: &Rc<Self>) -> Place {
+    pub fn take_slot(self: &Rc<Self>) -> ConnectionSlot {
         self.open.set(self.open.get() + 1);
-        Place { room: Some(self.clone()), caller: false }
+        ConnectionSlot { room: Some(self.clone()), caller: false }
     }
 
-    pub fn caller_place(self: &Rc<Self>) -> Place {
+    pub fn take_client_slot(self: &Rc<Self>) -> ConnectionSlot {
         self.callers_open.set(self.callers_open.get() + 1);
-        let mut place = self.place();
+        let mut place = self.take_slot();
         place.caller = true;
         place
     }
@@ -147,12 +147,12 @@
     }
 
     /// Room for one more caller.
-    pub fn has_caller_place(&self) -> bool {
+    pub fn has_client_slot(&self) -> bool {
         self.callers_open.get() < self.most_callers()
     }
 
     /// The same for one whose jobs are rejected, or who stands in for one that is being closed.
-    pub fn has_last_caller_place(&self) -> bool {
+    pub fn has_reserve_client_slot(&self) -> bool {
         self.callers_open.get() < self.most_callers() + self.last_resort.get()
     }
 
@@ -161,48 +161,48 @@
     }
 
     /// An attempt waits for a connection, as long as this is kept.
-    pub fn wait(self: &Rc<Self>) -> Waiting {
+    pub fn register_waiter(self: &Rc<Self>) -> Waiter {
         self.waiting.set(self.waiting.get() + 1);
-        Waiting(self.clone())
+        Waiter(self.clone())
     }
 
     /// Waits until some connection, or some wait for one, has ended, or a caller may have become one that can go: nothing
     /// rings for that.
-    pub async fn freed(&self) {
+    pub async fn slot_may_be_free(&self) {
         let _ = timeout(LOOK_FOR_SPARE, self.freed.notified()).await;
     }
 
     /// Takes room for a job whose body has this length; none if bodies or connections would not fit.
-    pub fn job(self: &Rc<Self>, body: usize) -> Option<Share> {
+    pub fn job(self: &Rc<Self>, body: usize) -> Option<RequestReservation> {
         let bytes = body.max(LEAST_BODY);
         let connected = (self.jobs.get() + 1) * CONNECTIONS + PROBES <= self.most_open.get();
         (connected && self.bytes.get() + bytes <= self.most_bytes.get()).then(|| {
             self.jobs.set(self.jobs.get() + 1);
-            Share(self.hold(bytes))
+            RequestReservation(self.hold(bytes))
         })
     }
 
-    fn hold(self: &Rc<Self>, bytes: usize) -> HeldBytes {
+    fn hold(self: &Rc<Self>, bytes: usize) -> ReservedBytes {
         self.bytes.set(self.bytes.get() + bytes);
-        HeldBytes { room: self.clone(), bytes }
+        ReservedBytes { room: self.clone(), bytes }
     }
 
     /// Takes room for more bytes of a body, of which so many have been read ahead of its server. Such bytes have half of all room,
     /// the rest is for requests that are still to come; and one body no more than a part of what is then left of that half, so
     /// that there is some for others.
-    pub fn read_ahead(self: &Rc<Self>, held: usize, bytes: usize) -> Option<HeldBytes> {
+    pub fn read_ahead(self: &Rc<Self>, held: usize, bytes: usize) -> Option<ReservedBytes> {
         let left = (self.most_bytes.get() / 2).checked_sub(self.bytes.get() + bytes)?;
         (held + bytes <= left / READ_AHEAD_PART).then(|| self.hold(bytes))
     }
 
-    pub fn jobs(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.jobs.get()
     }
 
-    pub fn enter(&self, wire: Rc<Wire>) -> (u64, Rc<Client>) {
+    pub fn enter(&self, wire: Rc<TrackedStream>) -> (u64, Rc<ClientConnection>) {
         let number = self.numbered.get();
         self.numbered.set(number + 1);
-        let caller = Rc::new(Client::new(wire));
+        let caller = Rc::new(ClientConnection::new(wire));
         self.callers.borrow_mut().insert(number, caller.clone());
         (number, caller)
     }
@@ -212,19 +212,19 @@
     }
 
     /// Do callers hold more than half of all connections? Those they keep idle then go before servers' idle ones.
-    pub fn callers_crowd(&self) -> bool {
+    pub fn clients_hold_most(&self) -> bool {
         self.callers.borrow().len() * 2 > self.most_open.get()
     }
 
     /// Do servers' connections take of the places that callers could have?
-    pub fn servers_exceed_their_part(&self) -> bool {
+    pub fn servers_exceed_share(&self) -> bool {
         let servers = self.open.get() - self.callers_open.get() + PROBES;
         servers > self.most_open.get() / SERVERS_PART
     }
 
     /// Has a caller closed for another one: that which has had nothing on its connection for longest, and where all have
     /// something, that which has brought half a head and nothing since for longest. False if there is none.
-    pub fn close_spare(&self) -> bool {
+    pub fn evict_client(&self) -> bool {
         let callers = self.callers.borrow();
         let mut spare: Vec<_> = callers.values().filter(|caller| caller.may_go()).collect();
         spare.sort_by_key(|caller| caller.goes_since());
@@ -242,7 +242,7 @@
     }
 
     /// Has callers closed that have not brought a whole head for too long, as long as the node runs.
-    pub async fn close_unfinished(self: Rc<Self>, book: Rc<Book>) {
+    pub async fn close_incomplete(self: Rc<Self>, book: Rc<Counters>) {
         loop {
             sleep(LOOK).await;
             self.callers.borrow().values().for_each(|caller| caller.cut_if_stalled());
@@ -254,7 +254,7 @@
     }
 
     /// Requests that were read and have no answer, of all callers.
-    pub fn unanswered(&self) -> usize {
+    pub fn unanswered_requests(&self) -> usize {
         self.callers.borrow().values().map(|caller| caller.unanswered()).sum()
     }
 
@@ -270,32 +270,33 @@
     /// Has all callers closed that have been idle for so long.
     pub fn close_all_idle(&self, pause: Duration) {
         let callers = self.callers.borrow();
-        let spared = |caller: &&Rc<Client>| caller.can_be_spared() && caller.since.get().elapsed() >= pause;
-        let idle = callers.values().filter(|caller| spared(caller) && !caller.wire.has_unread());
+        let spared =
+            |caller: &&Rc<ClientConnection>| caller.can_be_spared() && caller.since.get().elapsed() >= pause;
+        let idle = callers.values().filter(|caller| spared(caller) && !caller.stream.has_unread());
         idle.for_each(|caller| caller.close());
     }
 }
 
-impl std::fmt::Display for Room {
+impl std::fmt::Display for Capacity {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         write!(f, "connections_open={} jobs_held={}", self.open.get(), self.jobs.get())
     }
 }
 
 /// One open connection; gives its place back when dropped. One of the node's own is counted nowhere.
-pub struct Place {
-    room: Option<Rc<Room>>,
+pub struct ConnectionSlot {
+    room: Option<Rc<Capacity>>,
     caller: bool,
 }
 
-impl Place {
+impl ConnectionSlot {
     /// One of the node's own, one of `FIXED`: nobody else can take it, and it is counted nowhere.
-    pub fn own() -> Self {
+    pub fn uncounted() -> Self {
         Self { room: None, caller: false }
     }
 }
 
-impl Drop for Place {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         if let Some(room) = &self.room {
             room.open.set(room.open.get() - 1);
@@ -305,9 +306,9 @@
     }
 }
 
-pub struct Waiting(Rc<Room>);
+pub struct Waiter(Rc<Capacity>);
 
-impl Drop for Waiting {
+impl Drop for Waiter {
     fn drop(&mut self) {
         self.0.waiting.set(self.0.waiting.get() - 1);
         self.0.freed.notify_waiters();
@@ -315,9 +316,9 @@
 }
 
 /// One job's share of the room.
-pub struct Share(HeldBytes);
+pub struct RequestReservation(ReservedBytes);
 
-impl Drop for Share {
+impl Drop for RequestReservation {
     fn drop(&mut self) {
         let jobs = &self.0.room.jobs;
         jobs.set(jobs.get() - 1);
@@ -325,12 +326,12 @@
 }
 
 /// Bytes of bodies, as long as they take room.
-pub struct HeldBytes {
-    room: Rc<Room>,
+pub struct ReservedBytes {
+    room: Rc<Capacity>,
     bytes: usize,
 }
 
-impl Drop for HeldBytes {
+impl Drop for ReservedBytes {
     fn drop(&mut self) {
         self.room.bytes.set(self.room.bytes.get() - self.bytes);
     }
--- a/crates/pearfront-node/src/client.rs
+++ b/crates/pearfront-node/src/client_connection.rs
@@ -1,7 +1,7 @@
 //! A client's connection, as those see it that serve it, look for one to spare, or end it.
 
-use crate::flow::STALLED;
-use crate::wire::Wire;
+use crate::streaming::STALL_TIMEOUT;
+use crate::tracked_stream::TrackedStream;
 use hyper::Version;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -21,8 +21,8 @@
 const WHOLE_HEAD: Duration = Duration::from_millis(2200);
 
 /// A client's connection, and whether it could be spared.
-pub struct Client {
-    pub wire: Rc<Wire>,
+pub struct ClientConnection {
+    pub stream: Rc<TrackedStream>,
     busy: Cell<bool>,
     flowing: Cell<bool>,
     /// Was its last answer broken off by the server that gave it?
@@ -44,10 +44,10 @@
     pub cut: Notify,
 }
 
-impl Client {
-    pub fn new(wire: Rc<Wire>) -> Self {
+impl ClientConnection {
+    pub fn new(stream: Rc<TrackedStream>) -> Self {
         Self {
-            wire,
+            stream,
             busy: Cell::new(false),
             flowing: Cell::new(false),
             answer_broke: Cell::new(false),
@@ -66,18 +66,18 @@
 
     /// Nothing that came on it is being answered, and its client has taken what was.
     pub fn is_idle(&self) -> bool {
-        !self.busy.get() && !self.wire.is_write_blocked()
+        !self.busy.get() && !self.stream.is_write_blocked()
     }
 
     /// Is a request that was read on it being answered, or is there more of an answer for its client to take? What is left of
     /// one that its server broke off is of no use to it.
     pub fn has_open_request(&self) -> bool {
-        self.busy.get() || self.wire.is_write_blocked() && !self.answer_broke.get()
+        self.busy.get() || self.stream.is_write_blocked() && !self.answer_broke.get()
     }
 
     /// Requests that were read whole on it and have no answer; one whose answer is on its way has.
     pub fn unanswered(&self) -> usize {
-        let is_owed = self.busy.get() && !self.flowing.get() && self.wire.came().is_some();
+        let is_owed = self.busy.get() && !self.flowing.get() && self.stream.came().is_some();
         usize::from(is_owed)
     }
 
@@ -115,12 +115,12 @@
 
     /// Has it brought nothing that is not answered? The kernel is asked last: that takes longest.
     pub fn has_nothing(&self) -> bool {
-        self.is_idle() && !self.wire.in_head() && !self.wire.has_more()
+        self.is_idle() && !self.stream.in_head() && !self.stream.has_more()
     }
 
     /// Has it brought half a head and nothing behind that?
     pub fn has_half_a_head(&self) -> bool {
-        self.is_idle() && self.wire.in_head() && self.wire.waiting() == 0 && !self.wire.has_unread()
+        self.is_idle() && self.stream.in_head() && self.stream.waiting() == 0 && !self.stream.has_unread()
     }
 
     /// Is it still to be cut off? What has come since that was chosen may be the rest of a request: then it goes on.
@@ -131,10 +131,10 @@
     }
 
     pub fn is_unfinished(&self) -> bool {
-        let half = self.wire.in_head().then(|| self.half.get().unwrap_or_else(Instant::now));
+        let half = self.stream.in_head().then(|| self.half.get().unwrap_or_else(Instant::now));
         self.half.set(half);
         let since = if self.used.get() { half } else { Some(self.since.get()) };
-        let waits = self.is_idle() && !self.closing.get() && !self.wire.has_unread();
+        let waits = self.is_idle() && !self.closing.get() && !self.stream.has_unread();
         waits && since.is_some_and(|since| since.elapsed() > WHOLE_HEAD)
     }
 
@@ -143,7 +143,7 @@
         self.version.set(version);
         self.busy.set(true);
         self.used.set(true);
-        self.wire.answers(true);
+        self.stream.answers(true);
     }
 
     /// Does nothing but the end of the connection tell this client that an answer is whole?
@@ -155,29 +155,29 @@
     pub fn end(&self) {
         self.busy.set(false);
         self.since.set(Instant::now());
-        self.wire.answers(false);
+        self.stream.answers(false);
     }
 
     /// No further request is begun to be read than what has come. On one that has just been opened the first may be on its way.
     pub fn end_reading(&self) {
         if self.has_begun() {
-            self.wire.end_reading();
+            self.stream.end_reading();
         }
     }
 
     /// With an answer under way on it, but nothing that moves: it holds what others could use.
     pub fn cut_if_stalled(&self) {
         let (moved, since) = self.moved.get();
-        if !self.is_taking() || moved != self.wire.moved() {
-            self.moved.set((self.wire.moved(), Instant::now()));
-        } else if since.elapsed() > STALLED {
+        if !self.is_taking() || moved != self.stream.moved() {
+            self.moved.set((self.stream.moved(), Instant::now()));
+        } else if since.elapsed() > STALL_TIMEOUT {
             self.cut.notify_one();
         }
     }
 
     /// Is an answer on its way to it that the kernel has not taken whole?
     fn is_taking(&self) -> bool {
-        self.flowing.get() || self.wire.is_write_blocked()
+        self.flowing.get() || self.stream.is_write_blocked()
     }
 
     /// An answer begins to flow to it; it is busy until what is returned has gone.
@@ -214,7 +214,7 @@
 }
 
 /// A client's answer on its way.
-pub struct Flowing(Rc<Client>);
+pub struct Flowing(Rc<ClientConnection>);
 
 impl Drop for Flowing {
     fn drop(&mut self) {
--- a/crates/pearfront-node/src/take_in.rs
+++ b/crates/pearfront-node/src/client_service.rs
@@ -1,20 +1,20 @@
 //! First stage: clients' connections and what comes on them. A job is taken once its last byte is here; from then
 //! on it is owed one answer.
 
-use crate::admit::{Room, Share};
-use crate::book::Book;
-use crate::client::Client;
+use crate::capacity::{Capacity, RequestReservation};
+use crate::client_connection::ClientConnection;
+use crate::counters::Counters;
 use crate::deadline::Deadline;
-use crate::flow::{Broken, MOST_WHOLE, Start};
+use crate::dispatcher::{Dispatcher, OpenRequest};
+use crate::late_answers::{Answered, LateAnswers};
 use crate::lifecycle::Lifecycle;
 use crate::logger::{Limited, Seldom};
-use crate::message::{self, Answer, Body, Call, Job, JobBody};
-use crate::overdue::{Answered, Overdue};
-use crate::route::{Held, Route};
+use crate::message::{self, Answer, Body, ClientCall, ClientRequest, RequestBody};
 use crate::send::{BUFFER, Senders};
+use crate::streaming::{BodyError, BodyStart, MAX_BUFFERED_BYTES};
 use crate::terms::InForce;
+use crate::tracked_stream::{HyperIo, TrackedStream};
 use crate::upload::{self, Upload};
-use crate::wire::{Socket, Wire};
 use http_body_util::Either;
 use hyper::body::{Body as _, Incoming};
 use hyper::server::conn::http1::{Builder, Connection};
@@ -32,7 +32,7 @@
 /// How often is looked whether clients are to be let go, or have gone.
 const LOOK: Duration = Duration::from_millis(5);
 /// Time, ms, before the module's last answers in which callers are closed: nearly all jobs are answered within it.
-pub const LAST_SERVED: f64 = 1000.0;
+pub const CLOSING_PERIOD_MS: f64 = 1000.0;
 /// A caller that is to be closed, and has begun a head or not taken its answer, is cut off once nothing has moved
 /// on its connection for so long.
 const STUCK: Duration = Duration::from_millis(200);
@@ -54,34 +54,34 @@
     BrokenOff,
 }
 
-pub struct TakeIn {
-    pub route: Rc<Route>,
-    pub room: Rc<Room>,
+pub struct ClientService {
+    pub dispatcher: Rc<Dispatcher>,
+    pub capacity: Rc<Capacity>,
     senders: Rc<Senders>,
     terms: Rc<InForce>,
-    pub book: Rc<Book>,
+    pub book: Rc<Counters>,
     pub life: Rc<Lifecycle>,
-    overdue: Overdue,
+    overdue: LateAnswers,
     malformed: Seldom,
     crowded: Seldom,
     broken_off: Limited,
 }
 
-impl TakeIn {
+impl ClientService {
     pub fn new(
-        route: Rc<Route>,
-        room: Rc<Room>,
+        dispatcher: Rc<Dispatcher>,
+        capacity: Rc<Capacity>,
         senders: Rc<Senders>,
         terms: Rc<InForce>,
-        book: Rc<Book>,
+        book: Rc<Counters>,
         life: Rc<Lifecycle>,
     ) -> Rc<Self> {
         Rc::new(Self {
-            route,
-            room,
+            dispatcher,
+            capacity,
             senders,
             terms,
-            overdue: Overdue::new(book.clone()),
+            overdue: LateAnswers::new(book.clone()),
             book,
             life,
             malformed: Seldom::default(),
@@ -93,7 +93,7 @@
     /// Serves a connection, on which nothing came before that time.
     pub fn open(self: &Rc<Self>, stream: TcpStream, came: Instant) {
         self.book.callers.add();
-        let wire = Wire::from_caller(stream, self.room.caller_place(), came);
+        let wire = TrackedStream::from_client(stream, self.capacity.take_client_slot(), came);
         spawn_local(self.clone().serve(wire));
     }
 
@@ -102,14 +102,14 @@
         self.senders.make_caller_place()
     }
 
-    async fn serve(self: Rc<Self>, wire: Rc<Wire>) {
-        let (number, caller) = self.room.enter(wire.clone());
+    async fn serve(self: Rc<Self>, wire: Rc<TrackedStream>) {
+        let (number, caller) = self.capacity.enter(wire.clone());
         let service = service_fn(|request: Request<Incoming>| {
             caller.begin(request.version());
             self.answer(&caller, request)
         });
         let mut connection =
-            pin!(Builder::new().max_buf_size(BUFFER).serve_connection(Socket(wire.clone()), service));
+            pin!(Builder::new().max_buf_size(BUFFER).serve_connection(HyperIo(wire.clone()), service));
         let mut closing = None;
         // Right before the end of the sending: whoever chose this connection to be closed looked earlier, and many were
         // chosen at once. What has come since is a request, and is answered first.
@@ -168,17 +168,17 @@
             self.book.flows_broken.add();
             self.broken_off.info(|| "an answer ends in its middle: one behind it is due".into());
         } else if ended != Ended::Stalled {
-            self.route.guard.close(&caller, &format!("{ended:?}"));
+            self.dispatcher.guard.close(&caller, &format!("{ended:?}"));
             if !wire.has_ended() {
                 self.overdue.never(caller.unanswered(), &format!("their connection ended: {ended:?}"));
             }
         }
-        self.room.leave(number);
+        self.capacity.leave(number);
     }
 
     /// Waits until an answer that is on its way ends in its middle: its client has left, or one behind it is due, and answers
     /// come in order. What lies behind it is unread then, so that its client may send it again.
-    async fn flow_ended(&self, client: &Client) -> Ended {
+    async fn flow_ended(&self, client: &ClientConnection) -> Ended {
         loop {
             if !client.is_flowing() {
                 client.flow_changed().await;
@@ -186,17 +186,17 @@
             }
             tokio::select! {
                 () = client.flow_changed() => {}
-                () = client.wire.ended() => return Ended::ClientLeft,
-                () = self.route.one_behind_is_due(&client.wire) => return Ended::BrokenOff,
+                () = client.stream.ended() => return Ended::ClientLeft,
+                () = self.dispatcher.one_behind_is_due(&client.stream) => return Ended::BrokenOff,
             }
         }
     }
 
     async fn answer(
         &self,
-        caller: &Rc<Client>,
+        caller: &Rc<ClientConnection>,
         request: Request<Incoming>,
-    ) -> Result<Response<Body>, Broken> {
+    ) -> Result<Response<Body>, BodyError> {
         let mut answer = self.call(caller, request).await;
         match answer.as_mut().map(Response::body_mut) {
             Ok(Either::Right(flow)) => {
@@ -207,22 +207,26 @@
             _ => caller.end(),
         }
         // Only the last of the requests that have come may say that it is.
-        if self.life.keeps_alive() && !caller.wire.is_ending() || caller.wire.has_more() {
+        if self.life.keeps_alive() && !caller.stream.is_ending() || caller.stream.has_more() {
             return answer;
         }
-        caller.wire.end_reading();
+        caller.stream.end_reading();
         answer.map(message::last_on_connection)
     }
 
-    async fn call(&self, caller: &Client, request: Request<Incoming>) -> Result<Response<Body>, Broken> {
+    async fn call(
+        &self,
+        caller: &ClientConnection,
+        request: Request<Incoming>,
+    ) -> Result<Response<Body>, BodyError> {
         let (head, body) = request.into_parts();
-        let has_length = caller.wire.hand_out().has_length;
-        let call = message::decode_call(head, &self.terms.now(), has_length);
+        let has_length = caller.stream.hand_out().has_length;
+        let call = message::decode_client_call(head, &self.terms.now(), has_length);
         let problem = match call {
-            Ok(Call::Up) => return Ok(message::encode_up(self.life.is_ready())),
-            Ok(Call::Job(job)) => match self.job(caller, *job, body).await {
+            Ok(ClientCall::Up) => return Ok(message::encode_up(self.life.is_ready())),
+            Ok(ClientCall::Request(job)) => match self.job(caller, *job, body).await {
                 Ok(answer) => return Ok(answer),
-                Err(Problem::Gone) => return Err(Broken::Cut),
+                Err(Problem::Gone) => return Err(BodyError::Cut),
                 Err(Problem::Malformed(problem)) => problem,
             },
             Err(problem) => match upload::begin(body, false).await {
@@ -230,7 +234,7 @@
                     drain_rest(start);
                     return Ok(self.refuse_malformed(&problem));
                 }
-                Err(Broken::Cut) => return Err(Broken::Cut),
+                Err(BodyError::Cut) => return Err(BodyError::Cut),
                 Err(_) => problem,
             },
         };
@@ -246,12 +250,17 @@
     }
 
     /// The answer to a job, or what is wrong with its body; counted if it is too late.
-    async fn job(&self, caller: &Client, job: Job, body: Incoming) -> Result<Response<Body>, Problem> {
-        let (id, time, turn) = (job.id().clone(), job.left, self.route.clock.now());
+    async fn job(
+        &self,
+        caller: &ClientConnection,
+        job: ClientRequest,
+        body: Incoming,
+    ) -> Result<Response<Body>, Problem> {
+        let (id, time, turn) = (job.id().clone(), job.left, self.dispatcher.clock.now());
         let answer = self.exchange(caller, job, body).await?;
-        if let Some(came) = caller.wire.came() {
-            let (status, answered) = (answer.status(), self.route.clock.now());
-            let came = self.route.clock.time_of(came);
+        if let Some(came) = caller.stream.came() {
+            let (status, answered) = (answer.status(), self.dispatcher.clock.now());
+            let came = self.dispatcher.clock.time_of(came);
             self.overdue.answered(&Answered { id, status, came, turn, answered, time });
         }
         Ok(answer)
@@ -259,41 +268,41 @@
 
     async fn exchange(
         &self,
-        caller: &Client,
-        mut job: Job,
+        caller: &ClientConnection,
+        mut job: ClientRequest,
         body: Incoming,
     ) -> Result<Response<Body>, Problem> {
         let length = body.size_hint().exact();
-        let kept = length.map_or(MOST_WHOLE, |length| MOST_WHOLE.min(length as usize));
-        let share = self.room.job(kept);
+        let kept = length.map_or(MAX_BUFFERED_BYTES, |length| MAX_BUFFERED_BYTES.min(length as usize));
+        let share = self.capacity.job(kept);
         let start = upload::begin(body, share.is_some()).await?;
         let Some(share) = share else {
             self.book.no_room.add();
             self.crowded.warn("no room for a job, rejected");
             return Ok(reject(start));
         };
-        let deadline = self.route.deadline(job.left, &caller.wire);
-        if matches!(start, Start::Whole(_)) {
+        let deadline = self.dispatcher.deadline(job.left, &caller.stream);
+        if matches!(start, BodyStart::Complete(_)) {
             deadline.whole();
         }
         if deadline.is_over() {
             self.book.too_late.add();
             return Ok(reject(start));
         }
-        if self.route.has_open(&job) {
+        if self.dispatcher.has_open(&job) {
             drain_rest(start);
             return Ok(self.refuse_malformed("another job with its id is open"));
         }
         match start {
-            Start::Whole(body) => {
-                job.body = JobBody::Whole(body);
-                let (held, answer) = self.route.take(&caller.wire, job, deadline, share);
-                let guard = Guard { route: &self.route, held };
+            BodyStart::Complete(body) => {
+                job.body = RequestBody::Whole(body);
+                let (held, answer) = self.dispatcher.take(&caller.stream, job, deadline, share);
+                let guard = Guard { route: &self.dispatcher, held };
                 self.answered(caller, &guard.held, answer).await
             }
-            Start::Begun(first, rest) => {
-                let (upload, source) = Upload::new(self.room.clone());
-                job.body = JobBody::Flowing { first, rest: RefCell::new(Some(source)), length };
+            BodyStart::Partial(first, rest) => {
+                let (upload, source) = Upload::new(self.capacity.clone());
+                job.body = RequestBody::Flowing { first, rest: RefCell::new(Some(source)), length };
                 self.flow(caller, job, deadline, share, rest, upload).await
             }
         }
@@ -302,17 +311,17 @@
     /// The answer to a job whose body flows on to a server while it comes.
     async fn flow(
         &self,
-        caller: &Client,
-        job: Job,
+        caller: &ClientConnection,
+        job: ClientRequest,
         deadline: Deadline,
-        share: Share,
+        share: RequestReservation,
         body: Incoming,
         upload: Upload,
     ) -> Result<Response<Body>, Problem> {
         self.book.flows_in.add();
-        let (held, mut answer) = self.route.take(&caller.wire, job, deadline, share);
-        let guard = Guard { route: &self.route, held };
-        let mut passing = Box::pin(upload.pass_on(Rc::downgrade(&caller.wire), body));
+        let (held, mut answer) = self.dispatcher.take(&caller.stream, job, deadline, share);
+        let guard = Guard { route: &self.dispatcher, held };
+        let mut passing = Box::pin(upload.pass_on(Rc::downgrade(&caller.stream), body));
         let passed = tokio::select! {
             biased;
             answer = &mut answer => {
@@ -323,14 +332,14 @@
                 return Ok(answer.encode());
             }
             // While a server takes nothing, nobody reads the body, and its end is not seen there.
-            () = caller.wire.ended() => return Err(Problem::Gone),
+            () = caller.stream.ended() => return Err(Problem::Gone),
             passed = passing.as_mut() => passed,
-            never = self.route.expire(&guard.held) => match never {},
+            never = self.dispatcher.expire(&guard.held) => match never {},
         };
         match passed.came {
-            Ok(()) => self.route.body_came(&guard.held),
+            Ok(()) => self.dispatcher.body_came(&guard.held),
             Err(broken) if broken.is_untaken() => {
-                self.route.give_up(&guard.held, &broken.to_string());
+                self.dispatcher.give_up(&guard.held, &broken.to_string());
                 spawn_local(upload::drain(passed.body));
             }
             Err(broken) => return Err(broken.into()),
@@ -342,40 +351,40 @@
     /// whatever else came on its connection: its job must not go on to a server.
     async fn answered(
         &self,
-        caller: &Client,
-        held: &Held,
+        caller: &ClientConnection,
+        held: &OpenRequest,
         answer: Receiver<Answer>,
     ) -> Result<Response<Body>, Problem> {
         tokio::select! {
             biased;
             answer = answer => Ok(answer.unwrap_or(Answer::Failed).encode()),
-            () = caller.wire.ended() => Err(Problem::Gone),
-            never = self.route.expire(held) => match never {},
+            () = caller.stream.ended() => Err(Problem::Gone),
+            never = self.dispatcher.expire(held) => match never {},
         }
     }
 
     /// Closes idle callers whenever clients are let go, as long as the node runs.
-    pub async fn let_go(self: Rc<Self>) {
+    pub async fn close_in_drain(self: Rc<Self>) {
         loop {
             if let Some(pause) = self.life.spares_for() {
-                self.room.close_all_idle(pause);
+                self.capacity.close_all_idle(pause);
             }
             if !self.life.reads_requests() {
-                self.room.end_reading();
+                self.capacity.end_reading();
             }
             sleep(LOOK).await;
         }
     }
 
     /// The process ends: what has been read and has no answer gets none.
-    pub fn never_answered(&self, why: &str) {
-        self.overdue.never(self.room.unanswered(), why);
+    pub fn log_unanswered(&self, why: &str) {
+        self.overdue.never(self.capacity.unanswered_requests(), why);
     }
 
     /// Closes idle callers and waits until the last has its answer.
-    pub async fn finish(&self) {
-        while self.room.has_callers() {
-            self.room.close_all_idle(Duration::ZERO);
+    pub async fn close_all(&self) {
+        while self.capacity.has_callers() {
+            self.capacity.close_all_idle(Duration::ZERO);
             sleep(LOOK).await;
         }
     }
@@ -383,8 +392,8 @@
 
 /// Tells the module that the caller left, if it goes before the answer.
 struct Guard<'a> {
-    route: &'a Route,
-    held: Rc<Held>,
+    route: &'a Dispatcher,
+    held: Rc<OpenRequest>,
 }
 
 impl Drop for Guard<'_> {
@@ -400,24 +409,24 @@
     Malformed(String),
 }
 
-impl From<Broken> for Problem {
-    fn from(broken: Broken) -> Self {
+impl From<BodyError> for Problem {
+    fn from(broken: BodyError) -> Self {
         match broken {
-            Broken::Cut => Problem::Gone,
+            BodyError::Cut => Problem::Gone,
             other => Problem::Malformed(other.to_string()),
         }
     }
 }
 
 /// Rejects a job of which no more was read than this.
-fn reject(start: Start) -> Response<Body> {
+fn reject(start: BodyStart) -> Response<Body> {
     drain_rest(start);
     Answer::Rejected(0.0).encode()
 }
 
 /// Reads the rest of a body that nobody needs without keeping it, so that what comes behind it has its turn.
-fn drain_rest(start: Start) {
-    if let Start::Begun(_, rest) = start {
+fn drain_rest(start: BodyStart) {
+    if let BodyStart::Partial(_, rest) = start {
         spawn_local(upload::drain(rest));
     }
 }
--- a/crates/pearfront-node/src/confirm.rs
+++ b/crates/pearfront-node/src/confirm.rs
@@ -3,10 +3,10 @@
 
 use crate::clock::{Clock, ms};
 use crate::discovery::{self, Discovery};
+use crate::dispatcher::EventQueue;
 use crate::guard::Guard;
 use crate::logger::Limited;
 use crate::probe::Prober;
-use crate::route::Inbox;
 use crate::terms::InForce;
 use pearfront::chance::Chance;
 use pearfront::interface::{Address, Listing, Standing};
@@ -41,7 +41,7 @@
 pub struct Confirmer {
     discovery: Rc<Discovery>,
     prober: Rc<Prober>,
-    inbox: Rc<Inbox>,
+    inbox: Rc<EventQueue>,
     terms: Rc<InForce>,
     clock: Clock,
     /// Those that the module is told not to send to.
@@ -55,7 +55,7 @@
     pub fn new(
         discovery: Rc<Discovery>,
         prober: Rc<Prober>,
-        inbox: Rc<Inbox>,
+        inbox: Rc<EventQueue>,
         terms: Rc<InForce>,
         clock: Clock,
     ) -> Self {
@@ -116,7 +116,7 @@
             self.changes.info(|| {
                 format!("{without} of {all} servers without a lease, that of the list ended {age:.0} ms ago")
             });
-            self.inbox.tell(move |balancer| balancer.suspended(lines.into_iter()));
+            self.inbox.push(move |balancer| balancer.suspended(lines.into_iter()));
         }
     }
 
--- a/crates/pearfront-node/src/book.rs
+++ b/crates/pearfront-node/src/counters.rs
@@ -5,9 +5,9 @@
 
 /// A counter that only grows.
 #[derive(Default)]
-pub struct Count(Cell<u64>);
+pub struct Counter(Cell<u64>);
 
-impl Count {
+impl Counter {
     pub fn add(&self) {
         self.0.set(self.0.get() + 1);
     }
@@ -21,11 +21,11 @@
     ($($(#[$meta:meta])* $name:ident),* $(,)?) => {
         /// All counters, in the order in which they are printed.
         #[derive(Default)]
-        pub struct Book {
-            $($(#[$meta])* pub $name: Count,)*
+        pub struct Counters {
+            $($(#[$meta])* pub $name: Counter,)*
         }
 
-        impl fmt::Display for Book {
+        impl fmt::Display for Counters {
             fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
                 f.write_str("counters:")?;
                 $(write!(f, concat!(" ", stringify!($name), "={}"), self.$name.value())?;)*
--- a/crates/pearfront-node/src/deadline.rs
+++ b/crates/pearfront-node/src/deadline.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Clock;
 use crate::pulse::{CATCH_UP, Pulse};
-use crate::wire::Wire;
+use crate::tracked_stream::TrackedStream;
 use std::cell::Cell;
 use std::future::pending;
 use std::rc::{Rc, Weak};
@@ -30,12 +30,12 @@
     /// When its last byte came, once its body has gone on.
     came: Cell<Option<f64>>,
     /// Its client's connection; not kept open by it.
-    client: Weak<Wire>,
+    client: Weak<TrackedStream>,
 }
 
 impl Deadline {
     /// Of a request whose head says that its client waits so long.
-    pub fn new(clock: Clock, pulse: Rc<Pulse>, time: f64, client: &Rc<Wire>) -> Self {
+    pub fn new(clock: Clock, pulse: Rc<Pulse>, time: f64, client: &Rc<TrackedStream>) -> Self {
         Self { clock, pulse, time, came: Cell::new(None), client: Rc::downgrade(client) }
     }
 
@@ -113,24 +113,24 @@
 }
 
 /// When the answer to a request has to end at the latest, ms, for the first of those behind it to be in time.
-fn ends_for_one_behind(client: &Wire, clock: Clock, pulse: &Pulse) -> Option<f64> {
+fn ends_for_one_behind(client: &TrackedStream, clock: Clock, pulse: &Pulse) -> Option<f64> {
     client.due_behind(|seen| earliest(client, clock, pulse, seen)).map(|due| clock.time_of(due) - AHEAD)
 }
 
 /// When that came from a client, at the earliest, which was read or seen then: while the process stood still nothing was read.
-fn earliest(client: &Wire, clock: Clock, pulse: &Pulse, seen: Instant) -> Instant {
+fn earliest(client: &TrackedStream, clock: Clock, pulse: &Pulse, seen: Instant) -> Instant {
     let stopped = pulse.stopped_at(clock.time_of(seen)).map(|begun| clock.at(begun));
     stopped.map_or(seen, |begun| begun.max(client.opened()))
 }
 
 /// Waits until an answer that is on its way to this client has to end, as one behind it is due.
-pub async fn one_behind_is_due(clock: Clock, pulse: &Pulse, client: &Rc<Wire>) {
+pub async fn one_behind_is_due(clock: Clock, pulse: &Pulse, client: &Rc<TrackedStream>) {
     let at = || ends_for_one_behind(client, clock, pulse).unwrap_or(f64::INFINITY);
     reached(clock, &Rc::downgrade(client), at).await;
 }
 
 /// Waits until that time, ms, which is asked for again whenever more has come of what the client sends.
-async fn reached(clock: Clock, client: &Weak<Wire>, at: impl Fn() -> f64) {
+async fn reached(clock: Clock, client: &Weak<TrackedStream>, at: impl Fn() -> f64) {
     while let at = at()
         && clock.now() < at
     {
@@ -142,7 +142,7 @@
 }
 
 /// Waits until more of what a client sends has come.
-async fn more_has_come(client: &Weak<Wire>) {
+async fn more_has_come(client: &Weak<TrackedStream>) {
     match client.upgrade() {
         Some(client) => client.read_more().await,
         None => pending().await,
--- a/crates/pearfront-node/src/discovery.rs
+++ b/crates/pearfront-node/src/discovery.rs
@@ -4,15 +4,15 @@
 
 pub use roster::ServerLocation;
 
-use crate::admit::Place;
-use crate::book::Book;
+use crate::capacity::ConnectionSlot;
 use crate::clock::Clock;
+use crate::counters::Counters;
+use crate::dispatcher::EventQueue;
 use crate::handover::Peers;
 use crate::lease::{Contact, Leases, MARGIN, Rules};
 use crate::logger::Seldom;
 use crate::message::{self, Line, List};
 use crate::pulse::Pulse;
-use crate::route::Inbox;
 use crate::send::{Link, Senders};
 use crate::terms::InForce;
 use crate::wall_clock::{self, WallClock};
@@ -84,8 +84,8 @@
     pub clock: Clock,
     pub terms: Rc<InForce>,
     pub senders: Rc<Senders>,
-    pub book: Rc<Book>,
-    pub inbox: Rc<Inbox>,
+    pub book: Rc<Counters>,
+    pub inbox: Rc<EventQueue>,
     pub peers: Rc<Peers>,
 }
 
@@ -98,9 +98,9 @@
     /// When a list was heard last.
     heard_at: Cell<Option<f64>>,
     terms: Rc<InForce>,
-    inbox: Rc<Inbox>,
+    inbox: Rc<EventQueue>,
     senders: Rc<Senders>,
-    book: Rc<Book>,
+    book: Rc<Counters>,
     /// Other processes of this node.
     pub peers: Rc<Peers>,
     roster: RefCell<Roster>,
@@ -249,7 +249,7 @@
             self.heard_at.set(Some(now));
             self.heard.notify_waiters();
         }
-        self.inbox.tell(move |balancer| {
+        self.inbox.push(move |balancer| {
             balancer.listed(false, known, lines.into_iter());
         });
     }
@@ -313,7 +313,7 @@
     async fn connection(&self, anew: bool) -> io::Result<Link> {
         match self.link.take().filter(|link| !anew && link.is_usable()) {
             Some(link) => Ok(link),
-            None => Link::open(self.service.get(), Place::own()).await,
+            None => Link::open(self.service.get(), ConnectionSlot::uncounted()).await,
         }
     }
 }
@@ -347,7 +347,7 @@
             Failure::Cut(problem)
         };
         show_cut();
-        let body = timeout(REST, message::whole_of(body, MOST_LIST)).await;
+        let body = timeout(REST, message::read_whole(body, MOST_LIST)).await;
         let body = body.map_err(|_| cut("a list that stalled".into()))?;
         let body = body.map_err(|()| cut("a list that broke off".into()))?;
         let list = message::decode_list(&body, &self.terms.now().around).map_err(cut)?;
--- a/crates/pearfront-node/src/route.rs
+++ b/crates/pearfront-node/src/dispatcher.rs
@@ -1,21 +1,21 @@
 //! Third stage: the one place that drives the module. What comes in waits in the inbox for the next round; what
 //! the module decides is carried out from here.
 
-use crate::admit::Share;
-use crate::book::Book;
+use crate::answer_sender::AnswerSender;
+use crate::capacity::RequestReservation;
 use crate::clock::{Clock, NEVER};
+use crate::counters::Counters;
 use crate::deadline::{self, Deadline};
 use crate::discovery::{self, Discovery, ServerLocation};
-use crate::flow::Broken;
 use crate::guard::Guard;
 use crate::handover::Peers;
 use crate::logger::Limited;
-use crate::message::{Answer, Job};
+use crate::message::{Answer, ClientRequest};
 use crate::probe::Prober;
-use crate::relay::Relay;
 use crate::send::{Attempt, ConnectionEnd, Senders};
+use crate::streaming::BodyError;
 use crate::terms::InForce;
-use crate::wire::Wire;
+use crate::tracked_stream::TrackedStream;
 use http_body_util::Either;
 use hyper::header::HeaderValue;
 use pearfront::interface::{Address, Profile, Writer};
@@ -40,13 +40,13 @@
 
 /// What the module is to be told in its next round, in the order in which it came in.
 #[derive(Default)]
-pub struct Inbox {
+pub struct EventQueue {
     words: RefCell<Vec<Word>>,
     bell: Notify,
 }
 
-impl Inbox {
-    pub fn tell(&self, word: impl FnOnce(&mut Balancer) + 'static) {
+impl EventQueue {
+    pub fn push(&self, word: impl FnOnce(&mut Balancer) + 'static) {
         self.words.borrow_mut().push(Box::new(word));
         self.bell.notify_one();
     }
@@ -58,26 +58,26 @@
 }
 
 /// A job from its taking in to the end of its last attempt.
-pub struct Held {
+pub struct OpenRequest {
     number: u32,
-    job: Job,
+    job: ClientRequest,
     deadline: Deadline,
     /// Rung when that is known.
     whole: Notify,
-    relay: Relay,
+    relay: AnswerSender,
     /// The connection that it came on; not kept open by it.
-    caller: Weak<Wire>,
+    caller: Weak<TrackedStream>,
     attempts: RefCell<Vec<Sent>>,
     out: Cell<usize>,
-    _share: Share,
+    _share: RequestReservation,
 }
 
 /// An attempt that may have run.
-pub struct Earlier {
+pub struct EarlierAttempt {
     /// When its first byte was written, ms.
-    pub written: f64,
+    pub written_at: f64,
     /// Where its server stands.
-    pub place: Option<ServerLocation>,
+    pub location: Option<ServerLocation>,
 }
 
 /// One attempt of a request.
@@ -98,7 +98,7 @@
     }
 }
 
-impl Held {
+impl OpenRequest {
     pub fn id(&self) -> Cow<'_, str> {
         text(self.job.id())
     }
@@ -109,7 +109,7 @@
     }
 
     /// What is left of the time that its client waits, ms.
-    pub fn left(&self, now: f64) -> f64 {
+    pub fn time_left(&self, now: f64) -> f64 {
         self.deadline.left(now)
     }
 
@@ -118,17 +118,17 @@
     }
 
     /// Has its client ended its connection?
-    pub fn caller_has_left(&self) -> bool {
+    pub fn client_has_left(&self) -> bool {
         self.caller.upgrade().is_none_or(|caller| caller.has_ended())
     }
 
     /// The first of its attempts that may have run, beside the one at this place.
-    pub fn first_that_may_have_run(&self, place: usize) -> Option<Earlier> {
+    pub fn first_that_may_have_run(&self, place: usize) -> Option<EarlierAttempt> {
         let attempts = self.attempts.borrow();
         let others =
             attempts.iter().enumerate().filter(|(other, sent)| *other != place && sent.may_have_run());
         let first = others.map(|(_, sent)| sent).min_by(|a, b| a.written.partial_cmp(&b.written).unwrap())?;
-        Some(Earlier { written: first.written?, place: first.place })
+        Some(EarlierAttempt { written_at: first.written?, location: first.place })
     }
 
     /// Has no byte of it been written, or none that could have run?
@@ -137,7 +137,7 @@
     }
 
     /// The first byte of an attempt has been written.
-    pub fn note_written(&self, place: usize, now: f64) {
+    pub fn record_written(&self, place: usize, now: f64) {
         self.attempts.borrow_mut()[place].written = Some(now);
     }
 
@@ -155,15 +155,15 @@
     }
 }
 
-pub struct Route {
+pub struct Dispatcher {
     pub clock: Clock,
-    pub inbox: Rc<Inbox>,
+    pub inbox: Rc<EventQueue>,
     senders: Rc<Senders>,
     discovery: Rc<Discovery>,
     pub guard: Rc<Guard>,
     prober: Rc<Prober>,
-    book: Rc<Book>,
-    held: RefCell<HashMap<u32, Rc<Held>>>,
+    book: Rc<Counters>,
+    held: RefCell<HashMap<u32, Rc<OpenRequest>>>,
     /// The other processes of this node, and the ids of the jobs held here and there.
     peers: Rc<Peers>,
     numbered: Cell<u32>,
@@ -173,14 +173,14 @@
     broken: Rc<Limited>,
 }
 
-impl Route {
+impl Dispatcher {
     pub fn new(
         clock: Clock,
-        inbox: Rc<Inbox>,
+        inbox: Rc<EventQueue>,
         senders: Rc<Senders>,
         discovery: Rc<Discovery>,
         prober: Rc<Prober>,
-        book: Rc<Book>,
+        book: Rc<Counters>,
         peers: Rc<Peers>,
     ) -> Rc<Self> {
         let guard = prober.guard.clone();
@@ -206,7 +206,7 @@
     }
 
     /// Is another job with its id open, whoever sent that, here or in another process of this node?
-    pub fn has_open(&self, job: &Job) -> bool {
+    pub fn has_open(&self, job: &ClientRequest) -> bool {
         self.peers.has_open(&text(job.id()))
     }
 
@@ -214,17 +214,17 @@
     /// knows no limit yet.
     pub fn take(
         &self,
-        caller: &Rc<Wire>,
-        job: Job,
+        caller: &Rc<TrackedStream>,
+        job: ClientRequest,
         deadline: Deadline,
-        share: Share,
-    ) -> (Rc<Held>, oneshot::Receiver<Answer>) {
-        let (relay, answer) = Relay::new(self.book.clone());
+        share: RequestReservation,
+    ) -> (Rc<OpenRequest>, oneshot::Receiver<Answer>) {
+        let (relay, answer) = AnswerSender::new(self.book.clone());
         let number = self.numbered.get();
         self.numbered.set(number.wrapping_add(1));
         let (terms, profile, customer) = (job.terms.clone(), job.profile, job.customer);
         let limit = if job.flows() { f64::INFINITY } else { deadline.at() };
-        let held = Rc::new(Held {
+        let held = Rc::new(OpenRequest {
             number,
             job,
             deadline,
@@ -239,12 +239,12 @@
         self.held.borrow_mut().insert(number, held.clone());
         self.book.taken.add();
         self.inbox
-            .tell(move |balancer| balancer.job_under(&terms.settings, number, profile, customer, limit));
+            .push(move |balancer| balancer.job_under(&terms.settings, number, profile, customer, limit));
         (held, answer)
     }
 
     /// When the answer is due to the request that was handed out last on this connection, and whose client waits so long.
-    pub fn deadline(&self, time: f64, caller: &Rc<Wire>) -> Deadline {
+    pub fn deadline(&self, time: f64, caller: &Rc<TrackedStream>) -> Deadline {
         Deadline::new(self.clock, self.discovery.pulse(), time, caller)
     }
 
@@ -254,31 +254,31 @@
     }
 
     /// Waits until an answer that is on its way to this client has to end, as one behind it is due.
-    pub async fn one_behind_is_due(&self, client: &Rc<Wire>) {
+    pub async fn one_behind_is_due(&self, client: &Rc<TrackedStream>) {
         deadline::one_behind_is_due(self.clock, &self.discovery.pulse(), client).await;
     }
 
     /// The last byte of a job has come: its times count from now on.
-    pub fn body_came(&self, held: &Held) {
+    pub fn body_came(&self, held: &OpenRequest) {
         let number = held.number;
         held.deadline.whole();
         let limit = held.deadline.at();
         held.whole.notify_waiters();
-        self.inbox.tell(move |balancer| balancer.body_came(number, limit));
+        self.inbox.push(move |balancer| balancer.body_came(number, limit));
     }
 
     /// The job's caller is gone, if it had no answer yet.
-    pub fn left(&self, held: &Held) {
+    pub fn left(&self, held: &OpenRequest) {
         if held.relay.close() {
             self.book.client_left.add();
             let number = held.number;
-            self.inbox.tell(move |balancer| balancer.client_left(number));
+            self.inbox.push(move |balancer| balancer.client_left(number));
             self.forget(held);
         }
     }
 
     /// Answers the job once its time is over and nobody else has, whatever it waits for; never returns.
-    pub async fn expire(&self, held: &Held) -> Infallible {
+    pub async fn expire(&self, held: &OpenRequest) -> Infallible {
         held.deadline.over().await;
         let why = held.deadline.why();
         self.give_up(held, why);
@@ -292,7 +292,7 @@
     }
 
     /// Answers the job, if nobody else has, that there is no answer, for this reason.
-    pub fn give_up(&self, held: &Held, why: &str) {
+    pub fn give_up(&self, held: &OpenRequest, why: &str) {
         if !held.relay.is_open() {
             return;
         }
@@ -301,7 +301,7 @@
         self.refused.info(line);
         held.relay.give(if held.is_unsent() { Answer::Rejected(0.0) } else { Answer::Failed });
         let number = held.number;
-        self.inbox.tell(move |balancer| balancer.client_left(number));
+        self.inbox.push(move |balancer| balancer.client_left(number));
         self.forget(held);
     }
 
@@ -310,7 +310,7 @@
         if let Some(held) = held {
             if matches!(answer, Answer::Rejected(_) | Answer::Failed) {
                 let how = if matches!(answer, Answer::Failed) { "failed" } else { "rejected" };
-                let left = held.left(self.clock.now());
+                let left = held.time_left(self.clock.now());
                 let line = || {
                     format!("request {} {how}, {left:.0} ms left: {}", text(held.job.id()), held.history())
                 };
@@ -322,7 +322,7 @@
     }
 
     /// Drops what nothing is owed for any more: an answered job with no attempt out.
-    fn forget(&self, held: &Held) {
+    fn forget(&self, held: &OpenRequest) {
         if held.out.get() == 0 && !held.relay.is_open() {
             self.held.borrow_mut().remove(&held.number);
             self.peers.over(&text(held.job.id()));
@@ -355,7 +355,7 @@
                 let permit = route.guard.attempt(&held, place, to)?;
                 // From its first byte on it can't be sent again.
                 if held.job.flows() {
-                    route.inbox.tell(move |balancer| balancer.spent(number));
+                    route.inbox.push(move |balancer| balancer.spent(number));
                 }
                 Some(permit)
             };
@@ -373,7 +373,7 @@
     }
 
     /// Waits until an attempt's time is over: its own, or what the job's last byte leaves it once that has come.
-    async fn over(&self, held: &Held, until: Instant) {
+    async fn over(&self, held: &OpenRequest, until: Instant) {
         if held.deadline.is_coming() {
             tokio::select! {
                 () = sleep_until(until) => return,
@@ -384,7 +384,14 @@
         sleep_until(until.min(self.clock.at(held.deadline.at()))).await;
     }
 
-    fn attempt_ended(&self, held: &Rc<Held>, place: usize, server: Address, mut attempt: Attempt, took: f64) {
+    fn attempt_ended(
+        &self,
+        held: &Rc<OpenRequest>,
+        place: usize,
+        server: Address,
+        mut attempt: Attempt,
+        took: f64,
+    ) {
         // Its caller left in the middle of the body: the server is not to blame.
         if attempt.end == ConnectionEnd::BrokenBefore && !held.relay.is_open() {
             attempt.end = ConnectionEnd::CalledOffBefore;
@@ -412,10 +419,10 @@
         }
         let (number, done) = (held.number, !held.relay.is_open());
         let ending = ConnectionEnd::ending(attempt.end);
-        self.inbox.tell(move |balancer| balancer.attempt_ended(number, place, ending, took, done));
+        self.inbox.push(move |balancer| balancer.attempt_ended(number, place, ending, took, done));
         match attempt.report {
             Some(Ok(report)) => {
-                self.inbox.tell(move |balancer| balancer.probe_answered(server, true, &report, took));
+                self.inbox.push(move |balancer| balancer.probe_answered(server, true, &report, took));
             }
             Some(Err(problem)) => self.prober.drop_report(&problem),
             None => {}
@@ -424,7 +431,7 @@
     }
 
     /// Counts an answer that ends in its middle, and says why.
-    fn note_of_break(&self, held: &Held) -> impl FnOnce(Broken) + 'static {
+    fn note_of_break(&self, held: &OpenRequest) -> impl FnOnce(BodyError) + 'static {
         let (id, due, clock) = (text(held.job.id()).into_owned(), held.deadline.at(), self.clock);
         let (book, log) = (self.book.clone(), self.broken.clone());
         move |problem| {
@@ -439,7 +446,7 @@
     }
 
     /// Rounds, as long as the node runs: one once something came in or a wake is due, no two closer than `round`.
-    pub async fn drive(self: Rc<Self>, mut balancer: Balancer, terms: Rc<InForce>) {
+    pub async fn run_rounds(self: Rc<Self>, mut balancer: Balancer, terms: Rc<InForce>) {
         let mut wake = NEVER;
         loop {
             tokio::select! {
@@ -466,7 +473,7 @@
 
 /// Carries out what the module decides.
 struct Decisions<'a> {
-    route: &'a Rc<Route>,
+    route: &'a Rc<Dispatcher>,
     now: f64,
     wake: f64,
 }
--- a/crates/pearfront-node/src/guard.rs
+++ b/crates/pearfront-node/src/guard.rs
@@ -2,15 +2,15 @@
 //! here. It looks for itself, at the act, and trusts nothing that was decided before; what it refuses does not happen. Behind
 //! the act it looks again, and counts what broke a rule all the same.
 
-use crate::book::Book;
-use crate::client::Client;
+use crate::client_connection::ClientConnection;
 use crate::clock::Clock;
+use crate::counters::Counters;
 use crate::discovery::Discovery;
+use crate::dispatcher::OpenRequest;
 use crate::lease::MARGIN;
 use crate::lifecycle::Lifecycle;
 use crate::logger::Limited;
-use crate::route::Held;
-use crate::wire::WritePermit;
+use crate::tracked_stream::WritePermit;
 use pearfront::interface::{Effect, Group};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -40,13 +40,13 @@
 pub struct Guard {
     discovery: Rc<Discovery>,
     clock: Clock,
-    book: Rc<Book>,
+    book: Rc<Counters>,
     refused: Limited,
     broken: Limited,
 }
 
 impl Guard {
-    pub fn new(discovery: Rc<Discovery>, clock: Clock, book: Rc<Book>) -> Rc<Self> {
+    pub fn new(discovery: Rc<Discovery>, clock: Clock, book: Rc<Counters>) -> Rc<Self> {
         Rc::new(Self { discovery, clock, book, refused: Limited::new(LINES), broken: Limited::new(LINES) })
     }
 
@@ -56,7 +56,12 @@
     }
 
     /// A permit to write an attempt: the `place`-th of its request.
-    pub fn attempt(self: &Rc<Self>, held: &Rc<Held>, place: usize, server: SocketAddr) -> Option<Rc<Permit>> {
+    pub fn attempt(
+        self: &Rc<Self>,
+        held: &Rc<OpenRequest>,
+        place: usize,
+        server: SocketAddr,
+    ) -> Option<Rc<Permit>> {
         let now = self.clock.now();
         let permit = Permit {
             guard: self.clone(),
@@ -64,7 +69,7 @@
             place,
             server,
             granted: now,
-            left: held.left(now),
+            left: held.time_left(now),
         };
         match self.enforced(permit.refusal(now)) {
             None => Some(Rc::new(permit)),
@@ -79,7 +84,7 @@
         refusal.filter(|_| Self::is_enforced())
     }
 
-    fn note(&self, held: &Held, server: SocketAddr, refusal: Refusal) {
+    fn note(&self, held: &OpenRequest, server: SocketAddr, refusal: Refusal) {
         self.book.guard_refused.add();
         self.refused.info(|| format!("request {}: attempt on {server} refused, {refusal:?}", held.id()));
     }
@@ -95,8 +100,8 @@
 
     /// A client's connection is closed: no request that was read on it may be without its answer, unless the client has ended
     /// it.
-    pub fn close(&self, caller: &Client, why: &str) {
-        if caller.has_open_request() && !caller.is_answered_early() && !caller.wire.has_ended() {
+    pub fn close(&self, caller: &ClientConnection, why: &str) {
+        if caller.has_open_request() && !caller.is_answered_early() && !caller.stream.has_ended() {
             self.book.violations_close.add();
             self.broken.info(|| format!("violation: a connection with an open request is closed, {why}"));
         }
@@ -123,7 +128,7 @@
 /// A permit to write one attempt, good for a moment.
 pub struct Permit {
     guard: Rc<Guard>,
-    held: Rc<Held>,
+    held: Rc<OpenRequest>,
     place: usize,
     server: SocketAddr,
     granted: f64,
@@ -134,13 +139,13 @@
 impl Permit {
     /// Has the request's client ended its connection?
     pub fn caller_has_left(&self) -> bool {
-        self.held.caller_has_left()
+        self.held.client_has_left()
     }
 
     fn refusal(&self, now: f64) -> Option<Refusal> {
         if !self.held.is_open() {
             Some(Refusal::Over)
-        } else if self.held.left(now) <= 0.0 {
+        } else if self.held.time_left(now) <= 0.0 {
             Some(Refusal::TooLate)
         } else if !self.guard.discovery.may_send(self.server) {
             Some(Refusal::NoLease)
@@ -163,13 +168,13 @@
                 let within = match profile.group {
                     Group::All => true,
                     Group::Zone => {
-                        place.zip(earlier.place).is_some_and(|(own, first)| own.zone == first.zone)
+                        place.zip(earlier.location).is_some_and(|(own, first)| own.zone == first.zone)
                     }
                     Group::Cell => {
-                        place.zip(earlier.place).is_some_and(|(own, first)| own.cell == first.cell)
+                        place.zip(earlier.location).is_some_and(|(own, first)| own.cell == first.cell)
                     }
                 };
-                (!within || now >= earlier.written + profile.window).then_some(Refusal::OutsideWindow)
+                (!within || now >= earlier.written_at + profile.window).then_some(Refusal::OutsideWindow)
             }
         }
     }
@@ -178,7 +183,7 @@
     fn violation(&self, now: f64) -> Option<&'static str> {
         if self.guard.discovery.is_overdue(self.server, now) {
             Some("sent behind the grace of a drain")
-        } else if self.held.left(now) + MARGIN < self.left {
+        } else if self.held.time_left(now) + MARGIN < self.left {
             Some("a server was told of more time than is left")
         } else if self.repeat_refusal(now - MARGIN).is_some() {
             Some("sent again although it may have run")
@@ -190,7 +195,7 @@
 
 impl WritePermit for Permit {
     fn may_write(&self) -> bool {
-        if self.held.caller_has_left() {
+        if self.held.client_has_left() {
             return false;
         }
         let refusal = self.guard.enforced(self.refusal(self.guard.clock.now()));
@@ -199,7 +204,7 @@
 
     fn written(&self) {
         let now = self.guard.clock.now();
-        self.held.note_written(self.place, now);
+        self.held.record_written(self.place, now);
         if let Some(violation) = self.violation(now) {
             let book = &self.guard.book;
             let count = if self.place == 0 { &book.violations_send } else { &book.violations_repeat };
--- a/crates/pearfront-node/src/handover.rs
+++ b/crates/pearfront-node/src/handover.rs
@@ -2,7 +2,7 @@
 //! open, and what each uses of the limits that they share. The one that serves listens at a socket in `$TMPDIR`, the
 //! next one to start calls there; what can't be understood leaves each as if it were alone.
 
-use crate::admit::{Room, Use};
+use crate::capacity::{Capacity, Usage};
 use crate::discovery::Discovery;
 use crate::lifecycle::{Lifecycle, State};
 use crate::logger::Seldom;
@@ -64,7 +64,7 @@
     ready: Cell<bool>,
     /// Has it said nothing for too long?
     silent: Cell<bool>,
-    uses: Cell<Use>,
+    uses: Cell<Usage>,
     ids: RefCell<HashSet<String>>,
     /// Rung when it does not read what it is told.
     lost: Notify,
@@ -91,7 +91,7 @@
     others: RefCell<Vec<Rc<Other>>>,
     /// The ids open here.
     ids: RefCell<HashSet<String>>,
-    pub room: Rc<Room>,
+    pub room: Rc<Capacity>,
     life: Rc<Lifecycle>,
     greeted: Notify,
     /// Rung when the last other process has gone.
@@ -100,7 +100,7 @@
 }
 
 impl Peers {
-    pub fn new(room: Rc<Room>, life: Rc<Lifecycle>) -> Rc<Self> {
+    pub fn new(room: Rc<Capacity>, life: Rc<Lifecycle>) -> Rc<Self> {
         let (others, ids, greeted) = (RefCell::default(), RefCell::default(), Notify::new());
         Rc::new(Self { others, ids, room, life, greeted, alone: Notify::new(), failing: Seldom::default() })
     }
@@ -242,7 +242,7 @@
             biased;
             word = words.recv() => word,
             _ = tick.tick() => {
-                let Use { connections, bytes } = self.room.uses();
+                let Usage { connections, bytes } = self.room.usage();
                 Some(Word::Uses { connections, bytes })
             }
         }
@@ -292,7 +292,7 @@
                 self.greeted.notify_waiters();
             }
             Word::Ready => other.ready.set(true),
-            Word::Uses { connections, bytes } => other.uses.set(Use { connections, bytes }),
+            Word::Uses { connections, bytes } => other.uses.set(Usage { connections, bytes }),
             Word::Open(id) => drop(other.ids.borrow_mut().insert(id)),
             Word::Over(id) => drop(other.ids.borrow_mut().remove(&id)),
         }
@@ -304,7 +304,7 @@
     fn share(&self) {
         let others = self.others.borrow();
         let known: Vec<_> = others.iter().filter(|other| other.greeted.get()).collect();
-        self.room.share(&known.iter().map(|other| other.uses.get()).collect::<Vec<_>>());
+        self.room.set_others(&known.iter().map(|other| other.uses.get()).collect::<Vec<_>>());
         self.life.succeeded(known.iter().any(|other| other.ready.get() && !other.silent.get()));
     }
 }
--- a/crates/pearfront-node/src/overdue.rs
+++ b/crates/pearfront-node/src/late_answers.rs
@@ -1,6 +1,6 @@
 //! Counts answers that came too late or never, and tells why.
 
-use crate::book::Book;
+use crate::counters::Counters;
 use crate::logger::Limited;
 use hyper::StatusCode;
 use hyper::header::HeaderValue;
@@ -24,14 +24,14 @@
 }
 
 /// Counts answers that came too late or never, and tells why.
-pub struct Overdue {
-    book: Rc<Book>,
+pub struct LateAnswers {
+    book: Rc<Counters>,
     late: Limited,
     never: Limited,
 }
 
-impl Overdue {
-    pub fn new(book: Rc<Book>) -> Self {
+impl LateAnswers {
+    pub fn new(book: Rc<Counters>) -> Self {
         Self { book, late: Limited::new(LINES), never: Limited::new(LINES) }
     }
 
--- a/crates/pearfront-node/src/main.rs
+++ b/crates/pearfront-node/src/main.rs
@@ -1,53 +1,55 @@
 //! One node: the decision module on real sockets, the same program before every tier.
 
 mod accept;
+mod accept_queue;
 mod admin;
-mod admit;
+mod answer_sender;
 mod arrival;
-mod book;
-mod client;
+mod capacity;
+mod client_connection;
+mod client_service;
 mod clock;
 mod config;
 mod confirm;
+mod counters;
 mod deadline;
 mod dial;
 mod discovery;
-mod established;
-mod flow;
+mod dispatcher;
 mod framing;
 mod guard;
 mod handover;
 mod inherited;
+mod late_answers;
 mod lease;
 mod lifecycle;
 mod logger;
 mod message;
-mod overdue;
 mod probe;
 mod pulse;
-mod queue;
-mod relay;
-mod route;
+mod read_gate;
 mod send;
+mod streaming;
 mod system;
-mod take_in;
+mod tcp_info;
 mod terms;
 #[cfg(test)]
 mod test_support;
-mod unread;
+mod tracked_stream;
 mod upload;
 mod wall_clock;
 mod watch;
-mod wire;
 
 use accept::Acceptor;
 use admin::Admin;
-use admit::Room;
-use book::Book;
+use capacity::Capacity;
+use client_service::ClientService;
 use clock::Clock;
 use config::Config;
 use confirm::Confirmer;
+use counters::Counters;
 use discovery::Discovery;
+use dispatcher::{Dispatcher, EventQueue};
 use guard::Guard;
 use handover::Peers;
 use lifecycle::Lifecycle;
@@ -56,7 +58,6 @@
 use pearfront::policy::Balancer;
 use pearfront_cluster::Cluster;
 use probe::Prober;
-use route::{Inbox, Route};
 use send::Senders;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -66,7 +67,6 @@
 use std::rc::Rc;
 use std::time::Duration;
 use system::patiently;
-use take_in::TakeIn;
 use terms::{InForce, Terms};
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::runtime::Builder;
@@ -152,18 +152,18 @@
         );
         spawn_local(Admin::new(life.clone(), cluster.clone()).serve(operators));
     }
-    spawn_local(take_in.clone().let_go());
-    let guard = take_in.route.guard.clone();
+    spawn_local(take_in.clone().close_in_drain());
+    let guard = take_in.dispatcher.guard.clone();
     spawn_local(start(shared, place, life.clone(), guard, discovery.clone()));
-    spawn_local(print_counters(show, book.clone(), take_in.room.clone(), cluster.clone()));
+    spawn_local(print_counters(show, book.clone(), take_in.capacity.clone(), cluster.clone()));
     spawn_local(read_again(again, as_written, terms.clone(), discovery, take_in.clone()));
-    let (clock, last) = (take_in.route.clock, Cell::new(f64::INFINITY));
+    let (clock, last) = (take_in.dispatcher.clock, Cell::new(f64::INFINITY));
     let ended = async {
         tokio::select! {
             _ = end.recv() => {}
             _ = interrupt.recv() => {}
         }
-        log::info!("told to end, {} jobs held", take_in.room.jobs());
+        log::info!("told to end, {} jobs held", take_in.capacity.open_requests());
         if let Some(cluster) = &cluster
             && let Err(problem) = cluster.take_permit(PERMIT).await
         {
@@ -172,21 +172,23 @@
         let longest = terms.now().around.longest_deadline.min(LONGEST_COUNTED) + AFTER_LIMIT;
         last.set(clock.now() + longest);
         let answered = last.get() - LAST_ANSWERS;
-        life.end(clock.at(answered - take_in::LAST_SERVED).saturating_duration_since(Instant::now()));
-        take_in.route.inbox.tell(move |balancer| balancer.closing(answered));
+        life.end(
+            clock.at(answered - client_service::CLOSING_PERIOD_MS).saturating_duration_since(Instant::now()),
+        );
+        take_in.dispatcher.inbox.push(move |balancer| balancer.closing(answered));
         answered
     };
     Acceptor::new(listener, shared, take_in.clone()).run(ended).await;
-    if timeout_at(clock.at(last.get()), take_in.finish()).await.is_err() {
+    if timeout_at(clock.at(last.get()), take_in.close_all()).await.is_err() {
         // Whatever they still wait for, also where the process stood still beyond its last moment.
-        take_in.route.expire_all();
-        if timeout(LAST_WRITES, take_in.finish()).await.is_err() {
-            log::warn!("ended with {} jobs unanswered", take_in.room.jobs());
-            take_in.never_answered("the process ends");
-            take_in.route.guard.end(take_in.room.unanswered());
+        take_in.dispatcher.expire_all();
+        if timeout(LAST_WRITES, take_in.close_all()).await.is_err() {
+            log::warn!("ended with {} jobs unanswered", take_in.capacity.open_requests());
+            take_in.log_unanswered("the process ends");
+            take_in.dispatcher.guard.end(take_in.capacity.unanswered_requests());
         }
     }
-    log::info!("{book} {}{}", take_in.room, beside(cluster.as_ref()));
+    log::info!("{book} {}{}", take_in.capacity, beside(cluster.as_ref()));
     if let Some(cluster) = cluster {
         cluster.leave();
     }
@@ -244,7 +246,12 @@
     counters.iter().map(|(name, value)| format!(" {name}={value}")).collect()
 }
 
-async fn print_counters(mut show: Signal, book: Rc<Book>, room: Rc<Room>, cluster: Option<Rc<Cluster>>) {
+async fn print_counters(
+    mut show: Signal,
+    book: Rc<Counters>,
+    room: Rc<Capacity>,
+    cluster: Option<Rc<Cluster>>,
+) {
     while show.recv().await.is_some() {
         log::info!("{book} {room}{}", beside(cluster.as_ref()));
     }
@@ -257,13 +264,13 @@
     mut as_written: serde_json::Value,
     terms: Rc<InForce>,
     discovery: Rc<Discovery>,
-    take_in: Rc<TakeIn>,
+    take_in: Rc<ClientService>,
 ) {
     while again.recv().await.is_some() {
         match config::read_again(&as_written) {
             Ok(config) => {
                 discovery.move_to(config.discovery);
-                take_in.room.limit(config.sockets, config.memory_mb);
+                take_in.capacity.set_limits(config.sockets, config.memory_mb);
                 let same = config.as_written["settings"] == as_written["settings"];
                 let which = if same { "the same" } else { "new" };
                 log::info!("configuration read again, discovery at {}, {which} settings", config.discovery);
@@ -278,19 +285,23 @@
 }
 
 /// New terms: jobs whose head is read from now on come under them.
-fn retune(in_force: &InForce, terms: Terms, take_in: &TakeIn) {
+fn retune(in_force: &InForce, terms: Terms, take_in: &ClientService) {
     let terms = Rc::new(terms);
     in_force.swap(terms.clone());
-    take_in.route.inbox.tell(move |balancer| balancer.retune(terms.settings.clone()));
+    take_in.dispatcher.inbox.push(move |balancer| balancer.retune(terms.settings.clone()));
 }
 
 /// Puts the stages together and starts what runs by itself.
-fn build(config: Config, terms: &Rc<InForce>, life: Rc<Lifecycle>) -> (Rc<TakeIn>, Rc<Book>, Rc<Discovery>) {
+fn build(
+    config: Config,
+    terms: &Rc<InForce>,
+    life: Rc<Lifecycle>,
+) -> (Rc<ClientService>, Rc<Counters>, Rc<Discovery>) {
     let clock = Clock::start();
-    let book = Rc::new(Book::default());
+    let book = Rc::new(Counters::default());
     let settings = terms.now().settings.clone();
-    let room = Room::new(config.sockets, config.memory_mb);
-    let inbox = Rc::new(Inbox::default());
+    let room = Capacity::new(config.sockets, config.memory_mb);
+    let inbox = Rc::new(EventQueue::default());
     let senders = Senders::new(terms.clone(), room.clone(), book.clone());
     let peers = Peers::new(room.clone(), life.clone());
     let discovery = Discovery::new(
@@ -325,14 +336,15 @@
         out: Cell::new(0),
     });
     let confirmer = Confirmer::new(discovery.clone(), prober.clone(), inbox.clone(), terms.clone(), clock);
-    let route = Route::new(clock, inbox, senders.clone(), discovery.clone(), prober, book.clone(), peers);
+    let route =
+        Dispatcher::new(clock, inbox, senders.clone(), discovery.clone(), prober, book.clone(), peers);
     discovery.tell(config.known, true);
     if !settings.listed_on_request {
         discovery.watch();
     }
     spawn_local(senders.clone().sweep());
     spawn_local(confirmer.run(stream(2)));
-    spawn_local(room.clone().close_unfinished(book.clone()));
-    spawn_local(route.clone().drive(Balancer::new((*settings).clone(), config.seed), terms.clone()));
-    (TakeIn::new(route, room, senders, terms.clone(), book.clone(), life), book, discovery)
+    spawn_local(room.clone().close_incomplete(book.clone()));
+    spawn_local(route.clone().run_rounds(Balancer::new((*settings).clone(), config.seed), terms.clone()));
+    (ClientService::new(route, room, senders, terms.clone(), book.clone(), life), book, discovery)
 }
--- a/crates/pearfront-node/src/message.rs
+++ b/crates/pearfront-node/src/message.rs
@@ -9,10 +9,10 @@
 mod request;
 mod servers;
 
-pub use body::{Body, whole_of};
-pub use clients::{Answer, Call, decode_call, encode_malformed, encode_up, last_on_connection};
+pub use body::{Body, read_whole};
+pub use clients::{Answer, ClientCall, decode_client_call, encode_malformed, encode_up, last_on_connection};
 pub use discovery::{Line, List, decode_known, decode_list, encode_list, encode_watch};
 pub use load_report::{decode_report, decode_report_of};
 pub use operators::{AdminCall, decode_admin, encode_admin, encode_conflict, encode_no_call, encode_view};
-pub use request::{Job, JobBody};
+pub use request::{ClientRequest, RequestBody};
 pub use servers::{Reply, decode_end, decode_reply, encode_probe};
--- a/crates/pearfront-node/src/message/body.rs
+++ b/crates/pearfront-node/src/message/body.rs
@@ -1,6 +1,6 @@
 //! What messages of all kinds are made of: bodies, plain responses and requests without a body.
 
-use crate::flow::Flow;
+use crate::streaming::StreamedBody;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Either, Full, Limited};
 use hyper::body::Incoming;
@@ -8,10 +8,10 @@
 use hyper::{Request, Response, StatusCode};
 
 /// A body that is kept whole, or one that flows.
-pub type Body = Either<Full<Bytes>, Flow>;
+pub type Body = Either<Full<Bytes>, StreamedBody>;
 
 /// A response's whole body, of at most so many bytes.
-pub async fn whole_of(body: Incoming, most: usize) -> Result<Bytes, ()> {
+pub async fn read_whole(body: Incoming, most: usize) -> Result<Bytes, ()> {
     Ok(Limited::new(body, most).collect().await.map_err(|_| ())?.to_bytes())
 }
 
--- a/crates/pearfront-node/src/message/clients.rs
+++ b/crates/pearfront-node/src/message/clients.rs
@@ -1,7 +1,7 @@
 //! What a node and its clients exchange: what they ask of it, and its final answers.
 
 use super::body::{Body, plain};
-use super::request::Job;
+use super::request::ClientRequest;
 use super::servers::Reply;
 use crate::terms::Terms;
 use http_body_util::Either;
@@ -11,23 +11,27 @@
 use std::rc::Rc;
 
 /// What a client asks of a node.
-pub enum Call {
+pub enum ClientCall {
     /// Is the node up?
     Up,
     /// A request for one of the servers.
-    Job(Box<Job>),
+    Request(Box<ClientRequest>),
 }
 
 /// Decodes a request's head. The error says what is wrong with it. `lengths` tells whether a length may have stood in
 /// it: where chunks come as well, hyper drops the length, and the body may hide another request from one of two readers.
-pub fn decode_call(head: request::Parts, terms: &Rc<Terms>, lengths: bool) -> Result<Call, String> {
+pub fn decode_client_call(
+    head: request::Parts,
+    terms: &Rc<Terms>,
+    lengths: bool,
+) -> Result<ClientCall, String> {
     if lengths && is_chunked(&head.headers) {
         return Err("both a length and chunks".into());
     }
     if head.method == Method::GET && head.uri.path() == "/up" {
-        return Ok(Call::Up);
+        return Ok(ClientCall::Up);
     }
-    Ok(Call::Job(Box::new(Job::decode(head, terms)?)))
+    Ok(ClientCall::Request(Box::new(ClientRequest::decode(head, terms)?)))
 }
 
 fn is_chunked(headers: &HeaderMap) -> bool {
--- a/crates/pearfront-node/src/message/request.rs
+++ b/crates/pearfront-node/src/message/request.rs
@@ -2,7 +2,7 @@
 
 use super::body::{Body, whole};
 use super::headers::{CUSTOMER, ID, IDEMPOTENCY_KEY, TIME_LEFT, end_to_end, text};
-use crate::flow::Flow;
+use crate::streaming::StreamedBody;
 use crate::terms::Terms;
 use crate::upload::Pieces;
 use bytes::Bytes;
@@ -19,7 +19,7 @@
 const LONGEST_LEFT: f64 = 24.0 * 3_600_000.0;
 
 /// A client's request: its head, and its body once that has come whole.
-pub struct Job {
+pub struct ClientRequest {
     /// The terms in force when its head was read.
     pub terms: Rc<Terms>,
     pub profile: usize,
@@ -27,21 +27,21 @@
     pub non_idempotent: bool,
     /// How long the client will wait, ms.
     pub left: f64,
-    pub body: JobBody,
+    pub body: RequestBody,
     method: Method,
     target: Uri,
     headers: HeaderMap,
 }
 
 /// A request's body.
-pub enum JobBody {
+pub enum RequestBody {
     /// Kept, and so it can be sent again.
     Whole(Bytes),
     /// Too large to be kept: what came first, and the rest for the first attempt that asks for it.
     Flowing { first: Bytes, rest: RefCell<Option<Pieces>>, length: Option<u64> },
 }
 
-impl Job {
+impl ClientRequest {
     /// Decodes a request's head, its body still to come. The error says what is wrong with it.
     pub(super) fn decode(head: request::Parts, terms: &Rc<Terms>) -> Result<Self, String> {
         let profile = decode_profile(&head, &terms.around)?;
@@ -61,7 +61,7 @@
             customer,
             non_idempotent: effect == Effect::NonIdempotent,
             left,
-            body: JobBody::Whole(Bytes::new()),
+            body: RequestBody::Whole(Bytes::new()),
             method: head.method,
             target: head.uri,
             headers,
@@ -75,15 +75,15 @@
 
     /// Is its body too large to be kept, so that it can be sent only once?
     pub fn flows(&self) -> bool {
-        matches!(self.body, JobBody::Flowing { .. })
+        matches!(self.body, RequestBody::Flowing { .. })
     }
 
     /// The request as an attempt that will be waited for so long; none if its body has been sent and was not kept.
     pub fn encode(&self, wait: f64) -> Option<Request<Body>> {
         let mut attempt = Request::new(match &self.body {
-            JobBody::Whole(body) => whole(body.clone()),
-            JobBody::Flowing { first, rest, length } => {
-                Either::Right(Flow::fed(first.clone(), rest.take()?.claim(), *length))
+            RequestBody::Whole(body) => whole(body.clone()),
+            RequestBody::Flowing { first, rest, length } => {
+                Either::Right(StreamedBody::from_channel(first.clone(), rest.take()?.claim(), *length))
             }
         });
         *attempt.method_mut() = self.method.clone();
--- a/crates/pearfront-node/src/message/servers.rs
+++ b/crates/pearfront-node/src/message/servers.rs
@@ -2,8 +2,8 @@
 
 use super::body::{Body, get, whole};
 use super::headers::{NEVER_RAN, REPORT, end_to_end, text};
-use crate::flow::{Flow, Start};
 use crate::send::ConnectionEnd;
+use crate::streaming::{BodyStart, StreamedBody};
 use http_body_util::Either;
 use hyper::header::{self, HeaderMap};
 use hyper::http::response;
@@ -40,12 +40,12 @@
 }
 
 /// The reply that goes on to the client, without what only a node is to know.
-pub fn decode_reply(head: response::Parts, body: Start) -> Reply {
+pub fn decode_reply(head: response::Parts, body: BodyStart) -> Reply {
     let mut headers = end_to_end(head.headers);
     headers.remove(REPORT);
     let body = match body {
-        Start::Whole(body) => whole(body),
-        Start::Begun(first, rest) => Either::Right(Flow::answer(first, rest)),
+        BodyStart::Complete(body) => whole(body),
+        BodyStart::Partial(first, rest) => Either::Right(StreamedBody::from_answer(first, rest)),
     };
     Reply { headers, body }
 }
--- a/crates/pearfront-node/src/probe.rs
+++ b/crates/pearfront-node/src/probe.rs
@@ -1,12 +1,12 @@
 //! Probes: one small call to a server, whose answer the load table gets.
 
-use crate::book::Book;
 use crate::clock::Clock;
+use crate::counters::Counters;
 use crate::discovery::Discovery;
+use crate::dispatcher::EventQueue;
 use crate::guard::Guard;
 use crate::logger::{Limited, Seldom};
 use crate::message;
-use crate::route::Inbox;
 use crate::send::Senders;
 use crate::terms::InForce;
 use pearfront::interface::Address;
@@ -48,9 +48,9 @@
 /// Probes servers, and tells the module and discovery what they answer.
 pub struct Prober {
     pub senders: Rc<Senders>,
-    pub inbox: Rc<Inbox>,
+    pub inbox: Rc<EventQueue>,
     pub terms: Rc<InForce>,
-    pub book: Rc<Book>,
+    pub book: Rc<Counters>,
     pub discovery: Rc<Discovery>,
     pub guard: Rc<Guard>,
     pub clock: Clock,
@@ -94,7 +94,7 @@
             // The server is well, and what was known of it stays.
             Ok(Err(problem)) => return self.drop_report(&problem),
         };
-        self.inbox.tell(move |balancer| {
+        self.inbox.push(move |balancer| {
             balancer.probe_answered(address, report.is_some(), &report.unwrap_or_default(), took);
         });
     }
--- a/crates/pearfront-node/src/unread.rs
+++ b/crates/pearfront-node/src/read_gate.rs
@@ -11,7 +11,7 @@
 
 /// How far a client's connection may be read. Positions count bytes from the beginning of the connection.
 #[derive(Default)]
-pub struct Unread {
+pub struct ReadGate {
     /// Position up to which bytes were read.
     read: Cell<u64>,
     /// Is a request that has been handed out without its answer?
@@ -26,7 +26,7 @@
     reader: RefCell<Option<Waker>>,
 }
 
-impl Unread {
+impl ReadGate {
     pub fn position(&self) -> u64 {
         self.read.get()
     }
--- a/crates/pearfront-node/src/send.rs
+++ b/crates/pearfront-node/src/send.rs
@@ -10,9 +10,9 @@
 pub use connection_end::ConnectionEnd;
 pub use link::{BUFFER, Link};
 
-use crate::admit::Room;
-use crate::book::Book;
+use crate::capacity::Capacity;
 use crate::clock::ms;
+use crate::counters::Counters;
 use crate::dial::Dialer;
 use crate::logger::Seldom;
 use crate::terms::InForce;
@@ -44,13 +44,13 @@
     break_rates: BreakRates,
     dialer: Dialer,
     terms: Rc<InForce>,
-    room: Rc<Room>,
-    book: Rc<Book>,
+    room: Rc<Capacity>,
+    book: Rc<Counters>,
     crowded: Seldom,
 }
 
 impl Senders {
-    pub fn new(terms: Rc<InForce>, room: Rc<Room>, book: Rc<Book>) -> Rc<Self> {
+    pub fn new(terms: Rc<InForce>, room: Rc<Capacity>, book: Rc<Counters>) -> Rc<Self> {
         Rc::new(Self {
             idle: RefCell::default(),
             break_rates: BreakRates::default(),
@@ -122,8 +122,8 @@
         self.wait_for_place().await;
         self.book.connections.add();
         let limit = ms(self.terms.now().around.connect_timeout);
-        let open = async || Link::open(server, self.room.place()).await.map_err(drop);
-        self.dialer.dial(limit, open, || self.room.has_place()).await
+        let open = async || Link::open(server, self.room.take_slot()).await.map_err(drop);
+        self.dialer.dial(limit, open, || self.room.has_slot()).await
     }
 
     /// Takes a connection back whose message has been answered whole. One that does not become free again is closed.
@@ -139,7 +139,7 @@
 
     /// Is there a descriptor for one more connection?
     pub fn has_room(&self) -> bool {
-        self.room.has_place()
+        self.room.has_slot()
     }
 
     /// Closes the idle connections to a server that has gone or started anew.
@@ -150,35 +150,36 @@
     /// Room for one more connection to a server; if need be idle ones are closed for it: servers' go first unless callers
     /// hold most.
     fn make_place(&self) -> bool {
-        let crowding = || self.room.callers_crowd() && self.room.close_spare();
-        if self.room.has_place() {
+        let crowding = || self.room.clients_hold_most() && self.room.evict_client();
+        if self.room.has_slot() {
             return true;
         }
         // What is closed makes room where there may be one more, and no further one for whoever has all of its own.
         if crowding() || !self.close_one() {
             // Where callers crowd this is a second one: with one alone more of the servers' connections had to go.
-            self.room.close_spare();
+            self.room.evict_client();
         }
-        self.room.has_last_place()
+        self.room.has_reserve_slot()
     }
 
     /// Room for one more caller, whose request may lie on its connection: for each that is let in beyond the ordinary most
     /// one goes that has none.
     pub fn make_caller_place(&self) -> bool {
-        if self.room.has_caller_place() {
+        if self.room.has_client_slot() {
             return true;
         }
-        let close_server = || self.room.servers_exceed_their_part() && self.close_one();
-        let _ = !self.room.callers_crowd() && close_server() || self.room.close_spare() || close_server();
-        self.room.has_last_caller_place()
+        let close_server = || self.room.servers_exceed_share() && self.close_one();
+        let _ =
+            !self.room.clients_hold_most() && close_server() || self.room.evict_client() || close_server();
+        self.room.has_reserve_client_slot()
     }
 
     /// Requests are let in only as far as there can be connections for them: one is free in a moment.
     async fn wait_for_place(&self) {
-        let _waiting = self.room.wait();
+        let _waiting = self.room.register_waiter();
         while !self.make_place() {
             self.crowded.warn("an attempt waits for a descriptor");
-            self.room.freed().await;
+            self.room.slot_may_be_free().await;
         }
     }
 
--- a/crates/pearfront-node/src/send/attempt.rs
+++ b/crates/pearfront-node/src/send/attempt.rs
@@ -3,10 +3,10 @@
 use super::Senders;
 use super::connection_end::ConnectionEnd;
 use super::link::Link;
-use crate::flow::Start;
 use crate::guard::Permit;
-use crate::message::{self, Job, Reply};
-use crate::wire::Wire;
+use crate::message::{self, ClientRequest, Reply};
+use crate::streaming::BodyStart;
+use crate::tracked_stream::TrackedStream;
 use http_body_util::Either;
 use hyper::http::response;
 use std::cell::OnceCell;
@@ -37,14 +37,14 @@
     pub async fn attempt(
         self: &Rc<Self>,
         server: SocketAddr,
-        request: &Job,
+        request: &ClientRequest,
         over: impl Future<Output = ()>,
         closed: impl Future<Output = ()>,
         permit: impl Fn() -> Option<Rc<Permit>>,
         called_off: impl Future<Output = ()>,
     ) -> Attempt {
         let (mut link, wire) = (None, OnceCell::new());
-        let written = || wire.get().is_some_and(|wire: &Rc<Wire>| wire.whole_written());
+        let written = || wire.get().is_some_and(|wire: &Rc<TrackedStream>| wire.is_fully_written());
         let exchange = self.exchange(&mut link, &wire, server, request, permit);
         let closed_before = async {
             closed.await;
@@ -65,9 +65,9 @@
     async fn exchange(
         &self,
         place: &mut Option<Link>,
-        wire: &OnceCell<Rc<Wire>>,
+        wire: &OnceCell<Rc<TrackedStream>>,
         server: SocketAddr,
-        request: &Job,
+        request: &ClientRequest,
         permit: impl Fn() -> Option<Rc<Permit>>,
     ) -> Attempt {
         // A server may have closed a kept connection without our knowing yet. Where that happens, a request that could
@@ -76,31 +76,31 @@
         let link = if new { self.renewed_link(server).await } else { self.link(server).await };
         let Ok(link) = link else { return Attempt::ended(ConnectionEnd::NeverUp) };
         // What was written on it before belongs to another message.
-        link.wire.expect(Some(0));
+        link.wire.begin_message(Some(0));
         wire.get_or_init(|| link.wire.clone());
         let link = place.insert(link);
         let encoded = permit().and_then(|permit| Some((request.encode(permit.left)?, permit)));
         let Some((encoded, permit)) = encoded else {
             return Attempt::ended(ConnectionEnd::NotSent);
         };
-        link.wire.write_with(permit.clone());
+        link.wire.set_write_permit(permit.clone());
         let answer = link.begin(encoded).await;
-        if link.wire.is_withheld() {
+        if link.wire.was_withheld() {
             let gone = permit.caller_has_left();
             return Attempt::ended(if gone { ConnectionEnd::CallerGone } else { ConnectionEnd::Withheld });
         }
-        self.break_rates.record(link.kept, answer.is_err() && !link.wire.has_begun());
+        self.break_rates.record(link.kept, answer.is_err() && !link.wire.has_received());
         match answer {
             Ok((head, body)) => self.read(head, body),
-            Err(_) if !link.wire.whole_written() => Attempt::ended(ConnectionEnd::BrokenBefore),
+            Err(_) if !link.wire.is_fully_written() => Attempt::ended(ConnectionEnd::BrokenBefore),
             Err(_) => Attempt::ended(ConnectionEnd::BrokenAfter),
         }
     }
 
-    fn read(&self, head: response::Parts, body: Start) -> Attempt {
+    fn read(&self, head: response::Parts, body: BodyStart) -> Attempt {
         let report = message::decode_report_of(&head, &self.terms.now().around);
         let end = message::decode_end(&head);
-        let is_whole = matches!(body, Start::Whole(_));
+        let is_whole = matches!(body, BodyStart::Complete(_));
         let reply = (end == ConnectionEnd::Served).then(|| message::decode_reply(head, body));
         Attempt { end, reply, is_whole, report }
     }
@@ -115,8 +115,8 @@
         let senders = self.clone();
         match attempt.reply.as_mut().map(|reply| &mut reply.body) {
             // Its connection is free again once the last byte of the answer has been passed on.
-            Some(Either::Right(flow)) => flow.at_end(move || senders.keep_link(server, link)),
-            _ if attempt.is_whole && (attempt.end == NotSent || link.wire.whole_written()) => {
+            Some(Either::Right(flow)) => flow.on_end(move || senders.keep_link(server, link)),
+            _ if attempt.is_whole && (attempt.end == NotSent || link.wire.is_fully_written()) => {
                 senders.keep_link(server, link);
             }
             _ => {}
--- a/crates/pearfront-node/src/send/connection_end.rs
+++ b/crates/pearfront-node/src/send/connection_end.rs
@@ -1,6 +1,6 @@
 //! How the connection of an attempt ended, and what that says of the attempt.
 
-use crate::book::Book;
+use crate::counters::Counters;
 use pearfront::interface::Ending;
 
 /// Every way in which an attempt's connection can end.
@@ -58,7 +58,7 @@
     }
 
     /// Counted as what the module is told, but for what on-call staff look for by itself.
-    pub fn count(self, book: &Book) {
+    pub fn count(self, book: &Counters) {
         let count = match self.ending() {
             Ending::Error if self == Self::Malformed => &book.attempt_malformed,
             Ending::CalledOff if self == Self::TurnedDown => &book.attempt_turned_down,
--- a/crates/pearfront-node/src/send/link.rs
+++ b/crates/pearfront-node/src/send/link.rs
@@ -1,10 +1,10 @@
 //! One open connection to a server or to discovery, which carries one message at a time.
 
-use crate::admit::Place;
-use crate::flow::{self, MOST_WHOLE, Start};
+use crate::capacity::ConnectionSlot;
 use crate::message::{self, Body};
+use crate::streaming::{self, BodyStart, MAX_BUFFERED_BYTES};
 use crate::system::is_local;
-use crate::wire::{Socket, Wire};
+use crate::tracked_stream::{HyperIo, TrackedStream};
 use bytes::Bytes;
 use http_body_util::Either;
 use hyper::Request;
@@ -31,7 +31,7 @@
 /// An open connection to a server; closed when dropped, whatever is still on it.
 pub struct Link {
     sender: SendRequest<Body>,
-    pub wire: Rc<Wire>,
+    pub wire: Rc<TrackedStream>,
     /// Has another message been on it before?
     pub(super) kept: bool,
     served_by: AbortHandle,
@@ -48,7 +48,7 @@
     ///
     /// # Errors
     /// Where no connection comes up. One that this machine could not begin is begun again.
-    pub async fn open(address: SocketAddr, place: Place) -> io::Result<Self> {
+    pub async fn open(address: SocketAddr, place: ConnectionSlot) -> io::Result<Self> {
         let mut tries = 0;
         let stream = loop {
             match TcpStream::connect(address).await {
@@ -57,8 +57,8 @@
             }
             tries += 1;
         };
-        let wire = Wire::to_server(stream, place);
-        let handshake = Builder::new().max_buf_size(BUFFER).handshake(Socket(wire.clone())).await;
+        let wire = TrackedStream::to_server(stream, place);
+        let handshake = Builder::new().max_buf_size(BUFFER).handshake(HyperIo(wire.clone())).await;
         let (sender, connection) = handshake.map_err(io::Error::other)?;
         let served_by = spawn_local(async move {
             // How it ended shows on the attempt itself.
@@ -70,26 +70,29 @@
     /// Sends a message and waits for its answer's head and whole body of at most so many bytes.
     pub async fn ask(&mut self, call: Request<Body>, most: usize) -> Result<(response::Parts, Bytes), ()> {
         let (head, body) = self.send(call).await?;
-        Ok((head, message::whole_of(body, most).await?))
+        Ok((head, message::read_whole(body, most).await?))
     }
 
     /// Sends a message and waits for its answer's head and as much of its body as is kept whole.
-    pub(super) async fn begin(&mut self, mut call: Request<Body>) -> Result<(response::Parts, Start), ()> {
+    pub(super) async fn begin(
+        &mut self,
+        mut call: Request<Body>,
+    ) -> Result<(response::Parts, BodyStart), ()> {
         if let Either::Right(flow) = call.body_mut() {
             let wire = self.wire.clone();
-            flow.at_end(move || wire.last_chunk());
+            flow.on_end(move || wire.expect_final_chunk());
         }
         let (head, body) = self.send(call).await?;
         // Said to be large, it flows from its first byte on.
         let least = hyper::body::Body::size_hint(&body).lower();
-        let most = if least > MOST_WHOLE as u64 { 0 } else { MOST_WHOLE };
-        let body = flow::start(body, most, flow::STALLED, true).await.map_err(|_| ())?;
+        let most = if least > MAX_BUFFERED_BYTES as u64 { 0 } else { MAX_BUFFERED_BYTES };
+        let body = streaming::read_start(body, most, streaming::STALL_TIMEOUT, true).await.map_err(|_| ())?;
         Ok((head, body))
     }
 
     /// Sends a message and waits for its answer's head.
     pub async fn send(&mut self, call: Request<Body>) -> Result<(response::Parts, Incoming), ()> {
-        self.wire.expect(hyper::body::Body::size_hint(call.body()).exact());
+        self.wire.begin_message(hyper::body::Body::size_hint(call.body()).exact());
         Ok(self.sender.send_request(call).await.map_err(|_| ())?.into_parts())
     }
 
--- a/crates/pearfront-node/src/send/tests.rs
+++ b/crates/pearfront-node/src/send/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use crate::flow::Flow;
-use crate::message::{Call, Job, decode_call};
+use crate::message::{ClientCall, ClientRequest, decode_client_call};
+use crate::streaming::StreamedBody;
 use crate::terms::Terms;
 use bytes::Bytes;
 use http_body_util::Either;
@@ -20,7 +20,7 @@
     let server = listener.local_addr().unwrap();
     let around = Surroundings { connect_timeout: 10_000.0, conn_idle: 1e6, ..Surroundings::default() };
     let terms = InForce::new(Terms { around, ..Terms::default() });
-    (listener, server, Senders::new(terms, Room::new(64, 1.0), Rc::default()))
+    (listener, server, Senders::new(terms, Capacity::new(64, 1.0), Rc::default()))
 }
 
 // What a server closed while idle must not cost a request its only attempt.
@@ -107,7 +107,7 @@
             ..Surroundings::default()
         };
         let terms = InForce::new(Terms { around, ..Terms::default() });
-        let senders = Senders::new(terms, Room::new(64, 1.0), Rc::default());
+        let senders = Senders::new(terms, Capacity::new(64, 1.0), Rc::default());
         tokio::task::LocalSet::new().block_on(&runtime, async {
             let begun = Instant::now();
             let room_again = async {
@@ -131,8 +131,8 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let mut clients = Vec::new();
-        while senders.room.has_last_caller_place() {
-            clients.push(senders.room.caller_place());
+        while senders.room.has_reserve_client_slot() {
+            clients.push(senders.room.take_client_slot());
         }
         let link = senders.link(server).await.unwrap();
         let _kept = listener.accept().unwrap().0;
@@ -157,7 +157,7 @@
         let mut accepted = listener.accept().unwrap().0;
         // The body is never whole: the message is on its way for as long as this end of it is kept.
         let (_pieces, rest) = mpsc::unbounded_channel();
-        let body = Either::Right(Flow::fed(Bytes::new(), rest, None));
+        let body = Either::Right(StreamedBody::from_channel(Bytes::new(), rest, None));
         let request = Request::post("/pay/it").body(body).unwrap();
         let answer = async {
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -167,7 +167,7 @@
         assert!(answered.is_ok());
         senders.keep_link(server, link);
         let closed = async {
-            while room.uses().connections > 0 {
+            while room.usage().connections > 0 {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
@@ -176,7 +176,7 @@
 }
 
 /// A request of a profile of its own.
-fn request() -> Job {
+fn request() -> ClientRequest {
     let profile = Profile {
         name: "read".into(),
         effect: Effect::Idempotent,
@@ -189,8 +189,8 @@
     let around = Surroundings { profiles: vec!["read".into()], ..Surroundings::default() };
     let terms = Rc::new(Terms { settings: Rc::new(settings), around });
     let head = Request::get("/read/it").header("X-Trace-Id", "1").header("X-Expires-In", "60");
-    match decode_call(head.body(()).unwrap().into_parts().0, &terms, false) {
-        Ok(Call::Job(job)) => *job,
+    match decode_client_call(head.body(()).unwrap().into_parts().0, &terms, false) {
+        Ok(ClientCall::Request(job)) => *job,
         _ => panic!("no request"),
     }
 }
@@ -206,7 +206,8 @@
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let _held: Vec<_> = std::iter::from_fn(|| room.has_last_place().then(|| room.place())).collect();
+        let _held: Vec<_> =
+            std::iter::from_fn(|| room.has_reserve_slot().then(|| room.take_slot())).collect();
         let ends =
             async |owner| if owner == ended_by { tokio::time::sleep(AFTER).await } else { pending().await };
         let (request, begun) = (request(), Instant::now());
--- a/crates/pearfront-node/src/flow.rs
+++ b/crates/pearfront-node/src/streaming.rs
@@ -15,12 +15,12 @@
 use tokio::time::{Instant, Sleep, sleep, timeout};
 
 /// Most bytes that are kept whole.
-pub const MOST_WHOLE: usize = 64 * 1024;
+pub const MAX_BUFFERED_BYTES: usize = 64 * 1024;
 /// Most bytes of any body or answer.
 pub const MOST: u64 = 32 * 1024 * 1024;
 /// How long a flow may bring nothing, or its caller take nothing, before it is given up whatever its time: far above any
 /// pause of a server that still gives.
-pub const STALLED: Duration = Duration::from_secs(15);
+pub const STALL_TIMEOUT: Duration = Duration::from_secs(15);
 /// How long a server may give nothing of its answer once the request's time is over: a longer pause, and the answer counts as
 /// lost.
 const STILL_GIVES: Duration = Duration::from_millis(350);
@@ -28,14 +28,14 @@
 const HELD_UP: Duration = Duration::from_millis(50);
 
 /// The beginning of a body: all of it, or what came before it grew too large to be kept.
-pub enum Start {
-    Whole(Bytes),
-    Begun(Bytes, Incoming),
+pub enum BodyStart {
+    Complete(Bytes),
+    Partial(Bytes, Incoming),
 }
 
 /// Why a body did not come as it should.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Broken {
+pub enum BodyError {
     /// Its connection broke, or brought what can't be read.
     Cut,
     TooLong,
@@ -46,48 +46,53 @@
     NoRoom,
 }
 
-impl Broken {
+impl BodyError {
     /// Is its client not to blame: does the body come, and nobody takes it?
     pub fn is_untaken(self) -> bool {
-        matches!(self, Broken::NotTaken | Broken::NoRoom)
+        matches!(self, BodyError::NotTaken | BodyError::NoRoom)
     }
 }
 
-impl std::fmt::Display for Broken {
+impl std::fmt::Display for BodyError {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         f.write_str(match self {
-            Broken::Cut => "the body did not come whole",
-            Broken::TooLong => "a body of more than 33554432 bytes",
-            Broken::Stalled => "its body does not come",
-            Broken::NotTaken => "its server takes nothing of its body",
-            Broken::NoRoom => "no room for its body until a server takes it",
+            BodyError::Cut => "the body did not come whole",
+            BodyError::TooLong => "a body of more than 33554432 bytes",
+            BodyError::Stalled => "its body does not come",
+            BodyError::NotTaken => "its server takes nothing of its body",
+            BodyError::NoRoom => "no room for its body until a server takes it",
         })
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for BodyError {}
 
 /// Reads a body to its end, or until more than `most` is here: who sends none of it costs no server anything. No piece of it may take longer than `pause`.
 /// Without `keep` it is only read.
-pub async fn start(mut body: Incoming, most: usize, pause: Duration, keep: bool) -> Result<Start, Broken> {
+pub async fn read_start(
+    mut body: Incoming,
+    most: usize,
+    pause: Duration,
+    keep: bool,
+) -> Result<BodyStart, BodyError> {
     let least = body.size_hint().lower();
     if least > MOST {
-        return Err(Broken::TooLong);
+        return Err(BodyError::TooLong);
     }
     let mut read = Vec::with_capacity(if keep { (least as usize).min(most) } else { 0 });
     let mut length = 0;
-    while let Some(frame) = timeout(pause, body.frame()).await.map_err(|_| Broken::Stalled)? {
-        if let Ok(data) = frame.map_err(|_| Broken::Cut)?.into_data() {
+    while let Some(frame) = timeout(pause, body.frame()).await.map_err(|_| BodyError::Stalled)? {
+        if let Ok(data) = frame.map_err(|_| BodyError::Cut)?.into_data() {
             length += data.len();
             if keep {
                 read.extend_from_slice(&data);
             }
             if length > most {
-                return Ok(Start::Begun(read.into(), body));
+                return Ok(BodyStart::Partial(read.into(), body));
             }
         }
     }
-    Ok(Start::Whole(read.into()))
+    Ok(BodyStart::Complete(read.into()))
 }
 
 enum Source {
@@ -97,7 +102,7 @@
 }
 
 /// A body on its way through.
-pub struct Flow {
+pub struct StreamedBody {
     first: Bytes,
     rest: Source,
     /// Bytes to come, where that was told ahead.
@@ -109,11 +114,11 @@
     waits_since: Option<Instant>,
     give_up: Pin<Box<Sleep>>,
     at_end: Option<Box<dyn FnOnce()>>,
-    at_break: Vec<Box<dyn FnOnce(Broken)>>,
+    at_break: Vec<Box<dyn FnOnce(BodyError)>>,
     kept: Vec<Rc<dyn Any>>,
 }
 
-impl Flow {
+impl StreamedBody {
     fn new(first: Bytes, rest: Source, left: Option<u64>) -> Self {
         Self {
             first,
@@ -122,7 +127,7 @@
             most: MOST,
             due: None,
             waits_since: None,
-            give_up: Box::pin(sleep(STALLED)),
+            give_up: Box::pin(sleep(STALL_TIMEOUT)),
             at_end: None,
             at_break: Vec::new(),
             kept: Vec::new(),
@@ -130,18 +135,18 @@
     }
 
     /// The rest of an answer, behind what was read of it.
-    pub fn answer(first: Bytes, rest: Incoming) -> Self {
+    pub fn from_answer(first: Bytes, rest: Incoming) -> Self {
         let left = rest.size_hint().exact().map(|rest| rest + first.len() as u64);
         Self::new(first, Source::Answer(rest), left)
     }
 
     /// A body of this length, if that was told, whose pieces come through a channel.
-    pub fn fed(first: Bytes, rest: UnboundedReceiver<Piece>, length: Option<u64>) -> Self {
+    pub fn from_channel(first: Bytes, rest: UnboundedReceiver<Piece>, length: Option<u64>) -> Self {
         Self::new(first, Source::Fed(rest), length)
     }
 
     /// What is done once its last byte has been passed on, and not if it breaks.
-    pub fn at_end(&mut self, act: impl FnOnce() + 'static) {
+    pub fn on_end(&mut self, act: impl FnOnce() + 'static) {
         self.at_end = Some(Box::new(act));
     }
 
@@ -151,7 +156,7 @@
     }
 
     /// What is done if it breaks, beside what else was said so.
-    pub fn at_break(&mut self, act: impl FnOnce(Broken) + 'static) {
+    pub fn at_break(&mut self, act: impl FnOnce(BodyError) + 'static) {
         self.at_break.push(Box::new(act));
     }
 
@@ -160,7 +165,7 @@
         self.kept.push(what);
     }
 
-    fn poll_rest(&mut self, context: &mut Context) -> Poll<Option<Result<Bytes, Broken>>> {
+    fn poll_rest(&mut self, context: &mut Context) -> Poll<Option<Result<Bytes, BodyError>>> {
         loop {
             let piece = match &mut self.rest {
                 Source::Over => None,
@@ -170,14 +175,14 @@
                         Some(Ok(data))
                     }
                     Some(Piece::End) => None,
-                    None => Some(Err(Broken::Cut)),
+                    None => Some(Err(BodyError::Cut)),
                 },
                 Source::Answer(body) => match ready!(Pin::new(body).poll_frame(context)) {
                     Some(Ok(frame)) => match frame.into_data() {
                         Ok(data) => Some(Ok(data)),
                         Err(_) => continue,
                     },
-                    Some(Err(_)) => Some(Err(Broken::Cut)),
+                    Some(Err(_)) => Some(Err(BodyError::Cut)),
                     None => None,
                 },
             };
@@ -185,7 +190,7 @@
         }
     }
 
-    fn poll_piece(&mut self, context: &mut Context) -> Poll<Option<Result<Bytes, Broken>>> {
+    fn poll_piece(&mut self, context: &mut Context) -> Poll<Option<Result<Bytes, BodyError>>> {
         if self.first.has_remaining() {
             return Poll::Ready(Some(Ok(std::mem::take(&mut self.first))));
         }
@@ -203,27 +208,27 @@
             self.give_up.as_mut().reset(until);
         }
         ready!(self.give_up.as_mut().poll(context));
-        Poll::Ready(Some(Err(Broken::Stalled)))
+        Poll::Ready(Some(Err(BodyError::Stalled)))
     }
 
     /// When it is given up if nothing has come since then.
     fn given_up_at(&self, since: Instant) -> Instant {
-        let stalled = since + STALLED;
+        let stalled = since + STALL_TIMEOUT;
         self.due.map_or(stalled, |due| (due.max(since) + STILL_GIVES).min(stalled))
     }
 }
 
-impl Body for Flow {
+impl Body for StreamedBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = BodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let piece = ready!(self.poll_piece(context));
         Poll::Ready(match piece {
-            Some(Ok(data)) if data.len() as u64 > self.most => Some(Err(Broken::TooLong)),
+            Some(Ok(data)) if data.len() as u64 > self.most => Some(Err(BodyError::TooLong)),
             Some(Ok(data)) => {
                 let length = data.len() as u64;
                 self.most -= length;
@@ -252,8 +257,8 @@
     }
 }
 
-impl Flow {
-    fn broke(&mut self, problem: Broken) {
+impl StreamedBody {
+    fn broke(&mut self, problem: BodyError) {
         self.at_break.drain(..).for_each(|act| act(problem));
     }
 
--- a/crates/pearfront-node/src/established.rs
+++ b/crates/pearfront-node/src/tcp_info.rs
@@ -30,7 +30,7 @@
 
 /// The earliest time at which a connection can have been established on which nothing has been sent yet: until then the kernel has the
 /// end of the handshake as the time of the last byte sent. None where it does not say.
-pub fn earliest(stream: &impl AsFd) -> Option<Instant> {
+pub fn earliest_established(stream: &impl AsFd) -> Option<Instant> {
     let now = Instant::now();
     let info = nix::sys::socket::getsockopt(stream, ConnectionInfo).ok()?;
     let age = Duration::from_millis(info.last_data_sent.into());
--- a/crates/pearfront-node/src/established/tests.rs
+++ b/crates/pearfront-node/src/tcp_info/tests.rs
@@ -14,7 +14,7 @@
     sleep(WAITS);
     client.write_all(b"late").unwrap();
     let (stream, _) = listener.accept().unwrap();
-    let earliest = earliest(&stream).unwrap();
+    let earliest = earliest_established(&stream).unwrap();
     assert!(earliest <= connected, "{:?} late", earliest - connected);
     assert!(earliest + 3 * TICK >= before, "{:?} early", before - earliest);
 }
--- a/crates/pearfront-node/src/test_support.rs
+++ b/crates/pearfront-node/src/test_support.rs
@@ -1,15 +1,15 @@
 //! The stages of a node around a discovery service and servers of a unit test's own.
 
-use crate::book::Book;
 use crate::clock::Clock;
+use crate::counters::Counters;
 use crate::discovery::{Discovery, Parts};
+use crate::dispatcher::EventQueue;
 use crate::guard::Guard;
 use crate::handover::Peers;
 use crate::lifecycle::Lifecycle;
 use crate::logger::{Limited, Seldom};
 use crate::message::{Line, List};
 use crate::probe::{LOGGED_FAILURES, Prober};
-use crate::route::Inbox;
 use crate::send::Senders;
 use crate::terms::{InForce, Terms};
 use pearfront::interface::Standing;
@@ -20,7 +20,7 @@
 use tokio::task::LocalSet;
 
 pub struct Stages {
-    pub book: Rc<Book>,
+    pub book: Rc<Counters>,
     pub discovery: Rc<Discovery>,
     pub prober: Rc<Prober>,
 }
@@ -35,8 +35,8 @@
             ..Surroundings::default()
         };
         let terms = InForce::new(Terms { around, ..Terms::default() });
-        let (clock, inbox) = (Clock::start(), Rc::new(Inbox::default()));
-        let (room, book) = (crate::admit::Room::new(64, 1.0), Rc::new(Book::default()));
+        let (clock, inbox) = (Clock::start(), Rc::new(EventQueue::default()));
+        let (room, book) = (crate::capacity::Capacity::new(64, 1.0), Rc::new(Counters::default()));
         let senders = Senders::new(terms.clone(), room.clone(), book.clone());
         let peers = Peers::new(room, Rc::new(Lifecycle::new()));
         let parts = Parts {
--- a/crates/pearfront-node/src/wire.rs
+++ b/crates/pearfront-node/src/tracked_stream.rs
@@ -3,11 +3,11 @@
 
 mod reading;
 
-use crate::admit::Place;
 use crate::arrival::Arrival;
+use crate::capacity::ConnectionSlot;
 use crate::framing::{Framing, ReadRequest};
+use crate::read_gate::ReadGate;
 use crate::system::{is_interrupted, is_transient};
-use crate::unread::Unread;
 use hyper::rt::{Read, ReadBufCursor, Write};
 use std::cell::{Cell, RefCell};
 use std::io::{self, IoSlice};
@@ -44,7 +44,7 @@
 }
 
 /// The socket and what has been written on it; shared by hyper's side and ours.
-pub struct Wire {
+pub struct TrackedStream {
     stream: TcpStream,
     /// How much of `END_OF_HEAD` the bytes written last were.
     matched: Cell<usize>,
@@ -73,28 +73,33 @@
     arrival: Arrival,
     /// Rung with each read.
     has_read: Notify,
-    unread: Unread,
-    _place: Place,
+    unread: ReadGate,
+    _place: ConnectionSlot,
 }
 
-impl Wire {
+impl TrackedStream {
     /// A caller's connection; nothing came on it before that time.
-    pub fn from_caller(stream: TcpStream, place: Place, came: Instant) -> Rc<Self> {
+    pub fn from_client(stream: TcpStream, place: ConnectionSlot, came: Instant) -> Rc<Self> {
         Self::new(stream, place, Some(RefCell::default()), came)
     }
 
-    pub fn to_server(stream: TcpStream, place: Place) -> Rc<Self> {
+    pub fn to_server(stream: TcpStream, place: ConnectionSlot) -> Rc<Self> {
         // Where the system does not have that it takes more at a time, which only shows later that a server takes something.
         let _ = socket2::SockRef::from(&stream).set_tcp_notsent_lowat(MOST_UNSENT);
         Self::new(stream, place, None, Instant::now())
     }
 
     /// An operator's connection: one call, and nothing to be followed.
-    pub fn of_operator(stream: TcpStream) -> Rc<Self> {
-        Self::new(stream, Place::own(), None, Instant::now())
+    pub fn from_operator(stream: TcpStream) -> Rc<Self> {
+        Self::new(stream, ConnectionSlot::uncounted(), None, Instant::now())
     }
 
-    fn new(stream: TcpStream, place: Place, framing: Option<RefCell<Framing>>, came: Instant) -> Rc<Self> {
+    fn new(
+        stream: TcpStream,
+        place: ConnectionSlot,
+        framing: Option<RefCell<Framing>>,
+        came: Instant,
+    ) -> Rc<Self> {
         if let Err(error) = stream.set_nodelay(true) {
             log::warn!("a connection stays slow, nodelay was refused: {error}");
         }
@@ -115,13 +120,13 @@
             opened: came,
             arrival: Arrival::since(came),
             has_read: Notify::new(),
-            unread: Unread::default(),
+            unread: ReadGate::default(),
             _place: place,
         })
     }
 
     /// A message with a body of this length, if that is known, is about to be written.
-    pub fn expect(&self, body: Option<u64>) {
+    pub fn begin_message(&self, body: Option<u64>) {
         self.matched.set(0);
         self.in_body.set(false);
         self.body_left.set(body);
@@ -131,12 +136,12 @@
     }
 
     /// The message that is about to be written needs this: not a byte of it is, unless it holds then.
-    pub fn write_with(&self, permit: Rc<dyn WritePermit>) {
+    pub fn set_write_permit(&self, permit: Rc<dyn WritePermit>) {
         self.permit.replace(Some(permit));
     }
 
     /// Was nothing written, as it was not allowed any more?
-    pub fn is_withheld(&self) -> bool {
+    pub fn was_withheld(&self) -> bool {
         self.withheld.get()
     }
 
@@ -148,12 +153,12 @@
     }
 
     /// Of a body of unknown length nothing more than its end is to be written.
-    pub fn last_chunk(&self) {
+    pub fn expect_final_chunk(&self) {
         self.last_chunk.set(true);
     }
 
     /// Has the kernel taken the message's last byte? Until then nobody can have acted on it.
-    pub fn whole_written(&self) -> bool {
+    pub fn is_fully_written(&self) -> bool {
         self.in_body.get()
             && match self.body_left.get() {
                 Some(left) => left == 0,
@@ -214,7 +219,7 @@
     }
 
     /// Has the other side begun to answer what was written last?
-    pub fn has_begun(&self) -> bool {
+    pub fn has_received(&self) -> bool {
         self.answered.get()
     }
 
@@ -365,9 +370,9 @@
 }
 
 /// hyper's end of a `Wire`.
-pub struct Socket(pub Rc<Wire>);
+pub struct HyperIo(pub Rc<TrackedStream>);
 
-impl Read for Socket {
+impl Read for HyperIo {
     fn poll_read(self: Pin<&mut Self>, context: &mut Context, mut to: ReadBufCursor) -> Poll<io::Result<()>> {
         let mut chunk = [0; CHUNK];
         let most = to.remaining().min(CHUNK);
@@ -381,7 +386,7 @@
     }
 }
 
-impl Write for Socket {
+impl Write for HyperIo {
     fn poll_write(self: Pin<&mut Self>, context: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
         self.poll_write_vectored(context, &[IoSlice::new(bytes)])
     }
--- a/crates/pearfront-node/src/wire/reading.rs
+++ b/crates/pearfront-node/src/tracked_stream/reading.rs
@@ -1,9 +1,9 @@
 //! Reading what a client sends: one request at a time, and nothing behind its last byte. What comes behind that is looked at and
 //! stays unread until its turn.
 
-use super::{CHUNK, Wire};
+use super::{CHUNK, TrackedStream};
+use crate::read_gate::MOST_SEEN;
 use crate::system::is_interrupted;
-use crate::unread::MOST_SEEN;
 use std::convert::Infallible;
 use std::io;
 use std::pin::pin;
@@ -15,7 +15,7 @@
 /// How often is looked at what more a client sends behind a request that is being answered, once something lies there.
 const LOOK: Duration = Duration::from_millis(10);
 
-impl Wire {
+impl TrackedStream {
     /// How many bytes were looked at that have not been read.
     pub(super) fn seen_ahead(&self) -> usize {
         self.framed(|framing| framing.position() - self.unread.position()).unwrap_or_default() as usize
--- a/crates/pearfront-node/src/wire/tests.rs
+++ b/crates/pearfront-node/src/tracked_stream/tests.rs
@@ -1,26 +1,26 @@
 use super::*;
-use crate::admit::Room;
+use crate::capacity::Capacity;
 use test_case::test_case;
 
 // A body whose length is not told ahead is whole with the end of its chunks, and not before the last of them.
 #[test]
 fn a_message_in_chunks_is_whole_with_its_end_only() {
     let wire = wire();
-    wire.expect(None);
+    wire.begin_message(None);
     wire.note(b"POST /a HTTP/1.1\r\n\r\n5\r\n0\r\n\r\n");
-    assert!(!wire.whole_written());
-    wire.last_chunk();
+    assert!(!wire.is_fully_written());
+    wire.expect_final_chunk();
     wire.note(b"\r\n0\r\n");
-    assert!(!wire.whole_written());
+    assert!(!wire.is_fully_written());
     wire.note(b"\r\n");
-    assert!(wire.whole_written());
+    assert!(wire.is_fully_written());
 }
 
-fn wire() -> Rc<Wire> {
+fn wire() -> Rc<TrackedStream> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let connect = TcpStream::connect(listener.local_addr().unwrap());
-    Wire::to_server(runtime.block_on(connect).unwrap(), Room::new(64, 1.0).place())
+    TrackedStream::to_server(runtime.block_on(connect).unwrap(), Capacity::new(64, 1.0).take_slot())
 }
 
 // The boundary between "never ran" and "may have run" is the last byte, in whatever pieces it is written.
@@ -29,13 +29,17 @@
 fn a_message_is_whole_with_its_last_byte_only(message: &str, body: u64) {
     let wire = wire();
     for piece in [1, 3, message.len()] {
-        wire.expect(Some(body));
-        assert!(!wire.whole_written());
+        wire.begin_message(Some(body));
+        assert!(!wire.is_fully_written());
         let mut left = message.len();
         for part in message.as_bytes().chunks(piece) {
             wire.note(part);
             left -= part.len();
-            assert_eq!(wire.whole_written(), left == 0, "{left} of {message:?} left, in pieces of {piece}");
+            assert_eq!(
+                wire.is_fully_written(),
+                left == 0,
+                "{left} of {message:?} left, in pieces of {piece}"
+            );
         }
     }
 }
--- a/crates/pearfront-node/src/upload.rs
+++ b/crates/pearfront-node/src/upload.rs
@@ -1,9 +1,9 @@
 //! Request bodies: how they are read from their clients, and how large ones get on to a server. A large body is read ahead of
 //! its server, so that a server that takes nothing hides neither whether the client still sends nor what it sends behind.
 
-use crate::admit::{HeldBytes, Room};
-use crate::flow::{self, Broken, MOST, MOST_WHOLE, Start};
-use crate::wire::Wire;
+use crate::capacity::{Capacity, ReservedBytes};
+use crate::streaming::{self, BodyError, BodyStart, MAX_BUFFERED_BYTES, MOST};
+use crate::tracked_stream::TrackedStream;
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -41,7 +41,7 @@
 
 /// What of a body has been read and has not been taken by its server.
 struct Ahead {
-    room: Rc<Room>,
+    room: Rc<Capacity>,
     bytes: Cell<usize>,
     /// Has an attempt asked for it?
     is_claimed: Cell<bool>,
@@ -56,7 +56,7 @@
     ///
     /// # Errors
     /// Where the server takes nothing, or there is none.
-    async fn wait_for_place(self: &Rc<Self>, bytes: usize) -> Result<Place, Broken> {
+    async fn wait_for_place(self: &Rc<Self>, bytes: usize) -> Result<Place, BodyError> {
         let begun = Instant::now();
         let mut unclaimed = 0;
         loop {
@@ -65,11 +65,11 @@
             }
             if self.is_claimed.get() {
                 let until = begun.max(self.taken_at.get()) + NEXT_PIECE;
-                timeout_at(until, self.taken.notified()).await.map_err(|_| Broken::NotTaken)?;
+                timeout_at(until, self.taken.notified()).await.map_err(|_| BodyError::NotTaken)?;
                 continue;
             }
             if unclaimed == UNCLAIMED_WAITS {
-                return Err(Broken::NoRoom);
+                return Err(BodyError::NoRoom);
             }
             unclaimed += usize::from(timeout(UNCLAIMED, self.taken.notified()).await.is_err());
         }
@@ -94,7 +94,7 @@
 pub struct Place {
     ahead: Rc<Ahead>,
     bytes: usize,
-    _room: Option<HeldBytes>,
+    _room: Option<ReservedBytes>,
 }
 
 impl Drop for Place {
@@ -121,7 +121,7 @@
 
 /// How the passing of a body ended, and what is left of it: an error where it did not come whole, or nobody takes it.
 pub struct Passed {
-    pub came: Result<(), Broken>,
+    pub came: Result<(), BodyError>,
     pub body: Incoming,
 }
 
@@ -133,7 +133,7 @@
 
 impl Upload {
     /// With the end from which its pieces are taken.
-    pub fn new(room: Rc<Room>) -> (Self, Pieces) {
+    pub fn new(room: Rc<Capacity>) -> (Self, Pieces) {
         let (pieces, source) = mpsc::unbounded_channel();
         let (bytes, is_claimed, taken_at) = (Cell::new(0), Cell::new(false), Cell::new(Instant::now()));
         let ahead = Rc::new(Ahead { room, bytes, is_claimed, taken_at, taken: Notify::new() });
@@ -142,12 +142,12 @@
 
     /// Reads the body as it comes, ahead of its server as far as there is room; if nobody takes it any more it is still read to
     /// its end, as its answer may be on the way. The client's connection is not kept open by it.
-    pub async fn pass_on(self, client: Weak<Wire>, mut body: Incoming) -> Passed {
+    pub async fn pass_on(self, client: Weak<TrackedStream>, mut body: Incoming) -> Passed {
         let came = self.pass(&client, &mut body).await;
         Passed { came, body }
     }
 
-    async fn pass(&self, client: &Weak<Wire>, body: &mut Incoming) -> Result<(), Broken> {
+    async fn pass(&self, client: &Weak<TrackedStream>, body: &mut Incoming) -> Result<(), BodyError> {
         let begun = Instant::now();
         let mut length = 0_u64;
         // While a server takes nothing, its client can bring nothing: only the waiting for the client counts.
@@ -155,10 +155,10 @@
         while let Some(data) = next_piece(client, body).await? {
             length += data.len() as u64;
             if length > MOST {
-                return Err(Broken::TooLong);
+                return Err(BodyError::TooLong);
             }
             if begun.elapsed() > WHOLE_BODY + SLOWEST.mul_f64(length as f64) + held_back {
-                return Err(Broken::Stalled);
+                return Err(BodyError::Stalled);
             }
             let passed = Instant::now();
             self.push(&data).await?;
@@ -168,7 +168,7 @@
         Ok(())
     }
 
-    async fn push(&self, data: &[u8]) -> Result<(), Broken> {
+    async fn push(&self, data: &[u8]) -> Result<(), BodyError> {
         let bytes = data.len() + BESIDE_DATA;
         let place = self.ahead.wait_for_place(bytes).await?;
         // A copy of its own: it would keep the whole buffer into which it was read.
@@ -178,14 +178,14 @@
 }
 
 /// The next bytes of a body; none at its end.
-async fn next_piece(client: &Weak<Wire>, body: &mut Incoming) -> Result<Option<Bytes>, Broken> {
+async fn next_piece(client: &Weak<TrackedStream>, body: &mut Incoming) -> Result<Option<Bytes>, BodyError> {
     loop {
         // What was read late, as its server took nothing, came long ago; so its client has waited since.
-        let waited_until = client.upgrade().ok_or(Broken::Cut)?.waited_until();
+        let waited_until = client.upgrade().ok_or(BodyError::Cut)?.waited_until();
         let patience = NEXT_PIECE.saturating_sub(waited_until.elapsed()).max(LEAST_PATIENCE);
-        let frame = timeout(patience, body.frame()).await.map_err(|_| Broken::Stalled)?;
+        let frame = timeout(patience, body.frame()).await.map_err(|_| BodyError::Stalled)?;
         let Some(frame) = frame else { return Ok(None) };
-        if let Ok(data) = frame.map_err(|_| Broken::Cut)?.into_data() {
+        if let Ok(data) = frame.map_err(|_| BodyError::Cut)?.into_data() {
             return Ok(Some(data));
         }
     }
@@ -195,9 +195,11 @@
 ///
 /// # Errors
 /// Where it does not come.
-pub async fn begin(body: Incoming, keep: bool) -> Result<Start, Broken> {
-    let longest = WHOLE_BODY + SLOWEST * MOST_WHOLE as u32;
-    timeout(longest, flow::start(body, MOST_WHOLE, NEXT_PIECE, keep)).await.unwrap_or(Err(Broken::Stalled))
+pub async fn begin(body: Incoming, keep: bool) -> Result<BodyStart, BodyError> {
+    let longest = WHOLE_BODY + SLOWEST * MAX_BUFFERED_BYTES as u32;
+    timeout(longest, streaming::read_start(body, MAX_BUFFERED_BYTES, NEXT_PIECE, keep))
+        .await
+        .unwrap_or(Err(BodyError::Stalled))
 }
 
 /// Goes on with a body whose request is answered: where its server still gives a large answer, as long as it takes the body, else
@@ -205,7 +207,7 @@
 pub async fn go_on(passing: impl Future<Output = Passed>, answer_flows: bool) {
     let all = async {
         let passed = passing.await;
-        if passed.came.is_err_and(Broken::is_untaken) {
+        if passed.came.is_err_and(BodyError::is_untaken) {
             drain(passed.body).await;
         }
     };
