--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,5 @@
-//! pearfront: load balancing decisions for services that call services.
+//! pearfront: load balancing decisions for services that call services. The crate holds the decision module alone,
+//! without sockets, clocks or files: the node, the simulator's adapter, the emulator and the scale measurements embed it.
 
 pub mod interface;
 pub mod policy;
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,9 +1,10 @@
-//! Every decision of pearfront; settings and the writer it answers through are in `interface.rs`.
+//! The balancer: every load balancing decision of pearfront. Its settings and the trait that decisions are written to are in
+//! `interface.rs`; the decisions themselves are made by the modules below.
 //!
-//! Make one `Balancer` for an instance and call `balancer.round(now, feed, out)` once a round: `feed` hands
-//! in what came in (`job` to `list_failed`), then decisions are made and written to `out`. The mechanism is
-//! the load query variant of "Simulation of a distributed CORBA-based SCP", section 6.2; `docs/design.md`
-//! tells what is kept, what is changed and when each exception comes into play.
+//! Create one `Balancer` for an instance and call `balancer.round(now, feed, out)` once a round: `feed` passes in what has
+//! arrived (`request_received` to `list_failed`), then decisions are made and written to `out`. The mechanism is the load
+//! query variant of "Simulation of a distributed CORBA-based SCP", section 6.2, called "the paper" below; `docs/design.md`
+//! states what is kept, what is changed, and when each exception applies.
 
 mod admission;
 mod attempts;
@@ -26,62 +27,83 @@
 use std::collections::{BTreeMap, HashMap};
 use std::rc::{Rc, Weak};
 
-const PROBE_SPEND_PER_DRAW: f64 = 0.01; // Points that probes before a draw may cost; the price gives their number.
-const PROBES_PER_DRAW_MAX: f64 = 5.0; // Servers probed before a draw at the most.
-const PROBES_PER_DRAW_MIN: f64 = 2.0; // The same at the least: one estimate compares with nothing.
-const UNSEEN_DURATION_SHARE: f64 = 0.2; // Share of the latency target that stands for a usual duration not yet seen.
+/// Points that the probes before one draw may cost; with the price of a probe this gives their number.
+const PROBE_SPEND_PER_DRAW: f64 = 0.01;
+/// Servers probed before a draw at the most.
+const PROBES_PER_DRAW_MAX: f64 = 5.0;
+/// Servers probed before a draw at the least, or none is: a single estimate compares with nothing.
+const PROBES_PER_DRAW_MIN: f64 = 2.0;
+/// Share of the latency target that stands for a usual duration not yet seen.
+const UNSEEN_DURATION_SHARE: f64 = 0.2;
 
+/// One instance of the decision module: its settings, its requests, its servers and what it has learned.
 #[derive(Default)]
 pub struct Balancer {
     settings: Rc<Settings>,
-    /// Names of all profiles met so far: their places hold through new settings.
+    /// Names of all profiles met so far: their indices stay the same through new settings.
     profile_names: Vec<String>,
     rng: SeededRng,
     now: f64,
     requests: HashMap<u32, Rc<Request>>,
     servers: BTreeMap<Address, Rc<Server>>,
     ready_servers: Vec<Rc<Server>>,
+    /// Requests to decide about in this round.
     to_decide: Vec<Rc<Request>>,
+    /// Requests that wait for admission.
     queue: Vec<Rc<Request>>,
-    /// Requests to look at again, by when (positive, so the bits order as the time does) and which.
+    /// Requests to look at again, by time (positive, so the bits sort as the time does) and number.
     reviews: BTreeMap<(u64, u32), Weak<Request>>,
+    /// When the next round was asked for; infinite if none is.
     next_wake: f64,
+    /// When the node shuts down; infinite if it does not.
     shutdown_time: f64,
     next_probe_at: f64,
     next_list_request: f64,
+    /// Pause before the list is asked for again, ms.
     list_retry_pause: f64,
+    /// Requests admitted, by customer.
     admitted: Vec<RecentSamples>,
+    /// Requests sent for the first time.
     first_attempts: RecentSamples,
-    /// Servers that a draw asks first: between two requests of its own a node's estimates get too old.
+    /// Servers that are probed before each draw; 0 if draws do not probe. They do where a node sends so little that
+    /// its estimates would be too old by the next draw.
     probes_per_draw: usize,
+    /// Share of the time left that an attempt may be expected to take; it follows the answers in time and late.
     share_limit: f64,
-    /// Estimates of the servers that requests were drawn to.
+    /// Load estimates of the servers that requests were sent to.
     drawn_estimates: RecentSamples,
+    /// Attempts that ended, 1 for each served one and 0 for each failure.
     successes: RecentSamples,
-    /// How each profile's requests fare.
+    /// Share of requests answered in time, by profile.
     timeliness: Vec<ProfileTimeliness>,
-    /// Share of the attempts after an error that were served, by customer.
+    /// Share of the retries after an error that were served, by customer.
     retry_successes: Vec<RecentSamples>,
+    /// Attempts beyond the first, 1 for each by which the request may run twice.
     risky_retries: RecentSamples,
-    /// Requests taken and attempts beyond the first, within the span of the budget where one is stated.
+    /// Requests received and attempts beyond the first, within the span of the retry budget where the settings state
+    /// one.
     received: RecentSamples,
     extra_attempts: RecentSamples,
     window: AdmissionWindow,
     log_lines: Vec<String>,
+    /// Worths of recently considered requests.
     worths: RecentSamples,
+    /// Attempts that were served (0) or never answered (1).
     lost_answers: RecentSamples,
 }
 
 impl Balancer {
+    /// An instance with these settings; all its random choices follow from `seed`.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let mut rng = SeededRng::from_seed(seed);
-        // All instances start alike: their first calls for the list are spread, or the service fails them.
+        // All instances start alike: their first requests for the list are spread over time, or discovery would fail
+        // them.
         let first_list_request = rng.0.random::<f64>() * settings.list_request_deadline * 0.3;
         let reports_outstanding = settings.may_probe && settings.report.contains(&ReportField::Outstanding);
         let probes = (PROBE_SPEND_PER_DRAW / settings.probe_price.max(1e-9)).min(PROBES_PER_DRAW_MAX);
         let mut balancer = Self {
             rng,
-            // Utilisation is a mean over some time: only requests held tell of the moment.
+            // Utilization is a mean over some time; only requests outstanding tell the load at the moment.
             probes_per_draw: if reports_outstanding && probes >= PROBES_PER_DRAW_MIN {
                 probes as usize
             } else {
@@ -101,7 +123,7 @@
         balancer
     }
 
-    /// One round: takes in all that `feed` hands over, then decides.
+    /// Plays one round: takes in everything that `feed` passes on, then decides.
     pub fn round<E>(
         &mut self,
         now: f64,
@@ -110,13 +132,14 @@
     ) -> Result<(), E> {
         self.now = now;
         feed(self)?;
-        // A wake may come a little early: taken for one to come it would be the last, and requests be lost.
+        // A wake may come a little early. Taken for one that is still to come it would be the last, and requests would
+        // be lost.
         let woken = self.next_wake <= now + self.settings.round_interval;
         self.next_wake = if woken { f64::INFINITY } else { self.next_wake };
         self.log_lines.drain(..).for_each(|line| out.log(&line));
         if now >= self.next_list_request {
             out.watch_list();
-            // Its answer puts the next call off for good; this one stands in case none comes.
+            // The answer cancels the next request; this one stands in case none comes.
             self.next_list_request = now + self.settings.list_request_deadline / 2.0;
         }
         self.probe_on_timer(out);
@@ -138,14 +161,16 @@
         Ok(())
     }
 
-    /// Other settings from now on: what is learned stays under its profile's name, requests keep their rules.
+    /// Changes the settings: what was learned stays under its profile's name, and requests keep the settings they came
+    /// under.
     pub fn update_settings(&mut self, settings: Rc<Settings>) {
         if self.settings.quotas != settings.quotas {
             self.admitted = vec![RecentSamples::new(DEFAULT_SPAN_MS); settings.quotas.len()];
             self.retry_successes = vec![RecentSamples::new(DEFAULT_SPAN_MS); settings.quotas.len().max(1)];
         }
         if self.settings.retry_budget_span != settings.retry_budget_span {
-            // Whole buckets: of requests taken rather too few count, of further attempts rather too many.
+            // Whole buckets are dropped at a time: rather too few received requests count, and rather too many extra
+            // attempts.
             let used = self.extra_attempts.total(self.now).1;
             self.received = RecentSamples::new(settings.retry_budget_span);
             self.extra_attempts = RecentSamples::new(settings.retry_budget_span * 10.0 / 9.0);
@@ -157,7 +182,7 @@
         self.settings = settings;
     }
 
-    /// The profile's index in all that is kept by profile; a new profile gets the next one.
+    /// The profile's index in everything that is kept by profile; a new profile gets the next one.
     fn profile_index(&mut self, name: &str) -> usize {
         self.profile_names.iter().position(|existing| existing == name).unwrap_or_else(|| {
             self.profile_names.push(name.into());
@@ -179,6 +204,7 @@
         self.window.usual_duration(request.profile, self.now, unseen)
     }
 
+    /// The request's profile in the settings that it came under.
     fn profile<'a>(&self, request: &'a Request) -> &'a Profile {
         &request.settings.profiles[request.settings_profile]
     }
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: whether a request may have one more, sending it, and how it ended.
+//! Attempts: whether a request may have another one, sending it, and recording how it ended.
 
 use super::Balancer;
 use super::health::EJECTION_FAILURES;
@@ -7,21 +7,30 @@
 use crate::state::{Attempt, Request, Server};
 use std::rc::Rc;
 
-pub(super) const SHARE_LIMIT_MAX: f64 = 1.0; // Share of the time left that an attempt may take: first and most.
-const SHARE_LIMIT_MIN: f64 = 0.3; // The same at the least: servers must stay at work.
-const SHARE_LIMIT_SHRINK: f64 = 0.1; // Share by which the reach shrinks with a late answer.
-const SHARE_LIMIT_GROWTH: f64 = 0.01; // Share by which it grows with an answer in time: some one in ten may be late.
-const SHARE_LIMIT_POWER_BETTER: f64 = 0.5; // Power of the reach for requests above mean worth.
-const SHARE_LIMIT_POWER_OTHERS: f64 = 2.0; // Power of the reach for the others.
-const LATE_SHARE: f64 = 0.6; // Share of the reach that an attempt was to take for its lateness to count.
-const RETRY_RATIO: f64 = 0.2; // Further attempts as a share of first ones, if all recent ones succeed.
-const RETRIES_FREE: f64 = 2.0; // Further attempts free in each span: a lone failure may always be retried.
+/// Share of the time left that an attempt may be expected to take: at the start, and at the most.
+pub(super) const SHARE_LIMIT_MAX: f64 = 1.0;
+/// The same at the least: servers must be kept busy.
+const SHARE_LIMIT_MIN: f64 = 0.3;
+/// Share by which the limit shrinks with a late answer.
+const SHARE_LIMIT_SHRINK: f64 = 0.1;
+/// Share by which it grows with an answer in time: about one answer in ten may be late.
+const SHARE_LIMIT_GROWTH: f64 = 0.01;
+/// Power of the limit for requests above mean worth.
+const SHARE_LIMIT_POWER_BETTER: f64 = 0.5;
+/// Power of the limit for all other requests.
+const SHARE_LIMIT_POWER_OTHERS: f64 = 2.0;
+/// Share of the limit that an attempt was expected to take at the least for its lateness to count.
+const LATE_SHARE: f64 = 0.6;
+/// Retries as a share of first attempts, if all recent attempts succeed.
+const RETRY_RATIO: f64 = 0.2;
+/// Retries that are always allowed in each span: a lone failure may always be retried.
+const RETRIES_FREE: f64 = 2.0;
 
-/// Whose group a request's further attempts are held to, if any.
+/// The server whose deduplication scope a request's retries are limited to, if any.
 pub(super) type RetryScope = Option<Rc<Server>>;
 
 impl Balancer {
-    /// The only gate to a further attempt: to which servers may the request go, if to any?
+    /// The servers that the request may be sent to, none if it may not be sent. Every attempt passes this check.
     pub(super) fn retry_scope(&self, request: &Request) -> Option<RetryScope> {
         let attempts = request.attempts.borrow();
         if attempts.len() >= request.settings.max_attempts || request.not_replayable.get() {
@@ -34,13 +43,13 @@
         match profile.effect {
             Effect::NonIdempotent => None,
             Effect::Idempotent => Some(None),
-            // Past the window its servers no longer know the mark, and the request would run twice.
+            // Past the window servers no longer know the idempotency key, and the request would run twice.
             Effect::Keyed if self.now >= first.sent_at + profile.dedup_window => None,
             Effect::Keyed => Some(Some(first.server.clone())),
         }
     }
 
-    /// Sends the request by the paper's draw among the servers that may have it; false if there is none.
+    /// Sends the request to a server drawn from those that may have it; false if there is none.
     pub(super) fn send_attempt(
         &mut self,
         request: &Rc<Request>,
@@ -54,13 +63,13 @@
             return false;
         }
         let Some((server, estimate)) = self.draw(request, scope) else { return false };
-        // Share of the time left that a server of this estimate will take, by what recent ones took.
+        // Share of the time left that a server with this estimate is expected to take, judged by recent attempts.
         let time_left = (request.arrived_at.get() + self.profile(request).latency_target - self.now)
             .max(f64::MIN_POSITIVE);
         let expected_share = self.usual_duration(request) * estimate
             / self.drawn_estimates.mean_with_prior(self.now, 1.0, 1.0)
             / time_left;
-        // What room there is under overload is for the better ones.
+        // Under overload the room that is left is for requests above mean worth.
         let power = |better| if better { SHARE_LIMIT_POWER_BETTER } else { SHARE_LIMIT_POWER_OTHERS };
         let power = worth.map(|worth| power(self.is_above_mean_worth(worth)));
         let idle = server.reported_load.get().is_some_and(|load| load < IDLE_REQUESTS);
@@ -82,7 +91,7 @@
             server.busy_since.set(self.now);
         }
         server.cold_credit.set(server.cold_credit.get() - 1.0);
-        // After its ejection it gets one attempt, and the next when that was served.
+        // A server whose ejection has ended gets one attempt, and the next one when that was served.
         let health = server.health(request.profile);
         health
             .on_trial
@@ -96,10 +105,10 @@
         true
     }
 
-    /// Is there budget for an attempt beyond the first? `further` if the request may run twice by it.
+    /// Whether the budget allows an attempt beyond the first. `may_repeat`: the request may run twice by it.
     fn within_retry_budget(&mut self, may_repeat: bool) -> bool {
         let now = self.now;
-        // Further attempts follow the share of recent attempts that were served, or retries would feed a jam.
+        // Retries follow the share of recent attempts that were served, or they would feed an overload.
         let served = self.successes.mean_with_prior(now, 1.0, 1.0);
         let allowed = RETRIES_FREE + RETRY_RATIO * served * self.first_attempts.total(now).0;
         let budget =
@@ -118,7 +127,7 @@
         let mut attempts = request.attempts.borrow_mut();
         let attempt = attempts.get_mut(attempt).filter(|attempt| attempt.is_out())?;
         attempt.outcome = Some(outcome);
-        // A late answer from where it was to be quick is chance, not crowding.
+        // A late answer of an attempt that was expected to be quick is chance, not crowding.
         let late = self.now - request.arrived_at.get() > self.profile(request).latency_target;
         if late && attempt.expected_share > LATE_SHARE * self.share_limit {
             self.share_limit = (self.share_limit * (1.0 - SHARE_LIMIT_SHRINK)).max(SHARE_LIMIT_MIN);
--- a/src/policy/draw.rs
+++ b/src/policy/draw.rs
@@ -1,4 +1,4 @@
-//! The paper's draw: which servers may have a request, and which of them it goes to.
+//! The draw of the paper: which servers may have a request, and which of them it goes to.
 
 use super::Balancer;
 use super::attempts::RetryScope;
@@ -10,12 +10,15 @@
 use rand::prelude::Distribution;
 use std::rc::Rc;
 
-const DRAW_POWER: f64 = 12.0; // The paper's power of the draw: each step from 1 to 12 gained.
-const EJECTED_SHARE_MAX: f64 = 0.6; // Share of the table that may be ejected; beyond it the fault is shared.
-const COLD_LIMIT_SHARE: f64 = 0.5; // Share of the cold limit that is used: work differs, and so do nodes.
+/// The power of the paper's draw; each step from 1 to 12 improved the results.
+const DRAW_POWER: f64 = 12.0;
+/// Share of the ready servers that may be ejected; beyond it the fault is not the servers' own.
+const EJECTED_SHARE_MAX: f64 = 0.6;
+/// Share of a cold server's limit that is used: requests differ in work, and nodes in load.
+const COLD_LIMIT_SHARE: f64 = 0.5;
 
 impl Balancer {
-    /// Draws a server by the paper's weights, and tells its estimate.
+    /// Draws a server by the paper's weights, and returns its load estimate with it.
     pub(super) fn draw(&mut self, request: &Request, scope: RetryScope) -> Option<(Rc<Server>, f64)> {
         let mut candidates = Vec::new();
         if self.probes_per_draw > 0 {
@@ -30,7 +33,7 @@
             candidates =
                 self.candidates(request, &scope, |balancer, server| balancer.has_cold_credit(server, rate));
         } else {
-            // In the time in which a cold one falls over it is sent what it did and what it holds at the end.
+            // While a cold server becomes overloaded, it has been sent what it served by then and what it still holds.
             let multiple = (self.settings.overload_multiple - 1.0).max(0.0) * COLD_LIMIT_SHARE;
             let limit = multiple * self.settings.overload_window / self.usual_duration(request);
             let waiting = self.concurrent_arrivals(request);
@@ -69,7 +72,7 @@
                 && !attempts.iter().any(|attempt| Rc::ptr_eq(&attempt.server, server))
                 && extra(self, server)
         };
-        // Each further server would have to be met, and learned of by requests lost; a few are enough to ask.
+        // Requests would be lost in learning about each further server; a few are enough to probe.
         let mut subset = if self.probes_per_draw > 0 { self.subset(size, |_| true) } else { Vec::new() };
         subset.retain(&eligible);
         match (self.probes_per_draw, subset.len()) {
@@ -86,13 +89,14 @@
             .min(1.0)
     }
 
-    /// How many requests of all nodes wait as this one does: as many as came since it.
+    /// How many requests of all nodes wait like this one: as many as have arrived since it did.
     fn concurrent_arrivals(&mut self, request: &Request) -> f64 {
         (self.send_rate() * self.settings.node_count * (self.now - request.arrived_at.get())).max(1.0)
     }
 
-    /// Is the request among those that a cold server may take, which could take `most` if it were warm? All
-    /// nodes see at once that it has room, for all that waits there: a random number decides which are sent.
+    /// Whether the request is among those that a cold server may take, which could take `limit` if it were warm. All
+    /// nodes see at the same time that it has room for all that waits there, so a random number decides which requests
+    /// are sent.
     fn wins_cold_slot(&self, request: &Request, server: &Server, limit: f64, waiting: f64) -> bool {
         let load = server.reported_load.get().unwrap_or(0.0).max(f64::from(server.in_flight.get()));
         let room = (limit * self.capacity_share(server)).max(1.0) - load;
@@ -100,8 +104,8 @@
             < room
     }
 
-    /// Has a cold server credit for one more attempt? It takes only its share of what warm ones bear, or all
-    /// nodes together overload it.
+    /// Whether a cold server has credit for one more attempt. It gets only its share of what warm servers can take, or
+    /// all nodes together would overload it.
     fn has_cold_credit(&self, server: &Server, rate: f64) -> bool {
         let capacity = self.capacity_share(server);
         let refill = rate * COLD_LIMIT_SHARE * self.settings.overload_multiple * capacity;
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -1,4 +1,4 @@
-//! Server health: failures and slowness, ejection, and attempts that are overdue.
+//! Server health: failures and slowness, ejection of servers, and attempts that are overdue.
 
 use super::Balancer;
 use super::servers::LIST_RETRY_MS;
@@ -7,20 +7,31 @@
 use crate::state::{Attempt, Health, Request, Server};
 use std::rc::Rc;
 
-pub(super) const EJECTION_FAILURES: u32 = 3; // Consecutive failures that eject a server; an error may do.
-const TRIAL_REQUESTS: f64 = 40.0; // Requests that a node sends between two trials of a server at the least.
-const SHARED_FAULT_SHARE: f64 = 0.7; // Share of attempts served below which errors come from the tier behind.
-const EJECTION_FIRST_MS: f64 = 1000.0; // First ejection: about a short stall; it doubles up to the longest.
-const EJECTION_LONGEST_MS: f64 = 8000.0; // Longest ejection: a returned server must be found soon.
-const FULL_BACKOFF_FACTOR: f64 = 4.0; // Usual durations that a full server rests: its queue should be down by then.
-const SILENT_MS: f64 = 3000.0; // Silence after which a server that answers again may have restarted.
-const OVERDUE_FACTOR: f64 = 8.0; // Usual durations after which an attempt is overdue: tails are long.
-const LOSSY_SHARE: f64 = 0.05; // Share of recent attempts never answered from which on answers are being lost.
-const OVERDUE_FACTOR_LOSSY: f64 = 4.0; // `OVERDUE_FACTOR` while they are: what is out for so long is mostly lost.
-const SLOWNESS_PRIOR: f64 = 3.0; // Samples of equal durations that a server's slowness is averaged with.
+/// Consecutive failures that eject a server; a single error may count for as many.
+pub(super) const EJECTION_FAILURES: u32 = 3;
+/// Requests that a node sends between two trials of a server at the least.
+const TRIAL_REQUESTS: f64 = 40.0;
+/// Share of attempts served below which errors are taken to come from the tier behind.
+const SHARED_FAULT_SHARE: f64 = 0.7;
+/// First ejection: about a short stall. It doubles up to the longest.
+const EJECTION_FIRST_MS: f64 = 1000.0;
+/// Longest ejection: a server that works again must be found soon.
+const EJECTION_LONGEST_MS: f64 = 8000.0;
+/// Usual durations for which a full server gets nothing: its queue should be down by then.
+const FULL_BACKOFF_FACTOR: f64 = 4.0;
+/// Time without success after which a server that answers again may have restarted.
+const SILENT_MS: f64 = 3000.0;
+/// Usual durations after which an attempt is overdue: the distribution has a long tail.
+const OVERDUE_FACTOR: f64 = 8.0;
+/// Share of recent attempts that were never answered from which on answers are taken to get lost.
+const LOSSY_SHARE: f64 = 0.05;
+/// `OVERDUE_FACTOR` while answers get lost: what is out for so long is mostly lost.
+const OVERDUE_FACTOR_LOSSY: f64 = 4.0;
+/// Samples of equal durations that a server's slowness is averaged with.
+const SLOWNESS_PRIOR: f64 = 3.0;
 
 impl Balancer {
-    /// Records what an ended attempt says of its server, its profile and the whole tier.
+    /// Records what the outcome of an attempt says about its server, its profile and the whole tier.
     pub(super) fn record_outcome(
         &mut self,
         server: &Rc<Server>,
@@ -35,24 +46,26 @@
         if lost || outcome == AttemptOutcome::Served {
             self.lost_answers.add(now, f64::from(u8::from(lost)));
         }
-        // A server that loses its answers looks idle: they count with the time they were out.
+        // A server that loses its answers looks idle: such attempts count with the time they were out.
         if outcome != AttemptOutcome::Served && took > OVERDUE_FACTOR * usual_duration {
             self.record_slowness(server, took / usual_duration);
         }
         server.connect_failed.set(outcome == AttemptOutcome::ConnectFailed);
-        // The list that a node starts with may be old: one that is still to ask for it asks now.
+        // The list that a node starts with may be out of date: a node that has yet to ask for the current one asks
+        // now.
         if server.connect_failed.get()
             && self.list_retry_pause <= LIST_RETRY_MS
             && self.next_list_request.is_finite()
         {
             (self.next_list_request, self.list_retry_pause) = (now, 2.0 * LIST_RETRY_MS);
         }
-        // Does it help to send a request that got an error again? Some get one wherever they go.
+        // Whether retries after an error help: some requests get an error on every server.
         let errors_before = request.errors() - usize::from(outcome == AttemptOutcome::Error);
         if errors_before > 0 && matches!(outcome, AttemptOutcome::Error | AttemptOutcome::Served) {
             self.retry_success(request).add(now, f64::from(u8::from(outcome == AttemptOutcome::Served)));
         }
-        // An error that most servers give now comes from the tier behind: it says nothing of this one.
+        // An error that most servers give at the moment comes from the tier behind, and says nothing about this
+        // server.
         let fault_is_behind =
             !self.settings.last_tier && self.successes.mean_with_prior(now, 1.0, 1.0) < SHARED_FAULT_SHARE;
         match outcome {
@@ -87,15 +100,16 @@
         ) {
             self.record_timeliness(request, false);
         }
-        // A trial ends with its attempt, however that ended.
+        // A trial ends with its attempt, whatever the outcome.
         server.health(request.profile).on_trial.set(false);
     }
 
-    /// Consecutive failures eject a server: quick errors would otherwise win traffic by a low estimate.
+    /// Consecutive failures eject a server: quick errors would otherwise attract traffic by a low load estimate.
     fn record_failure(&mut self, server: &Server, profile: usize, error: bool) {
         let now = self.now;
         let rate = self.first_attempts.total(now).0 / now.clamp(1000.0, DEFAULT_SPAN_MS);
-        // Who probes sees at once that a failing server is idle; with few requests each trial loses much.
+        // Nodes that probe see at once that a failing server is idle; with few requests each trial would lose many of
+        // them.
         let min_ejection =
             if self.probes_per_draw > 0 { TRIAL_REQUESTS / rate.max(f64::MIN_POSITIVE) } else { 0.0 };
         server.failing_since.set(server.failing_since.get().min(now));
@@ -119,25 +133,25 @@
         }
     }
 
-    /// Records how slow a server is beside the others; with few samples it counts as nearly equal to them.
+    /// Records how slow a server is compared with the others; with few samples it counts as nearly equal to them.
     fn record_slowness(&mut self, server: &Server, relative: f64) {
         let mut samples = server.relative_durations.borrow_mut();
         samples.add(self.now, relative);
         server.slowness.set(samples.mean_with_prior(self.now, SLOWNESS_PRIOR, 1.0));
     }
 
-    /// Usual durations after which an attempt is overdue; fewer while answers are being lost.
+    /// Usual durations after which an attempt is overdue; fewer while answers get lost.
     pub(super) fn overdue_factor(&mut self) -> f64 {
         if self.lost_answers.mean(self.now) > LOSSY_SHARE { OVERDUE_FACTOR_LOSSY } else { OVERDUE_FACTOR }
     }
 
-    /// Records attempts that are overdue, and sends a second copy where one is allowed.
+    /// Records attempts that are overdue, and sends a hedge where one is allowed.
     pub(super) fn check_overdue(&mut self, request: &Rc<Request>, out: &mut impl DecisionWriter) {
         let overdue_factor = self.overdue_factor();
         let usual_duration = self.usual_duration(request) * overdue_factor;
         let mut next = f64::INFINITY;
         let mut late = None;
-        // No server can be late with a request that has not come whole.
+        // No server can be late with a request that has not arrived completely.
         let is_watched =
             |attempt: &&mut Attempt| request.window_weight() > 0.0 && attempt.is_out() && !attempt.overdue;
         for attempt in request.attempts.borrow_mut().iter_mut().filter(is_watched) {
@@ -147,7 +161,8 @@
                 continue;
             }
             attempt.overdue = true;
-            // A server that has answered others since is not silent: its request is long, a copy is waste.
+            // A server that has served others since is not silent: this request takes long, and a hedge would be
+            // wasted.
             if overdue_factor < OVERDUE_FACTOR || attempt.server.last_served_at.get() < attempt.sent_at {
                 late = Some(attempt.server.clone());
             }
@@ -160,9 +175,9 @@
 }
 
 impl Server {
-    /// A success: failures before it no longer count.
+    /// Records a success: failures before it no longer count.
     pub(super) fn record_success(&self, profile: usize, now: f64, warm_up_time: f64) {
-        // Silent long enough to have restarted: it is cold until the list says better.
+        // Silent for long enough to have restarted: the server counts as cold until the list states its start.
         let silent = now - self.failing_since.get() > SILENT_MS && now - self.started_at.get() > warm_up_time;
         let health = self.health(profile);
         if silent && self.health.borrow().iter().all(|health| health.failures.get() >= EJECTION_FAILURES) {
@@ -176,7 +191,7 @@
 }
 
 impl Health {
-    /// Is it ejected, or out on the one attempt that may end its ejection?
+    /// Whether it is ejected, or the one attempt that may end its ejection is out.
     pub(super) fn is_ejected(&self, now: f64) -> bool {
         self.failures.get() >= EJECTION_FAILURES && (now < self.ejected_until.get() || self.on_trial.get())
     }
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -8,7 +8,8 @@
 use std::cell::Cell;
 use std::rc::{Rc, Weak};
 
-const ADVICE_SHARE: f64 = 0.25; // Advised pause before a retry, share of the latency target.
+/// Advised pause before a client retries, as a share of the latency target.
+const ADVICE_SHARE: f64 = 0.25;
 
 impl Balancer {
     /// Takes in a request under the settings in force.
@@ -63,7 +64,7 @@
         self.requests.get(&id).iter().for_each(|request| request.not_replayable.set(true));
     }
 
-    /// An attempt has ended; `done` if the client has its answer by it.
+    /// An attempt has ended after `took` ms; `done` if the client has its answer by it.
     pub fn attempt_ended(&mut self, id: u32, attempt: usize, outcome: AttemptOutcome, took: f64, done: bool) {
         let Some(request) = self.requests.get(&id).cloned() else { return };
         let Some(server) = self.record_end(&request, attempt, outcome) else { return };
@@ -72,7 +73,7 @@
         self.to_decide.push(request);
     }
 
-    /// The client has closed its connection: what is still out for its request is called off.
+    /// The client has closed its connection: attempts that are still out for its request are cancelled.
     pub fn client_left(&mut self, id: u32) {
         let Some(request) = self.requests.get(&id) else { return };
         request.closed.set(true);
@@ -86,7 +87,7 @@
         open_requests.iter().for_each(|request| self.review_at(request, at));
     }
 
-    /// Takes the next step for a request: records that it is slow, answers, queues or sends it.
+    /// Takes the next step for a request: records that it is slow, answers it, queues it or sends it.
     pub(super) fn decide(&mut self, request: &Rc<Request>, out: &mut impl DecisionWriter) {
         if self.now >= request.slow_at.get() {
             self.record_timeliness(request, false);
@@ -110,29 +111,29 @@
         self.check_overdue(request, out);
     }
 
-    /// The last moment for an answer of our own: two rounds ahead of the deadline, so that it leaves in time.
+    /// The last moment for an answer of the node's own: two rounds before the deadline, so that it leaves in time.
     pub(super) fn answer_deadline(&self, request: &Request) -> f64 {
         request.deadline.get().min(self.shutdown_time) - 2.0 * self.settings.round_interval
     }
 
-    /// Looks at the request again at that time, or when it counts as slow or must be answered, if earlier.
+    /// Looks at the request again at that time, or earlier if it counts as slow or must be answered by then.
     pub(super) fn review_at(&mut self, request: &Rc<Request>, at: f64) {
         let at = if self.now < request.slow_at.get() { at.min(request.slow_at.get()) } else { at };
         let at = at.min(self.answer_deadline(request)).clamp(0.0, self.now + DEFAULT_SPAN_MS);
         self.reviews.insert((at.to_bits(), request.id), Rc::downgrade(request));
     }
 
-    /// May the client be told that a retry does no harm?
+    /// Whether the client may be told that a retry does no harm.
     fn may_reject(&self, request: &Request) -> bool {
         let Profile { effect, dedup_scope: group, .. } = self.profile(request);
         let harmless = *effect == Effect::Idempotent || *effect == Effect::Keyed && *group == DedupScope::All;
         harmless || request.never_ran()
     }
 
-    /// Rejects the request where a retry does no harm, else fails it.
+    /// Rejects the request where a retry does no harm, and fails it otherwise.
     pub(super) fn give_up(&mut self, request: &Rc<Request>, out: &mut impl DecisionWriter) {
         if self.may_reject(request) {
-            // All told the same would come back at once: the advice is spread.
+            // Clients that are given the same time would all come back at once, so the advice is spread.
             let retry_after =
                 ADVICE_SHARE * self.profile(request).latency_target * self.rng.0.random_range(0.5..1.5);
             out.reject(request.id, retry_after.min(self.settings.max_retry_after));
@@ -143,7 +144,7 @@
         self.settle(request, out);
     }
 
-    /// Calls off what is still out for a closed request, and forgets it when nothing is.
+    /// Cancels what is still out for a closed request, and forgets the request when nothing is.
     fn settle(&mut self, request: &Rc<Request>, out: &mut impl DecisionWriter) {
         let attempts = request.attempts.borrow();
         let still_out = || attempts.iter().enumerate().filter(|(_, attempt)| attempt.is_out());
--- a/src/policy/servers.rs
+++ b/src/policy/servers.rs
@@ -7,14 +7,20 @@
 use rand::prelude::Rng;
 use std::rc::Rc;
 
-const SUBSET_RATE: f64 = 8.0; // Requests/s to each server of the subset: fewer don't tell how it performs.
-const SUBSET_MIN: f64 = 5.0; // Servers in the subset at the least: a single slow one must not matter much.
-const SUBSET_MIN_OUTSTANDING: f64 = 8.0; // The same where reports of requests reports_outstanding compare servers at once.
-pub(super) const CANDIDATES_MIN: usize = 2; // Servers to probe, or the subset is extended.
-pub(super) const LIST_RETRY_MS: f64 = 1000.0; // First pause before the list is asked for again; it doubles.
+/// Requests per second to each server of the subset: fewer do not show how it performs.
+const SUBSET_RATE: f64 = 8.0;
+/// Servers in the subset at the least: a single slow one must not matter much.
+const SUBSET_MIN: f64 = 5.0;
+/// The same where reports of requests outstanding make servers comparable at once.
+const SUBSET_MIN_OUTSTANDING: f64 = 8.0;
+/// Servers to probe at the least; with fewer the subset is extended.
+pub(super) const CANDIDATES_MIN: usize = 2;
+/// First pause before the list is asked for again; it doubles.
+pub(super) const LIST_RETRY_MS: f64 = 1000.0;
 
 impl Balancer {
-    /// Takes in lines of the server list; servers that a `whole` list lacks are gone.
+    /// Takes in entries of the server list; servers that a `whole` list lacks are gone. `cached`: the list is the one
+    /// that the node starts with, not the current one.
     pub fn list_received(&mut self, whole: bool, cached: bool, entries: impl Iterator<Item = ServerEntry>) {
         if whole {
             self.servers.values().for_each(|server| server.entry.update(ServerEntry::gone));
@@ -28,31 +34,33 @@
         }
     }
 
-    /// Servers that must not be sent to for now (draining), or may be again, though no list says so: the
-    /// current list has become too old to go by.
+    /// Changes servers' states although no list says so, since the current list has become too old to go by: servers
+    /// that must not be sent to for now (draining), or may be again.
     pub fn states_overridden(&mut self, entries: impl Iterator<Item = ServerEntry>) {
         self.apply_entries(entries);
     }
 
+    /// Takes in these entries, and drops servers that are no longer ready or listed.
     fn apply_entries(&mut self, entries: impl Iterator<Item = ServerEntry>) {
         entries.for_each(|entry| self.apply_entry(entry));
         self.ready_servers.retain(|server| server.entry.get().state == ServerState::Ready);
         self.servers.retain(|_, server| server.entry.get().state != ServerState::Gone);
     }
 
-    /// A call for the list failed or its watch broke off: the next call follows after an exponential backoff.
+    /// A request for the list failed or its watch broke off: the next one follows after an exponential back-off.
     pub fn list_failed(&mut self) {
-        // A failed or broken watch leaves us blind to drains; spread by chance, as all others ask too.
+        // Without the watch the node does not see servers drain. The pause is randomised, since all other nodes ask
+        // too.
         let max_pause = self.settings.list_request_deadline / 2.0;
         self.next_list_request =
             self.now + self.list_retry_pause.min(max_pause) * self.rng.0.random_range(0.5..1.5);
         self.list_retry_pause = (self.list_retry_pause * 2.0).min(max_pause);
     }
 
-    /// Takes in one line of the list.
+    /// Takes in one entry of the list.
     fn apply_entry(&mut self, entry: ServerEntry) {
         if entry.state == ServerState::Gone {
-            // Whoever comes to its address is another server.
+            // A new server at the same address has nothing in common with this one.
             return self
                 .servers
                 .remove(&entry.address)
@@ -76,12 +84,12 @@
         }
     }
 
-    /// Requests of this node sent for the first time, per ms, over the span or what there has been of it.
+    /// First attempts per ms, over the span or as much of it as has passed.
     pub(super) fn send_rate(&mut self) -> f64 {
         self.first_attempts.total(self.now).0 / self.now.clamp(1000.0, DEFAULT_SPAN_MS)
     }
 
-    /// Size of the subset of a zone that this node draws from: as many servers as its traffic tells about.
+    /// Size of the subset that this node draws from: as many servers as its traffic can keep known.
     pub(super) fn subset_size(&mut self) -> usize {
         let rate = self.send_rate() * 1000.0;
         let reports_outstanding =
@@ -90,9 +98,9 @@
             as usize
     }
 
-    /// The first wanted servers of this node's own zone and of the others, as many as its subset holds.
+    /// The first `wanted` servers of this node's own zone and of the others, as many as its subset holds.
     pub(super) fn subset(&self, size: usize, wanted: impl Fn(&Rc<Server>) -> bool) -> Vec<Rc<Server>> {
-        // Its own zone and the others share the subset.
+        // The own zone and the others share the subset.
         let several_zones =
             self.ready_servers.iter().any(|server| server.entry.get().zone != self.settings.zone);
         let mut places_left = match (several_zones, self.probes_per_draw) {
--- a/src/rng.rs
+++ b/src/rng.rs
@@ -1,8 +1,10 @@
-//! The seeded generator that all chance of an instance comes from; by default that of seed 0.
+//! The seeded random number generator that all random choices of an instance come from, so that a run can be repeated.
+//! Used by the decision module and by the node's watch and probes of the server list.
 
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
+/// A generator of reproducible random numbers; the default one has seed 0.
 pub struct SeededRng(pub ChaCha8Rng);
 
 impl SeededRng {
--- a/src/sliding_window.rs
+++ b/src/sliding_window.rs
@@ -1,9 +1,10 @@
-//! Fixed buckets of time, used again in a ring.
+//! Sliding windows over fixed buckets of time that are reused in a ring: counts and sums of samples, and the mean of
+//! a level over time. Used throughout the decision module. All times are milliseconds.
 
-/// Span of measurements, ms, where nothing else is said: some dozen jobs on a server at usual rates.
+/// Span of measurements, ms, where no other is given: at usual rates a server gets some dozen requests in it.
 pub const DEFAULT_SPAN_MS: f64 = 10_000.0;
 
-/// Counts and sums over the last `SLOTS` buckets; all times in milliseconds.
+/// Counts and sums over the last `SLOTS` buckets.
 #[derive(Debug, Clone)]
 pub struct SlidingWindow<const SLOTS: usize> {
     bucket_width: f64,
@@ -12,12 +13,12 @@
 }
 
 impl<const SLOTS: usize> SlidingWindow<SLOTS> {
-    /// A ring whose buckets together span `span` milliseconds.
+    /// A window whose buckets together span `span` milliseconds.
     pub fn new(span: f64) -> Self {
         Self { bucket_width: span / SLOTS as f64, buckets: [(0.0, 0.0); SLOTS], newest: 0 }
     }
 
-    /// Books one count and `amount` at `now`.
+    /// Adds one sample of `amount` at `now`.
     pub fn add(&mut self, now: f64, amount: f64) {
         self.advance(now);
         let slot = &mut self.buckets[self.newest.rem_euclid(SLOTS as i64) as usize];
@@ -25,23 +26,24 @@
         slot.1 += amount;
     }
 
-    /// Count and sum of what was booked within the span.
+    /// Count and sum of the samples within the span.
     pub fn total(&mut self, now: f64) -> (f64, f64) {
         self.advance(now);
         self.buckets.iter().fold((0.0, 0.0), |sum, slot| (sum.0 + slot.0, sum.1 + slot.1))
     }
 
-    /// Mean of what was booked within the span; not a number if nothing was.
+    /// Mean of the samples within the span; NaN if there are none.
     pub fn mean(&mut self, now: f64) -> f64 {
         self.mean_with_prior(now, 0.0, 0.0)
     }
 
-    /// The same, beside `prior` more that were `like`.
+    /// The mean of the samples within the span and `prior` more of the value `like`.
     pub fn mean_with_prior(&mut self, now: f64, prior: f64, like: f64) -> f64 {
         let (count, sum) = self.total(now);
         (sum + prior * like) / (count + prior)
     }
 
+    /// Clears the buckets that have fallen out of the span.
     fn advance(&mut self, now: f64) {
         let bucket = (now / self.bucket_width).floor() as i64;
         let stale = (bucket - self.newest).clamp(0, SLOTS as i64);
@@ -58,7 +60,7 @@
     }
 }
 
-/// A level that changes now and then, and its mean over time.
+/// A level that changes at times, and its mean over time.
 #[derive(Debug, Clone, Default)]
 pub struct TimeWeightedLevel<const SLOTS: usize> {
     pub value: f64,
@@ -67,12 +69,13 @@
 }
 
 impl<const SLOTS: usize> TimeWeightedLevel<SLOTS> {
+    /// A level of 0 whose mean is taken over `span` milliseconds.
     pub fn new(span: f64) -> Self {
         Self { value: 0.0, since: 0.0, integral: SlidingWindow::new(span) }
     }
 
-    /// What lasted belongs to all buckets that it lasted through: booked to the last one, jobs that are stuck for
-    /// seconds counted as many times as many.
+    /// Changes the level by `by`. The time that the level lasted is spread over all buckets that it lasted through:
+    /// added to the last one alone, requests that are stuck for seconds would count many times over.
     pub fn change(&mut self, now: f64, by: f64) {
         let width = self.integral.bucket_width;
         let mut at = self.since.max(now - width * SLOTS as f64);
@@ -87,7 +90,7 @@
         self.value += by;
     }
 
-    /// Mean over the span.
+    /// Mean of the level over the span.
     pub fn mean(&mut self, now: f64) -> f64 {
         self.change(now, 0.0);
         self.integral.total(now).1 / (self.integral.bucket_width * SLOTS as f64)
--- a/src/window.rs
+++ b/src/window.rs
@@ -1,39 +1,62 @@
-//! How many jobs a node of the clients' own tier may have out; the modules of `policy` tell it of answers and jobs out.
+//! Admission window: how many requests a node of the tier that clients call may have in flight. The modules of
+//! `policy` report answers and requests in flight to it.
 //!
-//! A server has in hand what it would have if nobody waited there, its rate times the time that jobs take
-//! by themselves, and a few that wait. The first differs by deployment: servers hold jobs for inner tiers.
+//! What a server holds without crowding is its rate times the uncrowded duration of its requests, and a few that wait. The
+//! first differs by deployment: servers hold requests while they wait for inner tiers.
 
 use crate::sliding_window::{DEFAULT_SPAN_MS, SlidingWindow, TimeWeightedLevel};
 
-const LATENESS_TARGET: f64 = 0.35; // Share of the latency target beyond their plain one that jobs take in the mean.
-const SLACK_SHARE_MIN: f64 = 0.2; // Share of the latency target that counts as beyond it at the least.
-const SHRINK_SHARE: f64 = 0.02; // The window shrinks by this share for each answer while they take more.
-const SHRINK_MIN: f64 = 0.4; // Jobs it shrinks by at the least: a late answer must close one of a job.
-const GROWTH_MAX: f64 = 0.1; // Jobs by which it grows at the limit for each answer, likewise.
-const WORTH_SPREAD: f64 = 0.5; // Deviations between the means of jobs out for jobs above mean worth and others.
-const LATENESS_SPAN_MS: f64 = 1000.0; // Span, ms, over which jobs out and lateness count: a jam takes a second.
-const MIN_PER_SERVER: f64 = 5.0; // Jobs a server let in at the least and first: with fewer it grows slowly.
-pub const MAX_PER_SERVER: f64 = 8.0; // Jobs a server let in at the limit while nothing tells that they don't crowd it.
-const QUEUED_PER_SERVER: f64 = 5.0; // Jobs a server that may wait beyond the uncrowded ones: enough to keep it at work.
-const IDLE_UTILIZATION: f64 = 0.2; // Utilisation above which servers gain less and less by more jobs in hand, and
-const BUSY_UTILIZATION: f64 = 0.6; // from which on nothing.
-const UNCROWDED_MEMORY_MS: f64 = 300_000.0; // Memory, ms, of the least durations: longer than any jam.
-const UNCROWDED_SAMPLES: f64 = 12.0; // Samples that a mean duration needs to be told.
-const SLOW_PROFILE_STRETCH: f64 = 0.6; // Stretch, as a logarithm, from which a profile is slow by itself beside others.
-const LOG_DEVIATION: f64 = 1.0; // Deviation of a duration's logarithm: what so few samples may show by chance.
-const CROWDING_MAX: f64 = 4.0; // Most that crowding is busy_time to lengthen jobs by: beyond it something fails.
-
-/// Durations of one profile's served attempts.
+/// Mean lateness above which the window shrinks. A request's lateness is its time beyond the uncrowded duration, as a
+/// share of what the latency target leaves beyond that.
+const LATENESS_TARGET: f64 = 0.35;
+/// Share of the latency target that counts as lying beyond the uncrowded duration at the least.
+const SLACK_SHARE_MIN: f64 = 0.2;
+/// Share by which the window shrinks with each answer while lateness is above its target.
+const SHRINK_SHARE: f64 = 0.02;
+/// Requests by which it shrinks at the least: a late answer must also close a window of one request.
+const SHRINK_MIN: f64 = 0.4;
+/// Requests by which it grows at the most with each answer, for the same reason.
+const GROWTH_MAX: f64 = 0.1;
+/// Distance between the limits on the mean in flight for requests above mean worth and for others, in standard
+/// deviations (the square root of the window).
+const WORTH_SPREAD: f64 = 0.5;
+/// Span over which lateness and requests in flight are averaged, ms: a congestion builds up within a second.
+const LATENESS_SPAN_MS: f64 = 1000.0;
+/// Requests per server that are always admitted: with fewer the window would grow too slowly.
+const MIN_PER_SERVER: f64 = 5.0;
+/// Requests per server at the start, and at the most while nothing shows that more do not crowd the server.
+pub const MAX_PER_SERVER: f64 = 8.0;
+/// Requests per server that may wait beyond the uncrowded ones: enough to keep it busy.
+const QUEUED_PER_SERVER: f64 = 5.0;
+/// Utilization above which servers gain less and less from more requests in flight.
+const IDLE_UTILIZATION: f64 = 0.2;
+/// Utilization from which on they gain nothing.
+const BUSY_UTILIZATION: f64 = 0.6;
+/// Time over which the least mean durations are forgotten, ms: longer than any congestion.
+const UNCROWDED_MEMORY_MS: f64 = 300_000.0;
+/// Samples that a mean duration must have to be used.
+const UNCROWDED_SAMPLES: f64 = 12.0;
+/// Difference of the logarithm of the stretch, compared with the least stretched profile, above which a profile is
+/// slow by itself.
+const SLOW_PROFILE_STRETCH: f64 = 0.6;
+/// Standard deviation of a duration's logarithm: what so few samples may show by chance.
+const LOG_DEVIATION: f64 = 1.0;
+/// Factor by which crowding is taken to lengthen requests at the most: beyond it something fails.
+const CROWDING_MAX: f64 = 4.0;
+
+/// Durations of one profile's served attempts, and their logarithms.
 struct ProfileDurations {
     times: SlidingWindow<10>,
     logs: SlidingWindow<10>,
-    /// The least mean logarithm of late.
+    /// The least recent mean of the logarithms, slowly forgotten.
     min_log_mean: f64,
 }
 
+/// The window and what it is adjusted by.
 #[derive(Default)]
 pub struct AdmissionWindow {
     size: f64,
+    /// Requests in flight that count for the window.
     pub in_flight: TimeWeightedLevel<10>,
     lateness: SlidingWindow<10>,
     durations: Vec<ProfileDurations>,
@@ -41,12 +64,14 @@
 }
 
 impl AdmissionWindow {
+    /// A window without limit; `start` sets one.
     pub fn new() -> Self {
         let (in_flight, lateness) =
             (TimeWeightedLevel::new(LATENESS_SPAN_MS), SlidingWindow::new(LATENESS_SPAN_MS));
         Self { size: f64::INFINITY, in_flight, lateness, ..Self::default() }
     }
 
+    /// Adds a profile; profiles have consecutive numbers from 0.
     pub fn add_profile(&mut self) {
         self.durations.push(ProfileDurations {
             times: SlidingWindow::default(),
@@ -55,28 +80,31 @@
         });
     }
 
+    /// Requests that may be in flight.
     pub fn size(&self) -> f64 {
         self.size
     }
 
-    /// A node that begins with so many servers as its part.
+    /// Sets the window for a node whose share is this many servers.
     pub fn start(&mut self, servers: f64) {
         self.size = MAX_PER_SERVER * servers;
     }
 
-    /// Usual duration of a profile's attempt, ms, beside one that took `unseen`.
+    /// Usual duration of a profile's attempt, ms: the mean of recent ones and one of `default` ms.
     pub fn usual_duration(&mut self, profile: usize, now: f64, default: f64) -> f64 {
         self.durations[profile].times.mean_with_prior(now, 1.0, default)
     }
 
+    /// Records the duration of a served attempt, ms.
     pub fn record_served(&mut self, profile: usize, now: f64, duration: f64) {
         let durations = &mut self.durations[profile];
         durations.times.add(now, duration);
         durations.logs.add(now, duration.max(1.0).ln());
     }
 
-    /// Closes while recent jobs take much of what their latency target leaves beside their own, opens as they
-    /// are answered. Only what crowding adds counts: a job that is long by itself is no sign of it.
+    /// Shrinks the window while recent requests use much of the time that their latency target leaves beyond their
+    /// uncrowded duration, and grows it as requests are answered. Only what crowding adds counts: a request that is
+    /// long by itself is no sign of it.
     pub fn adjust(&mut self, profile: usize, now: f64, duration: f64, target: f64) {
         self.learn_uncrowded(now);
         let plain = self.uncrowded_duration(profile, now);
@@ -88,9 +116,9 @@
         }
     }
 
-    /// Keeps the window to what this node's part of the servers, `part`, bears. With far more nodes than
-    /// servers that is nothing at all: one job may always be out. `busy` is what servers report of their
-    /// utilisation, if they do: more in hand gains a busy one nothing.
+    /// Limits the window to what this node's share of the servers can hold. With far more nodes than servers that is
+    /// less than one request; one may always be in flight. `utilization` is the servers' mean, if they report it: more
+    /// requests in flight gain a busy server nothing.
     pub fn limit_to_share(&mut self, now: f64, own_share: f64, utilization: Option<f64>) {
         let headroom = utilization.map_or(1.0, |utilization| {
             ((BUSY_UTILIZATION - utilization) / (BUSY_UTILIZATION - IDLE_UTILIZATION)).clamp(0.0, 1.0)
@@ -100,8 +128,9 @@
             self.size.clamp(MIN_PER_SERVER * own_share, limit.max(MAX_PER_SERVER * own_share)).max(1.0);
     }
 
-    /// With more nodes than servers a part is a job or two: whole numbers would let in far more, so the
-    /// mean is held to it too. Few wait at a time: better ones may pass it a little, others stay below.
+    /// Whether one more request may be sent. With more nodes than servers a share is a request or two, and whole
+    /// numbers would admit far more; so the mean in flight is limited too. Few wait at a time: requests above mean
+    /// worth may exceed the limit a little, others stay below it.
     pub fn has_room(&mut self, now: f64, above_mean: bool) -> bool {
         let above_mean = f64::from(u8::from(above_mean));
         let limit = self.size + (above_mean - 0.5) * WORTH_SPREAD * self.size.sqrt();
@@ -121,8 +150,8 @@
         }
     }
 
-    /// By how much jobs take longer than at their easiest. A profile that is slow beside the others is so by
-    /// itself, at all servers: it says nothing of crowding.
+    /// Factor by which requests take longer than when nothing crowds them. A profile that is slow compared with the
+    /// others is slow by itself, on all servers, and says nothing about crowding.
     fn crowding(&mut self, now: f64) -> f64 {
         let stretch = |durations: &mut ProfileDurations| {
             let (count, sum) = durations.logs.total(now);
@@ -137,7 +166,7 @@
         if count > 0.0 { (shown / count).exp().clamp(1.0, CROWDING_MAX) } else { 1.0 }
     }
 
-    /// What a profile's jobs take by themselves, ms.
+    /// What a profile's requests take when nothing crowds them, ms.
     fn uncrowded_duration(&mut self, profile: usize, now: f64) -> f64 {
         let crowding = self.crowding(now);
         let durations = &mut self.durations[profile];
@@ -145,7 +174,7 @@
         durations.times.mean(now) / stretch
     }
 
-    /// Jobs out that nothing crowds: as many as are answered in the time that they take by themselves.
+    /// Requests in flight when nothing crowds them: as many as are answered within their uncrowded duration.
     fn uncrowded_in_flight(&mut self, now: f64) -> f64 {
         let crowding = self.crowding(now);
         let busy_time: f64 = self.durations.iter_mut().map(|durations| durations.times.total(now).1).sum();
