--- a/crates/pearfront-node/src/accept.rs
+++ b/crates/pearfront-node/src/accept.rs
@@ -5,9 +5,9 @@
 use crate::established;
 use crate::framing::Framing;
 use crate::inherited;
-use crate::logger::Seldom;
-use crate::pulse::CATCH_UP;
+use crate::logger::WarnLimiter;
 use crate::queue::Queue;
+use crate::stall_monitor::CATCH_UP;
 use crate::take_in::{LAST_SERVED, TakeIn};
 use socket2::SockRef;
 use std::cell::Cell;
@@ -62,8 +62,8 @@
     stopped: Cell<Option<f64>>,
     /// How many were accepted since others had their turn.
     in_a_row: Cell<usize>,
-    failed: Seldom,
-    shut: Seldom,
+    failed: WarnLimiter,
+    shut: WarnLimiter,
 }
 
 impl Acceptor {
@@ -72,7 +72,7 @@
     pub fn new(listener: TcpListener, shared: bool, take_in: Rc<TakeIn>) -> Self {
         let now = Instant::now();
         let (most, opened) = if shared {
-            (inherited::longest_queue(), now.checked_sub(LONGEST_WAIT + NO_PLACE).unwrap_or(now))
+            (inherited::max_accept_queue(), now.checked_sub(LONGEST_WAIT + NO_PLACE).unwrap_or(now))
         } else {
             (BACKLOG as usize, now)
         };
@@ -85,8 +85,8 @@
             without_place: Cell::new(None),
             stopped: Cell::new(None),
             in_a_row: Cell::new(0),
-            failed: Seldom::default(),
-            shut: Seldom::default(),
+            failed: WarnLimiter::default(),
+            shut: WarnLimiter::default(),
         }
     }
 
@@ -107,18 +107,18 @@
         };
         tokio::select! {
             never = self.accept_all() => match never {},
-            () = sleep_until(self.take_in.route.clock.at(answered - LAST_SERVED)) => {}
+            () = sleep_until(self.take_in.route.clock.instant_at(answered - LAST_SERVED)) => {}
             () = clients_end => {}
         }
         let end = Instant::now() + LAST_LOOK;
-        let _ = timeout_at(end.min(self.take_in.route.clock.at(answered)), self.empty_queue()).await;
+        let _ = timeout_at(end.min(self.take_in.route.clock.instant_at(answered)), self.empty_queue()).await;
     }
 
     /// What the kernel has accepted counts as ours, unless another process serves the same socket. It takes places as at any other
     /// time, and what finds none is shut unread.
     async fn empty_queue(&self) {
         let until = Instant::now() + LONGEST_WAIT;
-        while self.take_in.life.accepts()
+        while self.take_in.lifecycle.accepts()
             && let Some(Ok(stream)) = self.accept_now().await
         {
             if self.place_comes(until).await {
@@ -184,14 +184,14 @@
                 self.stand_back().await;
                 continue;
             }
-            if !self.take_in.life.accepts() {
+            if !self.take_in.lifecycle.accepts() {
                 // Another process takes what comes, or nobody: should this one go on, it may have waited since now.
                 self.queue.looks_away(Instant::now());
             }
             let accepted = tokio::select! {
                 biased;
-                () = self.take_in.life.changed() => continue,
-                accepted = self.next(), if self.take_in.life.accepts() => accepted,
+                () = self.take_in.lifecycle.changed() => continue,
+                accepted = self.next(), if self.take_in.lifecycle.accepts() => accepted,
             };
             match accepted {
                 Ok(stream) => self.open(stream),
@@ -248,7 +248,7 @@
     /// There is no place: waits for one, and shuts what has waited for too long.
     async fn stand_back(&self) {
         self.queue.looks_away(Instant::now());
-        if !self.is_too_late() || !self.take_in.life.accepts() {
+        if !self.is_too_late() || !self.take_in.lifecycle.accepts() {
             return self.place_freed().await;
         }
         while let Some(Ok(stream)) = self.accept_now().await {
@@ -304,7 +304,8 @@
     /// have been while the process stood still.
     fn established(&self, stream: &TcpStream) -> Option<Instant> {
         let route = &self.take_in.route;
-        established::earliest(stream).or_else(|| route.stopped_since().map(|begun| route.clock.at(begun)))
+        established::earliest(stream)
+            .or_else(|| route.stopped_since().map(|begun| route.clock.instant_at(begun)))
     }
 
     async fn let_others_go_on(&self) {
--- a/crates/pearfront-node/src/admin.rs
+++ b/crates/pearfront-node/src/admin.rs
@@ -2,7 +2,7 @@
 //! descriptors and time limits, and waits for nothing that clients hold.
 
 use crate::lifecycle::{Lifecycle, State};
-use crate::logger::{Limited, Seldom};
+use crate::logger::{InfoLimiter, WarnLimiter};
 use crate::message::{self, AdminCall, Body};
 use crate::wire::{Socket, Wire};
 use http_body_util::BodyExt;
@@ -24,7 +24,7 @@
 /// Calls open at once; one more has the oldest closed.
 const CALLS: usize = 12;
 /// Descriptors that no client, server or probe may have: the calls, the listener, and the call that comes on top.
-pub const DESCRIPTORS: usize = CALLS + 2;
+pub const RESERVED_DESCRIPTORS: usize = CALLS + 2;
 /// How long a call may take to come and be answered: callers wait for 1 s.
 const WHOLE_CALL: Duration = Duration::from_secs(2);
 /// How long the permit to drain may take to come.
@@ -39,24 +39,24 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
 
 pub struct Admin {
-    life: Rc<Lifecycle>,
+    lifecycle: Rc<Lifecycle>,
     /// The other processes, where there may be any.
     cluster: Option<Rc<Cluster>>,
     open: RefCell<VecDeque<(u64, AbortHandle)>>,
     numbered: Cell<u64>,
-    failing: Seldom,
-    calls: Limited,
+    failing: WarnLimiter,
+    calls: InfoLimiter,
 }
 
 impl Admin {
-    pub fn new(life: Rc<Lifecycle>, cluster: Option<Rc<Cluster>>) -> Rc<Self> {
+    pub fn new(lifecycle: Rc<Lifecycle>, cluster: Option<Rc<Cluster>>) -> Rc<Self> {
         Rc::new(Self {
-            life,
+            lifecycle,
             cluster,
             open: RefCell::default(),
             numbered: Cell::new(0),
-            failing: Seldom::default(),
-            calls: Limited::new(LOGGED_CALLS),
+            failing: WarnLimiter::default(),
+            calls: InfoLimiter::new(LOGGED_CALLS),
         })
     }
 
@@ -114,11 +114,11 @@
             return Ok(());
         }
         cluster.take_permit(PERMIT).await?;
-        let life = self.life.clone();
+        let lifecycle = self.lifecycle.clone();
         spawn_local(async move {
             cluster.permit_lost().await;
-            if life.state() == State::LameDuck {
-                life.resume();
+            if lifecycle.state() == State::LameDuck {
+                lifecycle.resume();
                 log::warn!("takes jobs again: the permit to drain is held no more");
             }
             cluster.give_up_permit();
@@ -158,23 +158,23 @@
                     Some(cluster) => duties(&cluster, call).await,
                 };
             }
-            AdminCall::Ready => self.life.is_ready(),
+            AdminCall::Ready => self.lifecycle.is_ready(),
             AdminCall::Drain { force } => {
                 if let Err(problem) = self.permit(force).await {
                     return message::encode_conflict(&problem);
                 }
-                self.life.drain();
+                self.lifecycle.drain();
                 true
             }
             AdminCall::Resume => {
-                let resumed = self.life.resume();
+                let resumed = self.lifecycle.resume();
                 if let Some(cluster) = self.cluster.as_ref().filter(|_| resumed) {
                     cluster.give_up_permit();
                 }
                 resumed
             }
         };
-        message::encode_admin(yes, &self.life.state().to_string())
+        message::encode_admin(yes, &self.lifecycle.state().to_string())
     }
 }
 
--- a/crates/pearfront-node/src/admit.rs
+++ b/crates/pearfront-node/src/admit.rs
@@ -109,7 +109,7 @@
             let theirs = all / (others.len() + 1) * others.len();
             all.saturating_sub(used.max(theirs))
         };
-        let kept = FIXED * (others.len() + 1) + crate::admin::DESCRIPTORS * others.len();
+        let kept = FIXED * (others.len() + 1) + crate::admin::RESERVED_DESCRIPTORS * others.len();
         let last_resort = (self.sockets.get() / LAST_RESORT.0).min(LAST_RESORT.1) / (others.len() + 1);
         let connections = self.sockets.get().saturating_sub(kept + last_resort * (others.len() + 1));
         let used = |what: fn(&Use) -> usize| others.iter().map(what).sum();
--- a/crates/pearfront-node/src/clock.rs
+++ b/crates/pearfront-node/src/clock.rs
@@ -1,12 +1,12 @@
 //! The node's clock: milliseconds since its start, as the module counts, and the runtime's instants.
 
-use crate::pulse::Pulse;
+use crate::stall_monitor::StallMonitor;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
 
 /// A wake that never comes, ms: some thirty years.
-pub const NEVER: f64 = 1e12;
+pub const NEVER_MS: f64 = 1e12;
 
 /// A time in the module's terms as the runtime takes it.
 pub fn ms(time: f64) -> Duration {
@@ -29,8 +29,8 @@
     }
 
     /// Follows whether the process stands still.
-    pub fn pulse(&self) -> Rc<Pulse> {
-        Pulse::start(self.start)
+    pub fn stall_monitor(&self) -> Rc<StallMonitor> {
+        StallMonitor::start(self.start)
     }
 
     pub fn time_of(&self, instant: Instant) -> f64 {
@@ -39,7 +39,7 @@
         (after.as_secs_f64() - before.as_secs_f64()) * 1000.0
     }
 
-    pub fn at(&self, time: f64) -> Instant {
-        self.start + ms(time.clamp(0.0, NEVER))
+    pub fn instant_at(&self, time: f64) -> Instant {
+        self.start + ms(time.clamp(0.0, NEVER_MS))
     }
 }
--- a/crates/pearfront-node/src/config.rs
+++ b/crates/pearfront-node/src/config.rs
@@ -2,7 +2,7 @@
 //! Read, checked and given defaults here only; a problem is one line that names the faulty variable or key.
 
 use crate::message::{self, List};
-use crate::terms::Terms;
+use crate::runtime_settings::RuntimeSettings;
 use pearfront_cluster::Cluster;
 use pearfront_settings::{At, Surroundings};
 use serde_json::Value;
@@ -31,7 +31,7 @@
     pub known: List,
     /// Other processes that this one may talk to; on the platform there are none.
     pub cluster: Option<pearfront_cluster::Settings>,
-    pub terms: Terms,
+    pub settings: RuntimeSettings,
     /// The file as it stands, which a new one is held against.
     pub as_written: Value,
 }
@@ -87,12 +87,12 @@
     let limit = |key: &str, default: f64| {
         limits.as_ref().and_then(|at| at.maybe(key)).map_or(Ok(default), |at| at.above_0())
     };
-    let kept = if admin.is_some() { crate::admin::DESCRIPTORS } else { 0 };
+    let kept = if admin.is_some() { crate::admin::RESERVED_DESCRIPTORS } else { 0 };
     let cluster = top.maybe("cluster").map(|_| cluster(&json["cluster"])).transpose()?;
     let kept = kept + if cluster.is_some() { Cluster::descriptors() } else { 0 };
     let settings = top.needed("settings")?;
-    let around = Surroundings::decode(&settings)?;
-    let known = message::decode_known(&top.needed("known")?, &around)?;
+    let node_settings = Surroundings::decode(&settings)?;
+    let known = message::decode_known(&top.needed("known")?, &node_settings)?;
     if let Some((_, problem)) = known.dropped.first() {
         return Err(problem.clone());
     }
@@ -107,7 +107,10 @@
         sockets: (limit("sockets", SOCKETS)? as usize).saturating_sub(kept),
         known,
         cluster,
-        terms: Terms { settings: Rc::new(pearfront_settings::decode(&settings)?), around },
+        settings: RuntimeSettings {
+            policy_settings: Rc::new(pearfront_settings::decode(&settings)?),
+            node_settings,
+        },
         as_written: json,
     })
 }
--- a/crates/pearfront-node/src/send.rs
+++ b/crates/pearfront-node/src/connection_pool.rs
@@ -4,20 +4,20 @@
 mod attempt;
 mod break_rates;
 mod connection_end;
-mod link;
+mod http_connection;
 
 pub use attempt::Attempt;
 pub use connection_end::ConnectionEnd;
-pub use link::{BUFFER, Link};
+pub use http_connection::{BUFFER_BYTES, HttpConnection};
 
 use crate::admit::Room;
 use crate::book::Book;
 use crate::clock::ms;
 use crate::dial::Dialer;
-use crate::logger::Seldom;
-use crate::terms::InForce;
+use crate::logger::WarnLimiter;
+use crate::runtime_settings::SharedSettings;
 use break_rates::BreakRates;
-use link::{Idle, QUIET};
+use http_connection::{Idle, QUIET};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -39,32 +39,32 @@
 const SWEEP: Duration = Duration::from_secs(1);
 
 /// Connections to servers, the idle ones kept for the next attempt.
-pub struct Senders {
+pub struct ConnectionPool {
     idle: RefCell<BTreeMap<SocketAddr, Vec<Idle>>>,
     break_rates: BreakRates,
     dialer: Dialer,
-    terms: Rc<InForce>,
+    settings: Rc<SharedSettings>,
     room: Rc<Room>,
     book: Rc<Book>,
-    crowded: Seldom,
+    crowded: WarnLimiter,
 }
 
-impl Senders {
-    pub fn new(terms: Rc<InForce>, room: Rc<Room>, book: Rc<Book>) -> Rc<Self> {
+impl ConnectionPool {
+    pub fn new(settings: Rc<SharedSettings>, room: Rc<Room>, book: Rc<Book>) -> Rc<Self> {
         Rc::new(Self {
             idle: RefCell::default(),
             break_rates: BreakRates::default(),
             dialer: Dialer::default(),
-            terms,
+            settings,
             room,
             book,
-            crowded: Seldom::default(),
+            crowded: WarnLimiter::default(),
         })
     }
 
     /// The idle connection to the server that was used last, of those that have been quiet for long enough and are still
     /// open.
-    fn rested(&self, server: SocketAddr) -> Option<Link> {
+    fn rested(&self, server: SocketAddr) -> Option<HttpConnection> {
         loop {
             let mut idle = {
                 let mut idle = self.idle.borrow_mut();
@@ -88,7 +88,7 @@
 
     /// A connection to the server: an idle one, or a new one. Where one is only resting it is what comes first: a new one
     /// may come up late.
-    pub async fn link(&self, server: SocketAddr) -> Result<Link, ()> {
+    pub async fn link(&self, server: SocketAddr) -> Result<HttpConnection, ()> {
         if let Some(link) = self.rested(server) {
             return Ok(link);
         }
@@ -109,7 +109,7 @@
 
     /// A new connection in the place of the one to this server that has been idle longest: where none of those is used, one
     /// more would stay with each attempt, until the server takes no further ones.
-    async fn renewed_link(&self, server: SocketAddr) -> Result<Link, ()> {
+    async fn renewed_link(&self, server: SocketAddr) -> Result<HttpConnection, ()> {
         if let Some(links) = self.idle.borrow_mut().get_mut(&server)
             && !links.is_empty()
         {
@@ -118,21 +118,21 @@
         self.new_link(server).await
     }
 
-    async fn new_link(&self, server: SocketAddr) -> Result<Link, ()> {
+    async fn new_link(&self, server: SocketAddr) -> Result<HttpConnection, ()> {
         self.wait_for_place().await;
         self.book.connections.add();
-        let limit = ms(self.terms.now().around.connect_timeout);
-        let open = async || Link::open(server, self.room.place()).await.map_err(drop);
+        let limit = ms(self.settings.current().node_settings.connect_timeout);
+        let open = async || HttpConnection::open(server, self.room.place()).await.map_err(drop);
         self.dialer.dial(limit, open, || self.room.has_place()).await
     }
 
     /// Takes a connection back whose message has been answered whole. One that does not become free again is closed.
-    pub fn keep_link(self: &Rc<Self>, server: SocketAddr, mut link: Link) {
-        let senders = self.clone();
+    pub fn keep_link(self: &Rc<Self>, server: SocketAddr, mut link: HttpConnection) {
+        let pool = self.clone();
         spawn_local(async move {
             if timeout(LONGEST_SETTLING, link.settle()).await.unwrap_or(false) {
                 let idle = Idle { link, since: Instant::now() };
-                senders.idle.borrow_mut().entry(server).or_default().push(idle);
+                pool.idle.borrow_mut().entry(server).or_default().push(idle);
             }
         });
     }
@@ -164,7 +164,7 @@
 
     /// Room for one more caller, whose request may lie on its connection: for each that is let in beyond the ordinary most
     /// one goes that has none.
-    pub fn make_caller_place(&self) -> bool {
+    pub fn make_room_for_client(&self) -> bool {
         if self.room.has_caller_place() {
             return true;
         }
@@ -191,7 +191,8 @@
 
     /// Neither closed by its server nor idle for so long that it soon will be.
     fn is_fresh(&self, idle: &Idle) -> bool {
-        idle.link.is_usable() && idle.since.elapsed() < ms(self.terms.now().around.conn_idle * IDLE_PART)
+        idle.link.is_usable()
+            && idle.since.elapsed() < ms(self.settings.current().node_settings.conn_idle * IDLE_PART)
     }
 
     /// Closes what has been idle for long, or was closed by its server.
--- a/crates/pearfront-node/src/send/attempt.rs
+++ b/crates/pearfront-node/src/connection_pool/attempt.rs
@@ -1,8 +1,8 @@
 //! One attempt of a request on a server: sends it once, and tells how that ended.
 
-use super::Senders;
+use super::ConnectionPool;
 use super::connection_end::ConnectionEnd;
-use super::link::Link;
+use super::http_connection::HttpConnection;
 use crate::flow::Start;
 use crate::guard::Permit;
 use crate::message::{self, Job, Reply};
@@ -30,7 +30,7 @@
     }
 }
 
-impl Senders {
+impl ConnectionPool {
     /// One attempt: how its connection ended, with the reply if the request was served. `over` ends it, and `closed`, the
     /// end of its request, as long as its last byte is not written: what no server can have begun is never an attempt to be
     /// called off, which some deployments don't allow. `permit` is the guard's, asked for once the connection stands.
@@ -64,7 +64,7 @@
 
     async fn exchange(
         &self,
-        place: &mut Option<Link>,
+        place: &mut Option<HttpConnection>,
         wire: &OnceCell<Rc<Wire>>,
         server: SocketAddr,
         request: &Job,
@@ -98,26 +98,31 @@
     }
 
     fn read(&self, head: response::Parts, body: Start) -> Attempt {
-        let report = message::decode_report_of(&head, &self.terms.now().around);
+        let report = message::decode_report_of(&head, &self.settings.current().node_settings);
         let end = message::decode_end(&head);
         let is_whole = matches!(body, Start::Whole(_));
         let reply = (end == ConnectionEnd::Served).then(|| message::decode_reply(head, body));
         Attempt { end, reply, is_whole, report }
     }
 
-    fn finish(self: &Rc<Self>, server: SocketAddr, link: Option<Link>, mut attempt: Attempt) -> Attempt {
+    fn finish(
+        self: &Rc<Self>,
+        server: SocketAddr,
+        link: Option<HttpConnection>,
+        mut attempt: Attempt,
+    ) -> Attempt {
         use ConnectionEnd::{Error, NotSent, Served, TurnedAway, TurnedDown};
         let Some(link) =
             link.filter(|_| matches!(attempt.end, Served | Error | TurnedAway | TurnedDown | NotSent))
         else {
             return attempt;
         };
-        let senders = self.clone();
+        let pool = self.clone();
         match attempt.reply.as_mut().map(|reply| &mut reply.body) {
             // Its connection is free again once the last byte of the answer has been passed on.
-            Some(Either::Right(flow)) => flow.at_end(move || senders.keep_link(server, link)),
+            Some(Either::Right(flow)) => flow.at_end(move || pool.keep_link(server, link)),
             _ if attempt.is_whole && (attempt.end == NotSent || link.wire.whole_written()) => {
-                senders.keep_link(server, link);
+                pool.keep_link(server, link);
             }
             _ => {}
         }
--- a/crates/pearfront-node/src/send/link.rs
+++ b/crates/pearfront-node/src/connection_pool/http_connection.rs
@@ -26,10 +26,10 @@
 const MOST_TRIES: usize = 4;
 const TRY_PAUSE: Duration = Duration::from_millis(5);
 /// Largest buffer of a connection, bytes: a head fits, and a body goes through in pieces.
-pub const BUFFER: usize = 16 * 1024;
+pub const BUFFER_BYTES: usize = 16 * 1024;
 
 /// An open connection to a server; closed when dropped, whatever is still on it.
-pub struct Link {
+pub struct HttpConnection {
     sender: SendRequest<Body>,
     pub wire: Rc<Wire>,
     /// Has another message been on it before?
@@ -37,13 +37,13 @@
     served_by: AbortHandle,
 }
 
-impl Drop for Link {
+impl Drop for HttpConnection {
     fn drop(&mut self) {
         self.served_by.abort();
     }
 }
 
-impl Link {
+impl HttpConnection {
     /// Opens a connection.
     ///
     /// # Errors
@@ -58,7 +58,7 @@
             tries += 1;
         };
         let wire = Wire::to_server(stream, place);
-        let handshake = Builder::new().max_buf_size(BUFFER).handshake(Socket(wire.clone())).await;
+        let handshake = Builder::new().max_buf_size(BUFFER_BYTES).handshake(Socket(wire.clone())).await;
         let (sender, connection) = handshake.map_err(io::Error::other)?;
         let served_by = spawn_local(async move {
             // How it ended shows on the attempt itself.
@@ -106,7 +106,7 @@
 
 /// An open connection that no message is on.
 pub(super) struct Idle {
-    pub(super) link: Link,
+    pub(super) link: HttpConnection,
     pub(super) since: Instant,
 }
 
--- a/crates/pearfront-node/src/send/tests.rs
+++ b/crates/pearfront-node/src/connection_pool/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::flow::Flow;
 use crate::message::{Call, Job, decode_call};
-use crate::terms::Terms;
+use crate::runtime_settings::RuntimeSettings;
 use bytes::Bytes;
 use http_body_util::Either;
 use hyper::Request;
@@ -15,44 +15,44 @@
 use tokio::time::timeout;
 
 /// A server's socket, its address, and what sends there.
-fn stage() -> (TcpListener, SocketAddr, Rc<Senders>) {
+fn stage() -> (TcpListener, SocketAddr, Rc<ConnectionPool>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let server = listener.local_addr().unwrap();
-    let around = Surroundings { connect_timeout: 10_000.0, conn_idle: 1e6, ..Surroundings::default() };
-    let terms = InForce::new(Terms { around, ..Terms::default() });
-    (listener, server, Senders::new(terms, Room::new(64, 1.0), Rc::default()))
+    let node_settings = Surroundings { connect_timeout: 10_000.0, conn_idle: 1e6, ..Surroundings::default() };
+    let settings = SharedSettings::new(RuntimeSettings { node_settings, ..RuntimeSettings::default() });
+    (listener, server, ConnectionPool::new(settings, Room::new(64, 1.0), Rc::default()))
 }
 
 // What a server closed while idle must not cost a request its only attempt.
 #[test]
 fn a_connection_that_its_server_closed_is_not_used_again() {
-    let (listener, server, senders) = stage();
-    let (book, room) = (senders.book.clone(), senders.room.clone());
+    let (listener, server, pool) = stage();
+    let (book, room) = (pool.book.clone(), pool.room.clone());
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let usable = |idle: &Vec<Idle>| idle.iter().any(|idle| idle.is_quiet() && idle.link.is_usable());
         let until = async |wanted| {
-            while senders.idle.borrow().get(&server).is_some_and(usable) != wanted {
+            while pool.idle.borrow().get(&server).is_some_and(usable) != wanted {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
         };
-        let link = senders.link(server).await.unwrap();
+        let link = pool.link(server).await.unwrap();
         let mut kept = listener.accept().unwrap().0;
-        senders.keep_link(server, link);
+        pool.keep_link(server, link);
         until(true).await;
-        let link = senders.link(server).await.unwrap();
+        let link = pool.link(server).await.unwrap();
         assert_eq!((book.connections.value(), book.connections_reused.value()), (1, 1));
-        senders.keep_link(server, link);
+        pool.keep_link(server, link);
         until(true).await;
         // An answer that nobody asked for, or the end: neither is a connection to send on.
         kept.write_all(b"HTTP/1.1 408 Too late\r\n\r\n").unwrap();
         drop(kept);
         until(false).await;
-        drop(senders.link(server).await.unwrap());
+        drop(pool.link(server).await.unwrap());
         assert_eq!((book.connections.value(), book.connections_reused.value()), (2, 1));
     });
     // Nothing is left open.
-    drop(senders);
+    drop(pool);
     assert_eq!(room.to_string(), "connections_open=0 jobs_held=0");
 }
 
@@ -60,31 +60,31 @@
 // connection rests, unless so many of them do that the node would hold more and more of the server's.
 #[test]
 fn a_connection_rests_behind_an_answer() {
-    let (_listener, server, senders) = stage();
-    let book = senders.book.clone();
+    let (_listener, server, pool) = stage();
+    let book = pool.book.clone();
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let kept = || senders.idle.borrow().get(&server).map_or(0, Vec::len);
+        let kept = || pool.idle.borrow().get(&server).map_or(0, Vec::len);
         let give_back = async |link| {
             let before = kept();
-            senders.keep_link(server, link);
+            pool.keep_link(server, link);
             while kept() == before {
                 tokio::task::yield_now().await;
             }
         };
-        give_back(senders.link(server).await.unwrap()).await;
+        give_back(pool.link(server).await.unwrap()).await;
         tokio::time::advance(QUIET - Duration::from_millis(1)).await;
-        let second = senders.link(server).await.unwrap();
+        let second = pool.link(server).await.unwrap();
         assert_eq!((book.connections.value(), book.connections_reused.value()), (2, 0));
         tokio::time::advance(Duration::from_millis(1)).await;
-        give_back(senders.link(server).await.unwrap()).await;
+        give_back(pool.link(server).await.unwrap()).await;
         assert_eq!((book.connections.value(), book.connections_reused.value()), (2, 1));
         give_back(second).await;
         for _ in 2..MOST_RESTING {
-            give_back(senders.new_link(server).await.unwrap()).await;
+            give_back(pool.new_link(server).await.unwrap()).await;
         }
-        drop(senders.link(server).await.unwrap());
+        drop(pool.link(server).await.unwrap());
         assert_eq!((book.connections.value(), kept()), (MOST_RESTING as u64, MOST_RESTING - 1));
     });
 }
@@ -101,13 +101,13 @@
         let listener = TcpListener::from(socket);
         let server = listener.local_addr().unwrap();
         let crowd = std::net::TcpStream::connect(server).unwrap();
-        let around = Surroundings {
+        let node_settings = Surroundings {
             connect_timeout: limit.as_secs_f64() * 1000.0,
             conn_idle: 1e6,
             ..Surroundings::default()
         };
-        let terms = InForce::new(Terms { around, ..Terms::default() });
-        let senders = Senders::new(terms, Room::new(64, 1.0), Rc::default());
+        let settings = SharedSettings::new(RuntimeSettings { node_settings, ..RuntimeSettings::default() });
+        let pool = ConnectionPool::new(settings, Room::new(64, 1.0), Rc::default());
         tokio::task::LocalSet::new().block_on(&runtime, async {
             let begun = Instant::now();
             let room_again = async {
@@ -116,7 +116,7 @@
                 // Later than that the machine was late, and a second dial may have met the full queue as well.
                 begun.elapsed() < Duration::from_millis(90)
             };
-            let (link, in_time) = tokio::join!(senders.link(server), room_again);
+            let (link, in_time) = tokio::join!(pool.link(server), room_again);
             in_time.then(|| (link.is_ok(), begun.elapsed()))
         })
     };
@@ -127,21 +127,21 @@
 // Clients that hold all that is theirs get no more by the end of a server's idle connection: a probe would find no place.
 #[test]
 fn an_idle_connection_to_a_server_makes_no_place_beyond_that_of_clients() {
-    let (listener, server, senders) = stage();
+    let (listener, server, pool) = stage();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let mut clients = Vec::new();
-        while senders.room.has_last_caller_place() {
-            clients.push(senders.room.caller_place());
+        while pool.room.has_last_caller_place() {
+            clients.push(pool.room.caller_place());
         }
-        let link = senders.link(server).await.unwrap();
+        let link = pool.link(server).await.unwrap();
         let _kept = listener.accept().unwrap().0;
-        senders.keep_link(server, link);
-        while !senders.idle.borrow().contains_key(&server) {
+        pool.keep_link(server, link);
+        while !pool.idle.borrow().contains_key(&server) {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        assert!(!senders.make_caller_place());
-        assert!(senders.make_place());
+        assert!(!pool.make_room_for_client());
+        assert!(pool.make_place());
     });
 }
 
@@ -149,11 +149,11 @@
 #[test]
 fn a_connection_that_does_not_become_free_behind_its_answer_is_closed() {
     const PATIENCE: Duration = Duration::from_secs(10);
-    let (listener, server, senders) = stage();
-    let room = senders.room.clone();
+    let (listener, server, pool) = stage();
+    let room = pool.room.clone();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let mut link = senders.link(server).await.unwrap();
+        let mut link = pool.link(server).await.unwrap();
         let mut accepted = listener.accept().unwrap().0;
         // The body is never whole: the message is on its way for as long as this end of it is kept.
         let (_pieces, rest) = mpsc::unbounded_channel();
@@ -165,7 +165,7 @@
         };
         let (answered, ()) = tokio::join!(link.ask(request, 0), answer);
         assert!(answered.is_ok());
-        senders.keep_link(server, link);
+        pool.keep_link(server, link);
         let closed = async {
             while room.uses().connections > 0 {
                 tokio::time::sleep(Duration::from_millis(5)).await;
@@ -185,11 +185,11 @@
         latency_target: 0.0,
         gain: 0.0,
     };
-    let settings = Settings { profiles: vec![profile], ..Settings::default() };
-    let around = Surroundings { profiles: vec!["read".into()], ..Surroundings::default() };
-    let terms = Rc::new(Terms { settings: Rc::new(settings), around });
+    let policy_settings = Settings { profiles: vec![profile], ..Settings::default() };
+    let node_settings = Surroundings { profiles: vec!["read".into()], ..Surroundings::default() };
+    let settings = Rc::new(RuntimeSettings { policy_settings: Rc::new(policy_settings), node_settings });
     let head = Request::get("/read/it").header("X-Trace-Id", "1").header("X-Expires-In", "60");
-    match decode_call(head.body(()).unwrap().into_parts().0, &terms, false) {
+    match decode_call(head.body(()).unwrap().into_parts().0, &settings, false) {
         Ok(Call::Job(job)) => *job,
         _ => panic!("no request"),
     }
@@ -201,8 +201,8 @@
 #[test_case(2, ConnectionEnd::CalledOffBefore; "called off")]
 fn an_attempt_that_waits_for_a_descriptor_ends_with_its_owner(ended_by: usize, end: ConnectionEnd) {
     const AFTER: Duration = Duration::from_millis(50);
-    let (_listener, server, senders) = stage();
-    let room = senders.room.clone();
+    let (_listener, server, pool) = stage();
+    let room = pool.room.clone();
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
@@ -210,7 +210,7 @@
         let ends =
             async |owner| if owner == ended_by { tokio::time::sleep(AFTER).await } else { pending().await };
         let (request, begun) = (request(), Instant::now());
-        let attempt = senders.attempt(server, &request, ends(0), ends(1), || None, ends(2));
+        let attempt = pool.attempt(server, &request, ends(0), ends(1), || None, ends(2));
         let is_waited_for = async {
             tokio::time::sleep(AFTER / 2).await;
             room.is_waited_for()
--- a/crates/pearfront-node/src/deadline.rs
+++ b/crates/pearfront-node/src/deadline.rs
@@ -1,7 +1,7 @@
 //! When the answer to a request is due: the one owner of its time, whatever it waits for meanwhile.
 
 use crate::clock::Clock;
-use crate::pulse::{CATCH_UP, Pulse};
+use crate::stall_monitor::{CATCH_UP, StallMonitor};
 use crate::wire::Wire;
 use std::cell::Cell;
 use std::future::pending;
@@ -24,7 +24,7 @@
 /// been read it may lie unread in the kernel, and counts from when it can have come at the earliest.
 pub struct Deadline {
     clock: Clock,
-    pulse: Rc<Pulse>,
+    stall_monitor: Rc<StallMonitor>,
     /// How long its client waits, ms.
     time: f64,
     /// When its last byte came, once its body has gone on.
@@ -35,8 +35,8 @@
 
 impl Deadline {
     /// Of a request whose head says that its client waits so long.
-    pub fn new(clock: Clock, pulse: Rc<Pulse>, time: f64, client: &Rc<Wire>) -> Self {
-        Self { clock, pulse, time, came: Cell::new(None), client: Rc::downgrade(client) }
+    pub fn new(clock: Clock, stall_monitor: Rc<StallMonitor>, time: f64, client: &Rc<Wire>) -> Self {
+        Self { clock, stall_monitor, time, came: Cell::new(None), client: Rc::downgrade(client) }
     }
 
     /// Its last byte has been read, and its body has gone on.
@@ -54,7 +54,7 @@
         let read = || {
             let client = self.client.upgrade()?;
             let seen = client.came().unwrap_or_else(|| client.unread_since());
-            Some(self.clock.time_of(earliest(&client, self.clock, &self.pulse, seen)))
+            Some(self.clock.time_of(earliest(&client, self.clock, &self.stall_monitor, seen)))
         };
         self.came.get().or_else(read).unwrap_or_else(|| self.clock.now())
     }
@@ -94,7 +94,7 @@
     }
 
     fn ends_for_one_behind(&self) -> Option<f64> {
-        ends_for_one_behind(&*self.client.upgrade()?, self.clock, &self.pulse)
+        ends_for_one_behind(&*self.client.upgrade()?, self.clock, &self.stall_monitor)
     }
 
     /// Waits until then.
@@ -104,7 +104,7 @@
         }
         let is_reached = || reached(self.clock, &self.client, || self.ends_at());
         is_reached().await;
-        if self.pulse.stopped_at(self.clock.now()).is_some() {
+        if self.stall_monitor.stall_began(self.clock.now()).is_some() {
             // What came meanwhile is being read, and the module plays its round.
             sleep(CATCH_UP_AND_ROUND).await;
             is_reached().await;
@@ -113,19 +113,21 @@
 }
 
 /// When the answer to a request has to end at the latest, ms, for the first of those behind it to be in time.
-fn ends_for_one_behind(client: &Wire, clock: Clock, pulse: &Pulse) -> Option<f64> {
-    client.due_behind(|seen| earliest(client, clock, pulse, seen)).map(|due| clock.time_of(due) - AHEAD)
+fn ends_for_one_behind(client: &Wire, clock: Clock, stall_monitor: &StallMonitor) -> Option<f64> {
+    client
+        .due_behind(|seen| earliest(client, clock, stall_monitor, seen))
+        .map(|due| clock.time_of(due) - AHEAD)
 }
 
 /// When that came from a client, at the earliest, which was read or seen then: while the process stood still nothing was read.
-fn earliest(client: &Wire, clock: Clock, pulse: &Pulse, seen: Instant) -> Instant {
-    let stopped = pulse.stopped_at(clock.time_of(seen)).map(|begun| clock.at(begun));
+fn earliest(client: &Wire, clock: Clock, stall_monitor: &StallMonitor, seen: Instant) -> Instant {
+    let stopped = stall_monitor.stall_began(clock.time_of(seen)).map(|begun| clock.instant_at(begun));
     stopped.map_or(seen, |begun| begun.max(client.opened()))
 }
 
 /// Waits until an answer that is on its way to this client has to end, as one behind it is due.
-pub async fn one_behind_is_due(clock: Clock, pulse: &Pulse, client: &Rc<Wire>) {
-    let at = || ends_for_one_behind(client, clock, pulse).unwrap_or(f64::INFINITY);
+pub async fn one_behind_is_due(clock: Clock, stall_monitor: &StallMonitor, client: &Rc<Wire>) {
+    let at = || ends_for_one_behind(client, clock, stall_monitor).unwrap_or(f64::INFINITY);
     reached(clock, &Rc::downgrade(client), at).await;
 }
 
@@ -135,7 +137,7 @@
         && clock.now() < at
     {
         tokio::select! {
-            () = sleep_until(clock.at(at)) => {}
+            () = sleep_until(clock.instant_at(at)) => {}
             () = more_has_come(client) => {}
         }
     }
--- a/crates/pearfront-node/src/discovery.rs
+++ b/crates/pearfront-node/src/discovery.rs
@@ -7,14 +7,14 @@
 use crate::admit::Place;
 use crate::book::Book;
 use crate::clock::Clock;
+use crate::connection_pool::{ConnectionPool, HttpConnection};
 use crate::handover::Peers;
 use crate::lease::{Contact, Leases, MARGIN, Rules};
-use crate::logger::Seldom;
+use crate::logger::WarnLimiter;
 use crate::message::{self, Line, List};
-use crate::pulse::Pulse;
 use crate::route::Inbox;
-use crate::send::{Link, Senders};
-use crate::terms::InForce;
+use crate::runtime_settings::SharedSettings;
+use crate::stall_monitor::StallMonitor;
 use crate::wall_clock::{self, WallClock};
 use crate::watch::{self, CallReport, Failure, Pauses, Service};
 use pearfront::chance::Chance;
@@ -50,26 +50,26 @@
 const MOST_LIST: usize = 4 * 1024 * 1024;
 
 /// The module's word for an address, which is the address itself.
-pub fn token(address: SocketAddrV4) -> Address {
+pub fn encode_address(address: SocketAddrV4) -> Address {
     let ([a, b, c, d], [high, low]) = (address.ip().octets(), address.port().to_be_bytes());
     [a, b, c, d, high, low]
 }
 
 /// The address that the module's word stands for.
-pub fn address([a, b, c, d, high, low]: Address) -> SocketAddr {
+pub fn decode_address([a, b, c, d, high, low]: Address) -> SocketAddr {
     SocketAddr::new(Ipv4Addr::new(a, b, c, d).into(), u16::from_be_bytes([high, low]))
 }
 
 /// How changes count as told by the settings in force.
-fn rules(terms: &InForce) -> Rules {
-    let terms = terms.now();
-    Rules { pushed: !terms.settings.listed_on_request, grace: terms.around.drain_grace }
+fn rules(settings: &SharedSettings) -> Rules {
+    let settings = settings.current();
+    Rules { pushed: !settings.policy_settings.listed_on_request, grace: settings.node_settings.drain_grace }
 }
 
 /// A line in the module's terms; `start` gives its start in the node's time.
 pub fn listing(line: &Line, start: impl Fn(f64) -> f64) -> Listing {
     Listing {
-        server: token(line.address),
+        server: encode_address(line.address),
         standing: line.standing,
         cell: line.cell,
         zone: line.zone,
@@ -82,8 +82,8 @@
 /// The other stages that discovery works with.
 pub struct Parts {
     pub clock: Clock,
-    pub terms: Rc<InForce>,
-    pub senders: Rc<Senders>,
+    pub settings: Rc<SharedSettings>,
+    pub pool: Rc<ConnectionPool>,
     pub book: Rc<Book>,
     pub inbox: Rc<Inbox>,
     pub peers: Rc<Peers>,
@@ -97,9 +97,9 @@
     wall: WallClock,
     /// When a list was heard last.
     heard_at: Cell<Option<f64>>,
-    terms: Rc<InForce>,
+    settings: Rc<SharedSettings>,
     inbox: Rc<Inbox>,
-    senders: Rc<Senders>,
+    pool: Rc<ConnectionPool>,
     book: Rc<Book>,
     /// Other processes of this node.
     pub peers: Rc<Peers>,
@@ -110,23 +110,23 @@
     /// When servers were told to drain or go, ms.
     left: RefCell<BTreeMap<SocketAddr, f64>>,
     clock: Clock,
-    pulse: Rc<Pulse>,
+    stall_monitor: Rc<StallMonitor>,
     version: Cell<u64>,
     /// The watch's connection between its calls.
-    link: RefCell<Option<Link>>,
+    link: RefCell<Option<HttpConnection>>,
     /// What spreads the watch's pauses, until it begins.
     chance: Cell<Option<Chance>>,
     /// Rung when a list has come from the service.
     heard: Notify,
-    unread: Seldom,
-    failing: Seldom,
+    unread: WarnLimiter,
+    failing: WarnLimiter,
 }
 
 impl Discovery {
     pub fn new(service: SocketAddr, parts: Parts) -> Rc<Self> {
-        let Parts { clock, terms, senders, book, inbox, peers } = parts;
+        let Parts { clock, settings, pool, book, inbox, peers } = parts;
         let leases = Leases::default();
-        leases.begin(rules(&terms), clock.now());
+        leases.begin(rules(&settings), clock.now());
         Rc::new(Self {
             service: Cell::new(service),
             moved: Notify::new(),
@@ -136,10 +136,10 @@
             word_given: Notify::new(),
             left: RefCell::default(),
             clock,
-            pulse: clock.pulse(),
-            terms,
+            stall_monitor: clock.stall_monitor(),
+            settings,
             inbox,
-            senders,
+            pool,
             book,
             peers,
             roster: RefCell::default(),
@@ -147,8 +147,8 @@
             link: RefCell::default(),
             chance: Cell::new(Some(Chance::default())),
             heard: Notify::new(),
-            unread: Seldom::default(),
-            failing: Seldom::default(),
+            unread: WarnLimiter::default(),
+            failing: WarnLimiter::default(),
         })
     }
 
@@ -175,14 +175,14 @@
     /// Did the server have to be left alone by that time? Either it has left the ready ones for longer than the grace, or
     /// nothing says any more that it has not.
     pub fn is_overdue(&self, server: SocketAddr, now: f64) -> bool {
-        let grace = self.terms.now().around.drain_grace;
+        let grace = self.settings.current().node_settings.drain_grace;
         let left = self.left.borrow().get(&server).is_some_and(|at| now > at + grace);
         if self.is_ready(server) { now > self.lease(server) + MARGIN } else { left }
     }
 
     /// Where the server at this address stands.
-    pub fn place_of(&self, server: SocketAddr) -> Option<ServerLocation> {
-        self.roster.borrow().place_of(server)
+    pub fn location_of(&self, server: SocketAddr) -> Option<ServerLocation> {
+        self.roster.borrow().location_of(server)
     }
 
     /// The server answered a probe well that was begun at that time.
@@ -212,7 +212,7 @@
     }
 
     fn rules(&self) -> Rules {
-        rules(&self.terms)
+        rules(&self.settings)
     }
 
     /// Hands a list to the module; `known` if it may be old.
@@ -237,7 +237,7 @@
             log::info!("server {} at {} is {:?}, version {version}", line.id, line.address, line.standing);
         }
         for server in stale {
-            self.senders.forget(server);
+            self.pool.forget(server);
             self.leases.forget(server);
         }
         self.wall.look(wall_clock::unix_now(), now);
@@ -256,13 +256,13 @@
 
     /// The whole list as last told, in discovery's form.
     pub fn as_json(&self) -> Value {
-        let (roster, terms) = (self.roster.borrow(), self.terms.now());
-        message::encode_list(self.version.get(), roster.lines.values(), &terms.around)
+        let (roster, settings) = (self.roster.borrow(), self.settings.current());
+        message::encode_list(self.version.get(), roster.lines.values(), &settings.node_settings)
     }
 
     /// Another process of this node has this list; what this one has been told since may be newer.
     pub fn told_by_other(&self, list: &Value) -> Result<(), String> {
-        let list = message::decode_known(&At::top(list, "list"), &self.terms.now().around)?;
+        let list = message::decode_known(&At::top(list, "list"), &self.settings.current().node_settings)?;
         if list.version > self.version.get() {
             self.tell(list, true);
         }
@@ -282,7 +282,7 @@
     }
 
     /// Begins the watch, unless it is on: from then on it goes on by itself, whether lists come so or are asked for.
-    pub fn watch(self: &Rc<Self>) {
+    pub fn start_watch(self: &Rc<Self>) {
         if let Some(chance) = self.chance.take() {
             let discovery = self.clone();
             spawn_local(async move { watch::keep(&*discovery, chance).await });
@@ -295,25 +295,25 @@
         if self.service.replace(service) != service {
             self.leases.moved(self.clock.now());
             self.moved.notify_waiters();
-            self.watch();
+            self.start_watch();
         }
     }
 
     /// What tells since when the process has been running.
-    pub fn pulse(&self) -> Rc<Pulse> {
-        self.pulse.clone()
+    pub fn stall_monitor(&self) -> Rc<StallMonitor> {
+        self.stall_monitor.clone()
     }
 
     /// Since when that can have come which is read now.
     fn read_since(&self) -> f64 {
-        self.pulse.awake_since(self.clock.now())
+        self.stall_monitor.earliest_arrival(self.clock.now())
     }
 
     /// The connection that the watch had, or a new one.
-    async fn connection(&self, anew: bool) -> io::Result<Link> {
+    async fn connection(&self, anew: bool) -> io::Result<HttpConnection> {
         match self.link.take().filter(|link| !anew && link.is_usable()) {
             Some(link) => Ok(link),
-            None => Link::open(self.service.get(), Place::own()).await,
+            None => HttpConnection::open(self.service.get(), Place::own()).await,
         }
     }
 }
@@ -350,7 +350,7 @@
         let body = timeout(REST, message::whole_of(body, MOST_LIST)).await;
         let body = body.map_err(|_| cut("a list that stalled".into()))?;
         let body = body.map_err(|()| cut("a list that broke off".into()))?;
-        let list = message::decode_list(&body, &self.terms.now().around).map_err(cut)?;
+        let list = message::decode_list(&body, &self.settings.current().node_settings).map_err(cut)?;
         // What the old place tells is not all that a new one has.
         if service == self.service.get() {
             shows(Contact::Heard { at });
@@ -370,13 +370,13 @@
     }
 
     fn pauses(&self) -> Pauses {
-        let terms = self.terms.now();
-        if terms.settings.listed_on_request {
-            Pauses { first: ASKED_FIRST, longest: terms.settings.ask_within * ASKED_PART }
+        let settings = self.settings.current();
+        if settings.policy_settings.listed_on_request {
+            Pauses { first: ASKED_FIRST, longest: settings.policy_settings.ask_within * ASKED_PART }
         } else {
             Pauses {
                 first: PUSHED_FIRST,
-                longest: (terms.around.drain_grace * PUSHED_PART).max(PUSHED_FIRST),
+                longest: (settings.node_settings.drain_grace * PUSHED_PART).max(PUSHED_FIRST),
             }
         }
     }
--- a/crates/pearfront-node/src/discovery/roster.rs
+++ b/crates/pearfront-node/src/discovery/roster.rs
@@ -25,7 +25,7 @@
     }
 
     /// Where the server at this address stands.
-    pub(super) fn place_of(&self, server: SocketAddr) -> Option<ServerLocation> {
+    pub(super) fn location_of(&self, server: SocketAddr) -> Option<ServerLocation> {
         let line = self.lines.values().find(|line| SocketAddr::from(line.address) == server)?;
         Some(ServerLocation { zone: line.zone, cell: line.cell })
     }
--- a/crates/pearfront-node/src/discovery/tests.rs
+++ b/crates/pearfront-node/src/discovery/tests.rs
@@ -13,7 +13,7 @@
 fn addresses_and_starts_are_put_in_the_modules_terms() {
     let listed = listing(&line("a", 8443, Some(1500.0)), |unix| unix - 1000.0);
     assert_eq!((listed.server, listed.started), ([127, 0, 0, 1, 0x20, 0xfb], 500.0));
-    assert_eq!(address(listed.server), "127.0.0.1:8443".parse().unwrap());
+    assert_eq!(decode_address(listed.server), "127.0.0.1:8443".parse().unwrap());
     assert_eq!(listing(&line("a", 1, None), |unix| unix - 1000.0).started, f64::NEG_INFINITY);
 }
 
--- a/crates/pearfront-node/src/guard.rs
+++ b/crates/pearfront-node/src/guard.rs
@@ -8,7 +8,7 @@
 use crate::discovery::Discovery;
 use crate::lease::MARGIN;
 use crate::lifecycle::Lifecycle;
-use crate::logger::Limited;
+use crate::logger::InfoLimiter;
 use crate::route::Held;
 use crate::wire::WritePermit;
 use pearfront::interface::{Effect, Group};
@@ -41,13 +41,19 @@
     discovery: Rc<Discovery>,
     clock: Clock,
     book: Rc<Book>,
-    refused: Limited,
-    broken: Limited,
+    refused: InfoLimiter,
+    broken: InfoLimiter,
 }
 
 impl Guard {
     pub fn new(discovery: Rc<Discovery>, clock: Clock, book: Rc<Book>) -> Rc<Self> {
-        Rc::new(Self { discovery, clock, book, refused: Limited::new(LINES), broken: Limited::new(LINES) })
+        Rc::new(Self {
+            discovery,
+            clock,
+            book,
+            refused: InfoLimiter::new(LINES),
+            broken: InfoLimiter::new(LINES),
+        })
     }
 
     /// Is what it refuses left undone? A build that is to show that the soak finds a broken guard answers no.
@@ -56,7 +62,12 @@
     }
 
     /// A permit to write an attempt: the `place`-th of its request.
-    pub fn attempt(self: &Rc<Self>, held: &Rc<Held>, place: usize, server: SocketAddr) -> Option<Rc<Permit>> {
+    pub fn permit_attempt(
+        self: &Rc<Self>,
+        held: &Rc<Held>,
+        place: usize,
+        server: SocketAddr,
+    ) -> Option<Rc<Permit>> {
         let now = self.clock.now();
         let permit = Permit {
             guard: self.clone(),
@@ -85,7 +96,7 @@
     }
 
     /// May the server be probed? Not one that the list has as draining or gone.
-    pub fn probe(&self, server: SocketAddr) -> bool {
+    pub fn permits_probe(&self, server: SocketAddr) -> bool {
         let may = self.discovery.is_ready(server) || !Self::is_enforced();
         if !may {
             self.book.guard_refused.add();
@@ -95,7 +106,7 @@
 
     /// A client's connection is closed: no request that was read on it may be without its answer, unless the client has ended
     /// it.
-    pub fn close(&self, caller: &Client, why: &str) {
+    pub fn check_close(&self, caller: &Client, why: &str) {
         if caller.has_open_request() && !caller.is_answered_early() && !caller.wire.has_ended() {
             self.book.violations_close.add();
             self.broken.info(|| format!("violation: a connection with an open request is closed, {why}"));
@@ -103,20 +114,20 @@
     }
 
     /// The process ends with so many requests that have no answer.
-    pub fn end(&self, open: usize) {
+    pub fn record_unanswered(&self, open: usize) {
         (0..open).for_each(|_| self.book.violations_close.add());
     }
 
     /// The process says that it is ready to serve, once: nothing is served before, nor after its end began.
-    pub fn start(&self, life: &Lifecycle) {
-        if life.is_ending() {
+    pub fn mark_ready(&self, lifecycle: &Lifecycle) {
+        if lifecycle.is_ending() {
             self.book.guard_refused.add();
             if Self::is_enforced() {
                 return;
             }
             self.book.violations_start.add();
         }
-        life.ready();
+        lifecycle.ready();
     }
 }
 
@@ -159,7 +170,7 @@
             Effect::Idempotent => None,
             Effect::NonIdempotent => Some(Refusal::MayHaveRun),
             Effect::Keyed => {
-                let place = self.guard.discovery.place_of(self.server);
+                let place = self.guard.discovery.location_of(self.server);
                 let within = match profile.group {
                     Group::All => true,
                     Group::Zone => {
--- a/crates/pearfront-node/src/handover.rs
+++ b/crates/pearfront-node/src/handover.rs
@@ -5,8 +5,8 @@
 use crate::admit::{Room, Use};
 use crate::discovery::Discovery;
 use crate::lifecycle::{Lifecycle, State};
-use crate::logger::Seldom;
-use crate::system::patiently;
+use crate::logger::WarnLimiter;
+use crate::system::retry_transient;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
@@ -92,17 +92,25 @@
     /// The ids open here.
     ids: RefCell<HashSet<String>>,
     pub room: Rc<Room>,
-    life: Rc<Lifecycle>,
+    lifecycle: Rc<Lifecycle>,
     greeted: Notify,
     /// Rung when the last other process has gone.
     alone: Notify,
-    failing: Seldom,
+    failing: WarnLimiter,
 }
 
 impl Peers {
-    pub fn new(room: Rc<Room>, life: Rc<Lifecycle>) -> Rc<Self> {
+    pub fn new(room: Rc<Room>, lifecycle: Rc<Lifecycle>) -> Rc<Self> {
         let (others, ids, greeted) = (RefCell::default(), RefCell::default(), Notify::new());
-        Rc::new(Self { others, ids, room, life, greeted, alone: Notify::new(), failing: Seldom::default() })
+        Rc::new(Self {
+            others,
+            ids,
+            room,
+            lifecycle,
+            greeted,
+            alone: Notify::new(),
+            failing: WarnLimiter::default(),
+        })
     }
 
     /// Where the processes of a node of this name meet; nowhere without a folder that they share.
@@ -113,17 +121,17 @@
     }
 
     /// Is a job of that id open, here or in another process?
-    pub fn has_open(&self, id: &str) -> bool {
+    pub fn has_open_request(&self, id: &str) -> bool {
         let there = |other: &Rc<Other>| other.ids.borrow().contains(id);
         self.ids.borrow().contains(id) || self.others.borrow().iter().any(there)
     }
 
-    pub fn open(&self, id: String) {
+    pub fn request_opened(&self, id: String) {
         self.tell(|| Word::Open(id.clone()));
         self.ids.borrow_mut().insert(id);
     }
 
-    pub fn over(&self, id: &str) {
+    pub fn request_closed(&self, id: &str) {
         self.tell(|| Word::Over(id.into()));
         self.ids.borrow_mut().remove(id);
     }
@@ -171,7 +179,7 @@
     pub async fn serve(self: Rc<Self>, place: PathBuf, discovery: Rc<Discovery>) {
         // What stands there is of a process that this one follows, or of one that has gone.
         let _ = std::fs::remove_file(&place);
-        let listener = match patiently(|| UnixListener::bind(&place)) {
+        let listener = match retry_transient(|| UnixListener::bind(&place)) {
             Ok(listener) => listener,
             Err(error) => return log::warn!("the next process of this node will know nothing: {error}"),
         };
@@ -201,7 +209,7 @@
         other.tell(Word::Hello { version: VERSION });
         other.tell(Word::List(discovery.as_json()));
         self.ids.borrow().iter().for_each(|id| other.tell(Word::Open(id.clone())));
-        if self.life.is_ready() {
+        if self.lifecycle.is_ready() {
             other.tell(Word::Ready);
         }
         self.others.borrow_mut().push(other.clone());
@@ -286,7 +294,7 @@
             Word::Hello { version } => return Err(format!("version {version}, not {VERSION}")),
             _ if !other.greeted.get() => return Err("it says nothing of its version".into()),
             // From then on each has its own watch.
-            Word::List(_) if self.life.state() != State::Starting => {}
+            Word::List(_) if self.lifecycle.state() != State::Starting => {}
             Word::List(list) => {
                 discovery.told_by_other(&list)?;
                 self.greeted.notify_waiters();
@@ -305,7 +313,7 @@
         let others = self.others.borrow();
         let known: Vec<_> = others.iter().filter(|other| other.greeted.get()).collect();
         self.room.share(&known.iter().map(|other| other.uses.get()).collect::<Vec<_>>());
-        self.life.succeeded(known.iter().any(|other| other.ready.get() && !other.silent.get()));
+        self.lifecycle.succeeded(known.iter().any(|other| other.ready.get() && !other.silent.get()));
     }
 }
 
--- a/crates/pearfront-node/src/handover/tests.rs
+++ b/crates/pearfront-node/src/handover/tests.rs
@@ -31,12 +31,12 @@
             sleep(SILENT / 10).await;
         }
         for id in 0..2 * WAITING {
-            peers.open(id.to_string());
+            peers.request_opened(id.to_string());
         }
         sleep(SILENT).await;
-        assert!(peers.has_open("theirs") && !talk.is_finished());
+        assert!(peers.has_open_request("theirs") && !talk.is_finished());
         drop(other);
         assert!(timeout(PATIENCE, talk).await.is_ok());
-        assert!(!peers.has_open("theirs"));
+        assert!(!peers.has_open_request("theirs"));
     });
 }
--- a/crates/pearfront-node/src/inherited.rs
+++ b/crates/pearfront-node/src/inherited.rs
@@ -25,7 +25,7 @@
 }
 
 /// Most connections that wait in a listener's queue, whoever opened it.
-pub fn longest_queue() -> usize {
+pub fn max_accept_queue() -> usize {
     let most = std::fs::read_to_string("/proc/sys/net/core/somaxconn").ok();
     most.and_then(|most| most.trim().parse().ok()).unwrap_or(LONGEST_QUEUE)
 }
--- a/crates/pearfront-node/src/confirm.rs
+++ b/crates/pearfront-node/src/lease_monitor.rs
@@ -4,10 +4,10 @@
 use crate::clock::{Clock, ms};
 use crate::discovery::{self, Discovery};
 use crate::guard::Guard;
-use crate::logger::Limited;
+use crate::logger::InfoLimiter;
 use crate::probe::Prober;
 use crate::route::Inbox;
-use crate::terms::InForce;
+use crate::runtime_settings::SharedSettings;
 use pearfront::chance::Chance;
 use pearfront::interface::{Address, Listing, Standing};
 use rand::seq::SliceRandom;
@@ -38,30 +38,30 @@
 const LINES: u32 = 2;
 
 /// Keeps the module from servers without a lease.
-pub struct Confirmer {
+pub struct LeaseMonitor {
     discovery: Rc<Discovery>,
     prober: Rc<Prober>,
     inbox: Rc<Inbox>,
-    terms: Rc<InForce>,
+    settings: Rc<SharedSettings>,
     clock: Clock,
     /// Those that the module is told not to send to.
     suspended: RefCell<BTreeSet<Address>>,
-    changes: Limited,
+    changes: InfoLimiter,
     /// When each was probed last.
     probed: RefCell<BTreeMap<Address, f64>>,
 }
 
-impl Confirmer {
+impl LeaseMonitor {
     pub fn new(
         discovery: Rc<Discovery>,
         prober: Rc<Prober>,
         inbox: Rc<Inbox>,
-        terms: Rc<InForce>,
+        settings: Rc<SharedSettings>,
         clock: Clock,
     ) -> Self {
         let (suspended, probed) = (RefCell::default(), RefCell::default());
-        let changes = Limited::new(LINES);
-        Self { discovery, prober, inbox, terms, clock, suspended, changes, probed }
+        let changes = InfoLimiter::new(LINES);
+        Self { discovery, prober, inbox, settings, clock, suspended, changes, probed }
     }
 
     /// Looks at the leases as long as the node runs.
@@ -88,14 +88,14 @@
         }
         let ready = self.discovery.ready();
         self.suspend(&ready, now + pause);
-        if old && self.terms.now().settings.may_probe {
+        if old && self.settings.current().policy_settings.may_probe {
             let again = AGAIN.min(lasts / 2.0);
             self.probe(&ready, now, now + ahead, again, chance);
         }
     }
 
     fn lease(&self, line: &Listing) -> f64 {
-        self.discovery.lease(discovery::address(line.server))
+        self.discovery.lease(discovery::decode_address(line.server))
     }
 
     /// Tells the module which servers have no lease to that time, and which have one again.
@@ -133,7 +133,7 @@
         ending.shuffle(&mut chance.0);
         for line in ending.into_iter().take(wanted) {
             probed.insert(line.server, now);
-            spawn_local(self.prober.clone().probe(line.server, discovery::address(line.server)));
+            spawn_local(self.prober.clone().probe(line.server, discovery::decode_address(line.server)));
         }
     }
 }
--- a/crates/pearfront-node/src/lifecycle.rs
+++ b/crates/pearfront-node/src/lifecycle.rs
@@ -132,7 +132,7 @@
     }
 
     /// How long a client's connection must have been idle to be closed, where clients are let go.
-    pub fn spares_for(&self) -> Option<Duration> {
+    pub fn idle_close_after(&self) -> Option<Duration> {
         (!self.keeps_alive())
             .then(|| if self.left() < self.kept() + ALL_IDLE { PAUSE } else { Duration::ZERO })
     }
--- a/crates/pearfront-node/src/logger.rs
+++ b/crates/pearfront-node/src/logger.rs
@@ -86,14 +86,14 @@
 }
 
 /// One sort of line that a busy node may write often: so many a second at most, and then how many were left out.
-pub struct Limited {
+pub struct InfoLimiter {
     most: u32,
     second: Cell<Option<Instant>>,
     written: Cell<u32>,
     left_out: Cell<u64>,
 }
 
-impl Limited {
+impl InfoLimiter {
     pub fn new(most: u32) -> Self {
         Self { most, second: Cell::new(None), written: Cell::new(0), left_out: Cell::new(0) }
     }
@@ -119,12 +119,12 @@
 
 /// One sort of warning, written at most once in `SELDOM` with the number left out since.
 #[derive(Default)]
-pub struct Seldom {
+pub struct WarnLimiter {
     last: Cell<Option<Instant>>,
     left_out: Cell<u64>,
 }
 
-impl Seldom {
+impl WarnLimiter {
     pub fn warn(&self, line: impl std::fmt::Display) {
         let now = Instant::now();
         if self.last.get().is_some_and(|last| now - last < SELDOM) {
--- a/crates/pearfront-node/src/main.rs
+++ b/crates/pearfront-node/src/main.rs
@@ -8,7 +8,7 @@
 mod client;
 mod clock;
 mod config;
-mod confirm;
+mod connection_pool;
 mod deadline;
 mod dial;
 mod discovery;
@@ -19,19 +19,19 @@
 mod handover;
 mod inherited;
 mod lease;
+mod lease_monitor;
 mod lifecycle;
 mod logger;
 mod message;
 mod overdue;
 mod probe;
-mod pulse;
 mod queue;
 mod relay;
 mod route;
-mod send;
+mod runtime_settings;
+mod stall_monitor;
 mod system;
 mod take_in;
-mod terms;
 #[cfg(test)]
 mod test_support;
 mod unread;
@@ -46,18 +46,19 @@
 use book::Book;
 use clock::Clock;
 use config::Config;
-use confirm::Confirmer;
+use connection_pool::ConnectionPool;
 use discovery::Discovery;
 use guard::Guard;
 use handover::Peers;
+use lease_monitor::LeaseMonitor;
 use lifecycle::Lifecycle;
-use logger::{Limited, Seldom};
+use logger::{InfoLimiter, WarnLimiter};
 use pearfront::chance::Chance;
 use pearfront::policy::Balancer;
 use pearfront_cluster::Cluster;
 use probe::Prober;
 use route::{Inbox, Route};
-use send::Senders;
+use runtime_settings::{RuntimeSettings, SharedSettings};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -65,9 +66,8 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 use std::time::Duration;
-use system::patiently;
+use system::retry_transient;
 use take_in::TakeIn;
-use terms::{InForce, Terms};
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::runtime::Builder;
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -103,7 +103,7 @@
 fn run(config: Config) -> Result<(), String> {
     logger::start();
     let build = || Builder::new_current_thread().enable_all().build();
-    let runtime = patiently(build).map_err(|error| format!("runtime: {error}"))?;
+    let runtime = retry_transient(build).map_err(|error| format!("runtime: {error}"))?;
     LocalSet::new().block_on(&runtime, serve(config))
 }
 
@@ -115,7 +115,7 @@
         socket.bind(address)?;
         socket.listen(BACKLOG)
     };
-    patiently(bind).map_err(|error: std::io::Error| format!("{key}: {address}: {error}"))
+    retry_transient(bind).map_err(|error: std::io::Error| format!("{key}: {address}: {error}"))
 }
 
 /// The clients' listener: the platform's, which further processes serve as well, or one of our own.
@@ -129,34 +129,34 @@
 }
 
 async fn serve(mut config: Config) -> Result<(), String> {
-    let told = |kind| patiently(|| signal(kind)).map_err(|error| format!("signals: {error}"));
+    let told = |kind| retry_transient(|| signal(kind)).map_err(|error| format!("signals: {error}"));
     let (mut end, mut interrupt) = (told(SignalKind::terminate())?, told(SignalKind::interrupt())?);
     let (show, again) = (told(SignalKind::user_defined1())?, told(SignalKind::hangup())?);
     // The operators' address first: if it can't be had, no client is accepted.
     let operators = config.admin.map(|address| bind("admin", address)).transpose()?;
     let listener = listen(&config)?;
-    let life = Rc::new(Lifecycle::new());
+    let lifecycle = Rc::new(Lifecycle::new());
     let shared = config.inherited.is_some();
     let (name, address) = (config.name.clone(), config.listen);
     let cluster = config.cluster.take().map(|settings| Cluster::start(settings, &name)).transpose();
     let cluster = cluster.map_err(|problem| format!("config.cluster.{problem}"))?;
     let as_written = config.as_written.clone();
-    let terms = InForce::new(std::mem::take(&mut config.terms));
+    let settings = SharedSettings::new(std::mem::take(&mut config.settings));
     let place = if shared { Peers::place(&name) } else { None };
-    let (take_in, book, discovery) = build(config, &terms, life.clone());
+    let (take_in, book, discovery) = build(config, &settings, lifecycle.clone());
     log::info!("node {name} listens on {address}");
     if let Some(operators) = operators {
         log::info!(
             "operators call at {}",
             operators.local_addr().map_or_else(|error| error.to_string(), |at| at.to_string())
         );
-        spawn_local(Admin::new(life.clone(), cluster.clone()).serve(operators));
+        spawn_local(Admin::new(lifecycle.clone(), cluster.clone()).serve(operators));
     }
     spawn_local(take_in.clone().let_go());
     let guard = take_in.route.guard.clone();
-    spawn_local(start(shared, place, life.clone(), guard, discovery.clone()));
+    spawn_local(start(shared, place, lifecycle.clone(), guard, discovery.clone()));
     spawn_local(print_counters(show, book.clone(), take_in.room.clone(), cluster.clone()));
-    spawn_local(read_again(again, as_written, terms.clone(), discovery, take_in.clone()));
+    spawn_local(read_again(again, as_written, settings.clone(), discovery, take_in.clone()));
     let (clock, last) = (take_in.route.clock, Cell::new(f64::INFINITY));
     let ended = async {
         tokio::select! {
@@ -169,21 +169,22 @@
         {
             log::warn!("ends without a permit: {problem}");
         }
-        let longest = terms.now().around.longest_deadline.min(LONGEST_COUNTED) + AFTER_LIMIT;
+        let longest = settings.current().node_settings.longest_deadline.min(LONGEST_COUNTED) + AFTER_LIMIT;
         last.set(clock.now() + longest);
         let answered = last.get() - LAST_ANSWERS;
-        life.end(clock.at(answered - take_in::LAST_SERVED).saturating_duration_since(Instant::now()));
+        lifecycle
+            .end(clock.instant_at(answered - take_in::LAST_SERVED).saturating_duration_since(Instant::now()));
         take_in.route.inbox.tell(move |balancer| balancer.closing(answered));
         answered
     };
     Acceptor::new(listener, shared, take_in.clone()).run(ended).await;
-    if timeout_at(clock.at(last.get()), take_in.finish()).await.is_err() {
+    if timeout_at(clock.instant_at(last.get()), take_in.finish()).await.is_err() {
         // Whatever they still wait for, also where the process stood still beyond its last moment.
         take_in.route.expire_all();
         if timeout(LAST_WRITES, take_in.finish()).await.is_err() {
             log::warn!("ended with {} jobs unanswered", take_in.room.jobs());
             take_in.never_answered("the process ends");
-            take_in.route.guard.end(take_in.room.unanswered());
+            take_in.route.guard.record_unanswered(take_in.room.unanswered());
         }
     }
     log::info!("{book} {}{}", take_in.room, beside(cluster.as_ref()));
@@ -198,15 +199,15 @@
 async fn start(
     shared: bool,
     place: Option<PathBuf>,
-    life: Rc<Lifecycle>,
+    lifecycle: Rc<Lifecycle>,
     guard: Rc<Guard>,
     discovery: Rc<Discovery>,
 ) {
     if shared {
-        discovery.watch();
+        discovery.start_watch();
         wait_beside_others(&place, &discovery).await;
     }
-    guard.start(&life);
+    guard.mark_ready(&lifecycle);
     discovery.peers.ready();
     if let Some(place) = place {
         discovery.peers.clone().serve(place, discovery).await;
@@ -255,7 +256,7 @@
 async fn read_again(
     mut again: Signal,
     mut as_written: serde_json::Value,
-    terms: Rc<InForce>,
+    settings: Rc<SharedSettings>,
     discovery: Rc<Discovery>,
     take_in: Rc<TakeIn>,
 ) {
@@ -268,7 +269,7 @@
                 let which = if same { "the same" } else { "new" };
                 log::info!("configuration read again, discovery at {}, {which} settings", config.discovery);
                 if !same {
-                    retune(&terms, config.terms, &take_in);
+                    retune(&settings, config.settings, &take_in);
                 }
                 as_written = config.as_written;
             }
@@ -278,27 +279,31 @@
 }
 
 /// New terms: jobs whose head is read from now on come under them.
-fn retune(in_force: &InForce, terms: Terms, take_in: &TakeIn) {
-    let terms = Rc::new(terms);
-    in_force.swap(terms.clone());
-    take_in.route.inbox.tell(move |balancer| balancer.retune(terms.settings.clone()));
+fn retune(in_force: &SharedSettings, settings: RuntimeSettings, take_in: &TakeIn) {
+    let settings = Rc::new(settings);
+    in_force.replace(settings.clone());
+    take_in.route.inbox.tell(move |balancer| balancer.retune(settings.policy_settings.clone()));
 }
 
 /// Puts the stages together and starts what runs by itself.
-fn build(config: Config, terms: &Rc<InForce>, life: Rc<Lifecycle>) -> (Rc<TakeIn>, Rc<Book>, Rc<Discovery>) {
+fn build(
+    config: Config,
+    settings: &Rc<SharedSettings>,
+    lifecycle: Rc<Lifecycle>,
+) -> (Rc<TakeIn>, Rc<Book>, Rc<Discovery>) {
     let clock = Clock::start();
     let book = Rc::new(Book::default());
-    let settings = terms.now().settings.clone();
+    let policy_settings = settings.current().policy_settings.clone();
     let room = Room::new(config.sockets, config.memory_mb);
     let inbox = Rc::new(Inbox::default());
-    let senders = Senders::new(terms.clone(), room.clone(), book.clone());
-    let peers = Peers::new(room.clone(), life.clone());
+    let pool = ConnectionPool::new(settings.clone(), room.clone(), book.clone());
+    let peers = Peers::new(room.clone(), lifecycle.clone());
     let discovery = Discovery::new(
         config.discovery,
         discovery::Parts {
             clock,
-            terms: terms.clone(),
-            senders: senders.clone(),
+            settings: settings.clone(),
+            pool: pool.clone(),
             book: book.clone(),
             inbox: inbox.clone(),
             peers: peers.clone(),
@@ -313,26 +318,29 @@
     discovery.spread_by(stream(1));
     let guard = Guard::new(discovery.clone(), clock, book.clone());
     let prober = Rc::new(Prober {
-        senders: senders.clone(),
+        pool: pool.clone(),
         inbox: inbox.clone(),
-        terms: terms.clone(),
+        settings: settings.clone(),
         book: book.clone(),
         discovery: discovery.clone(),
         guard,
         clock,
-        unread: Seldom::default(),
-        failures: Limited::new(probe::LOGGED_FAILURES),
+        unread: WarnLimiter::default(),
+        failures: InfoLimiter::new(probe::LOGGED_FAILURES),
         out: Cell::new(0),
     });
-    let confirmer = Confirmer::new(discovery.clone(), prober.clone(), inbox.clone(), terms.clone(), clock);
-    let route = Route::new(clock, inbox, senders.clone(), discovery.clone(), prober, book.clone(), peers);
+    let lease_monitor =
+        LeaseMonitor::new(discovery.clone(), prober.clone(), inbox.clone(), settings.clone(), clock);
+    let route = Route::new(clock, inbox, pool.clone(), discovery.clone(), prober, book.clone(), peers);
     discovery.tell(config.known, true);
-    if !settings.listed_on_request {
-        discovery.watch();
+    if !policy_settings.listed_on_request {
+        discovery.start_watch();
     }
-    spawn_local(senders.clone().sweep());
-    spawn_local(confirmer.run(stream(2)));
+    spawn_local(pool.clone().sweep());
+    spawn_local(lease_monitor.run(stream(2)));
     spawn_local(room.clone().close_unfinished(book.clone()));
-    spawn_local(route.clone().drive(Balancer::new((*settings).clone(), config.seed), terms.clone()));
-    (TakeIn::new(route, room, senders, terms.clone(), book.clone(), life), book, discovery)
+    spawn_local(
+        route.clone().drive(Balancer::new((*policy_settings).clone(), config.seed), settings.clone()),
+    );
+    (TakeIn::new(route, room, pool, settings.clone(), book.clone(), lifecycle), book, discovery)
 }
--- a/crates/pearfront-node/src/message/clients.rs
+++ b/crates/pearfront-node/src/message/clients.rs
@@ -3,7 +3,7 @@
 use super::body::{Body, plain};
 use super::request::Job;
 use super::servers::Reply;
-use crate::terms::Terms;
+use crate::runtime_settings::RuntimeSettings;
 use http_body_util::Either;
 use hyper::header::{self, HeaderMap, HeaderValue};
 use hyper::http::request;
@@ -20,14 +20,18 @@
 
 /// Decodes a request's head. The error says what is wrong with it. `lengths` tells whether a length may have stood in
 /// it: where chunks come as well, hyper drops the length, and the body may hide another request from one of two readers.
-pub fn decode_call(head: request::Parts, terms: &Rc<Terms>, lengths: bool) -> Result<Call, String> {
+pub fn decode_call(
+    head: request::Parts,
+    settings: &Rc<RuntimeSettings>,
+    lengths: bool,
+) -> Result<Call, String> {
     if lengths && is_chunked(&head.headers) {
         return Err("both a length and chunks".into());
     }
     if head.method == Method::GET && head.uri.path() == "/up" {
         return Ok(Call::Up);
     }
-    Ok(Call::Job(Box::new(Job::decode(head, terms)?)))
+    Ok(Call::Job(Box::new(Job::decode(head, settings)?)))
 }
 
 fn is_chunked(headers: &HeaderMap) -> bool {
--- a/crates/pearfront-node/src/message/discovery.rs
+++ b/crates/pearfront-node/src/message/discovery.rs
@@ -45,17 +45,17 @@
 }
 
 /// Decodes discovery's answer. The error says what is wrong with it.
-pub fn decode_list(text: &[u8], around: &Surroundings) -> Result<List, String> {
+pub fn decode_list(text: &[u8], node_settings: &Surroundings) -> Result<List, String> {
     let json: Value = serde_json::from_slice(text).map_err(|error| format!("list: {error}"))?;
-    decode_known(&At::top(&json, "list"), around)
+    decode_known(&At::top(&json, "list"), node_settings)
 }
 
 /// Decodes a list that is JSON already. A line that can't be read is dropped, and the others hold.
-pub fn decode_known(top: &At, around: &Surroundings) -> Result<List, String> {
+pub fn decode_known(top: &At, node_settings: &Surroundings) -> Result<List, String> {
     let mut lines = Vec::new();
     let mut dropped = Vec::new();
     for at in top.needed("instances")?.list()? {
-        match decode_line(&at, around) {
+        match decode_line(&at, node_settings) {
             Ok(line) => lines.push(line),
             Err(problem) => {
                 let id = at.maybe("instanceId").and_then(|id| id.text().ok().map(str::to_string));
@@ -68,7 +68,11 @@
 }
 
 /// A whole list in discovery's form.
-pub fn encode_list<'a>(version: u64, lines: impl Iterator<Item = &'a Line>, around: &Surroundings) -> Value {
+pub fn encode_list<'a>(
+    version: u64,
+    lines: impl Iterator<Item = &'a Line>,
+    node_settings: &Surroundings,
+) -> Value {
     let name = |names: &[String], place: usize| names.get(place).cloned().unwrap_or_default();
     let line = |line: &Line| {
         let lifecycle = match line.standing {
@@ -77,7 +81,7 @@
             Standing::Gone => "Gone",
         };
         serde_json::json!({"instanceId": line.id, "hostPort": line.address.to_string(),
-            "zone": name(&around.zones, line.zone.into()), "machineType": name(&around.makes, line.make),
+            "zone": name(&node_settings.zones, line.zone.into()), "machineType": name(&node_settings.makes, line.make),
             "cell": line.cell, "lifecycle": lifecycle, "weight": line.size,
             "startedAtMs": line.started.unwrap_or(0.0)})
     };
@@ -85,7 +89,7 @@
     serde_json::json!({"generation": version, "reset": true, "instances": lines})
 }
 
-fn decode_line(at: &At, around: &Surroundings) -> Result<Line, String> {
+fn decode_line(at: &At, node_settings: &Surroundings) -> Result<Line, String> {
     let lifecycle = at.needed("lifecycle")?;
     let standing = match lifecycle.text()? {
         "Ready" => Standing::Ready,
@@ -107,8 +111,8 @@
         standing,
         cell: at.number_or("cell", 0.0)? as u16,
         size: size(at)?,
-        zone: named("zone", &around.zones)? as u16,
-        make: named("machineType", &around.makes)?,
+        zone: named("zone", &node_settings.zones)? as u16,
+        make: named("machineType", &node_settings.makes)?,
         started: (started > 0.0).then_some(started),
     })
 }
--- a/crates/pearfront-node/src/message/discovery/tests.rs
+++ b/crates/pearfront-node/src/message/discovery/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use serde_json::json;
 
-fn around() -> Surroundings {
+fn node_settings() -> Surroundings {
     let names = |names: &[&str]| names.iter().map(|name| name.to_string()).collect();
     Surroundings { zones: names(&["a", "b"]), makes: names(&["m1", "m2"]), ..Surroundings::default() }
 }
@@ -20,8 +20,8 @@
         started,
     };
     let lines = [line("a", Standing::Ready, Some(1500.5)), line("b", Standing::Draining, None)];
-    let list = encode_list(41, lines.iter(), &around());
-    let list = decode_known(&At::top(&list, "list"), &around()).unwrap();
+    let list = encode_list(41, lines.iter(), &node_settings());
+    let list = decode_known(&At::top(&list, "list"), &node_settings()).unwrap();
     assert_eq!((list.version, list.whole, list.lines.as_slice()), (41, true, lines.as_slice()));
 }
 
@@ -32,7 +32,7 @@
     let mut bad = line.clone();
     bad["lifecycle"] = json!("Asleep");
     let list = json!({"generation": 41, "reset": true, "instances": [line, bad]}).to_string();
-    let list = decode_list(list.as_bytes(), &around()).unwrap();
+    let list = decode_list(list.as_bytes(), &node_settings()).unwrap();
     assert_eq!((list.version, list.whole), (41, true));
     let address = "10.1.0.18:8443".parse().unwrap();
     // A machine type that the settings lack is one more.
@@ -43,6 +43,6 @@
     );
     let problem = "list.instances[1].lifecycle \"Asleep\" is unknown".to_string();
     assert_eq!(list.dropped, [(Some("s-1".to_string()), problem)]);
-    let said = decode_list(b"{\"instances\": []}", &around()).unwrap_err();
+    let said = decode_list(b"{\"instances\": []}", &node_settings()).unwrap_err();
     assert_eq!(said, "list.generation is missing");
 }
--- a/crates/pearfront-node/src/message/load_report.rs
+++ b/crates/pearfront-node/src/message/load_report.rs
@@ -5,13 +5,18 @@
 use pearfront_settings::Surroundings;
 
 /// The load report that came with an answer, where the deployment has them there; an error if it can't be read.
-pub fn decode_report_of(head: &response::Parts, around: &Surroundings) -> Option<Result<Vec<f64>, String>> {
-    let value = head.headers.get(REPORT).filter(|_| around.reports_in_answers)?;
-    Some(value.to_str().map_err(|error| error.to_string()).and_then(|text| decode_report(text, around)))
+pub fn decode_report_of(
+    head: &response::Parts,
+    node_settings: &Surroundings,
+) -> Option<Result<Vec<f64>, String>> {
+    let value = head.headers.get(REPORT).filter(|_| node_settings.reports_in_answers)?;
+    Some(
+        value.to_str().map_err(|error| error.to_string()).and_then(|text| decode_report(text, node_settings)),
+    )
 }
 
 /// A load report's values in the order of the settings; none where a server that has just started has none yet.
-pub fn decode_report(text: &str, around: &Surroundings) -> Result<Vec<f64>, String> {
+pub fn decode_report(text: &str, node_settings: &Surroundings) -> Result<Vec<f64>, String> {
     if text.trim().is_empty() {
         return Ok(Vec::new());
     }
@@ -20,7 +25,7 @@
         let short = short_name(name);
         field(list, short).or_else(|| field(list, name)).ok_or_else(|| format!("no {short} in a load report"))
     };
-    around.report.iter().map(value).collect()
+    node_settings.report.iter().map(value).collect()
 }
 
 /// What the protocol calls a report's field that the settings name.
--- a/crates/pearfront-node/src/message/load_report/tests.rs
+++ b/crates/pearfront-node/src/message/load_report/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use test_case::test_case;
 
-fn around() -> Surroundings {
+fn node_settings() -> Surroundings {
     let report = ["utilization", "backlog"].map(str::to_string).to_vec();
     Surroundings { report, ..Surroundings::default() }
 }
@@ -15,5 +15,5 @@
 #[test_case("TEXT util=-1, queue=2", None; "below zero")]
 #[test_case("util=0.61, queue=2", None; "no text form")]
 fn load_reports(text: &str, wanted: Option<Vec<f64>>) {
-    assert_eq!(decode_report(text, &around()).ok(), wanted);
+    assert_eq!(decode_report(text, &node_settings()).ok(), wanted);
 }
--- a/crates/pearfront-node/src/message/request.rs
+++ b/crates/pearfront-node/src/message/request.rs
@@ -3,7 +3,7 @@
 use super::body::{Body, whole};
 use super::headers::{CUSTOMER, ID, IDEMPOTENCY_KEY, TIME_LEFT, end_to_end, text};
 use crate::flow::Flow;
-use crate::terms::Terms;
+use crate::runtime_settings::RuntimeSettings;
 use crate::upload::Pieces;
 use bytes::Bytes;
 use http_body_util::Either;
@@ -21,7 +21,7 @@
 /// A client's request: its head, and its body once that has come whole.
 pub struct Job {
     /// The terms in force when its head was read.
-    pub terms: Rc<Terms>,
+    pub settings: Rc<RuntimeSettings>,
     pub profile: usize,
     pub customer: usize,
     pub non_idempotent: bool,
@@ -43,20 +43,20 @@
 
 impl Job {
     /// Decodes a request's head, its body still to come. The error says what is wrong with it.
-    pub(super) fn decode(head: request::Parts, terms: &Rc<Terms>) -> Result<Self, String> {
-        let profile = decode_profile(&head, &terms.around)?;
+    pub(super) fn decode(head: request::Parts, settings: &Rc<RuntimeSettings>) -> Result<Self, String> {
+        let profile = decode_profile(&head, &settings.node_settings)?;
         check_own_headers(&head.headers)?;
-        let effect = terms.settings.profiles[profile].effect;
+        let effect = settings.policy_settings.profiles[profile].effect;
         check_effect(&head, effect)?;
         let left = decode_time_left(&head.headers)?;
-        let customer = decode_customer(&head.headers, &terms.around)?;
+        let customer = decode_customer(&head.headers, &settings.node_settings)?;
         let keyed = head.headers.contains_key(&IDEMPOTENCY_KEY);
         let headers = end_to_end(head.headers);
         if !headers.contains_key(&ID) || headers.contains_key(&IDEMPOTENCY_KEY) != keyed {
             return Err("its own headers named as the connection's".into());
         }
         Ok(Self {
-            terms: terms.clone(),
+            settings: settings.clone(),
             profile,
             customer,
             non_idempotent: effect == Effect::NonIdempotent,
@@ -100,9 +100,9 @@
     target.path().trim_start_matches('/').split('/').next().unwrap_or_default()
 }
 
-fn decode_profile(head: &request::Parts, around: &Surroundings) -> Result<usize, String> {
+fn decode_profile(head: &request::Parts, node_settings: &Surroundings) -> Result<usize, String> {
     let named = profile_name(&head.uri);
-    let profile = around.profiles.iter().position(|name| name == named);
+    let profile = node_settings.profiles.iter().position(|name| name == named);
     profile.ok_or_else(|| format!("unknown profile {named:?}"))
 }
 
@@ -142,11 +142,11 @@
     left.ok_or_else(|| format!("no time in {TIME_LEFT}"))
 }
 
-fn decode_customer(headers: &HeaderMap, around: &Surroundings) -> Result<usize, String> {
-    if around.customers.is_empty() {
+fn decode_customer(headers: &HeaderMap, node_settings: &Surroundings) -> Result<usize, String> {
+    if node_settings.customers.is_empty() {
         return Ok(0);
     }
     let named = text(headers, &CUSTOMER).ok_or_else(|| format!("no {CUSTOMER}"))?;
-    let place = around.customers.iter().position(|name| name == named);
+    let place = node_settings.customers.iter().position(|name| name == named);
     place.ok_or_else(|| format!("unknown customer {named:?}"))
 }
--- a/crates/pearfront-node/src/message/servers.rs
+++ b/crates/pearfront-node/src/message/servers.rs
@@ -2,8 +2,8 @@
 
 use super::body::{Body, get, whole};
 use super::headers::{NEVER_RAN, REPORT, end_to_end, text};
+use crate::connection_pool::ConnectionEnd;
 use crate::flow::{Flow, Start};
-use crate::send::ConnectionEnd;
 use http_body_util::Either;
 use hyper::header::{self, HeaderMap};
 use hyper::http::response;
--- a/crates/pearfront-node/src/overdue.rs
+++ b/crates/pearfront-node/src/overdue.rs
@@ -1,7 +1,7 @@
 //! Counts answers that came too late or never, and tells why.
 
 use crate::book::Book;
-use crate::logger::Limited;
+use crate::logger::InfoLimiter;
 use hyper::StatusCode;
 use hyper::header::HeaderValue;
 use std::rc::Rc;
@@ -26,13 +26,13 @@
 /// Counts answers that came too late or never, and tells why.
 pub struct Overdue {
     book: Rc<Book>,
-    late: Limited,
-    never: Limited,
+    late: InfoLimiter,
+    never: InfoLimiter,
 }
 
 impl Overdue {
     pub fn new(book: Rc<Book>) -> Self {
-        Self { book, late: Limited::new(LINES), never: Limited::new(LINES) }
+        Self { book, late: InfoLimiter::new(LINES), never: InfoLimiter::new(LINES) }
     }
 
     /// An answer begins to go out.
--- a/crates/pearfront-node/src/probe.rs
+++ b/crates/pearfront-node/src/probe.rs
@@ -2,13 +2,13 @@
 
 use crate::book::Book;
 use crate::clock::Clock;
+use crate::connection_pool::ConnectionPool;
 use crate::discovery::Discovery;
 use crate::guard::Guard;
-use crate::logger::{Limited, Seldom};
+use crate::logger::{InfoLimiter, WarnLimiter};
 use crate::message;
 use crate::route::Inbox;
-use crate::send::Senders;
-use crate::terms::InForce;
+use crate::runtime_settings::SharedSettings;
 use pearfront::interface::Address;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -47,15 +47,15 @@
 
 /// Probes servers, and tells the module and discovery what they answer.
 pub struct Prober {
-    pub senders: Rc<Senders>,
+    pub pool: Rc<ConnectionPool>,
     pub inbox: Rc<Inbox>,
-    pub terms: Rc<InForce>,
+    pub settings: Rc<SharedSettings>,
     pub book: Rc<Book>,
     pub discovery: Rc<Discovery>,
     pub guard: Rc<Guard>,
     pub clock: Clock,
-    pub unread: Seldom,
-    pub failures: Limited,
+    pub unread: WarnLimiter,
+    pub failures: InfoLimiter,
     /// Probes that wait for an answer.
     pub out: Cell<usize>,
 }
@@ -63,7 +63,7 @@
 impl Prober {
     /// Is there a descriptor for one more connection?
     pub fn has_room(&self) -> bool {
-        self.senders.has_room()
+        self.pool.has_room()
     }
 
     /// Does a probe wait for its answer?
@@ -101,17 +101,19 @@
 
     /// The server's load report, empty where there are none.
     async fn ask(&self, server: SocketAddr) -> Result<Result<Vec<f64>, String>, Failure> {
-        let mut link = self.senders.link(server).await.map_err(|()| Failure::NoConnection)?;
-        if !self.guard.probe(server) {
-            self.senders.keep_link(server, link);
+        let mut link = self.pool.link(server).await.map_err(|()| Failure::NoConnection)?;
+        if !self.guard.permits_probe(server) {
+            self.pool.keep_link(server, link);
             return Err(Failure::Refused);
         }
-        let call = message::encode_probe(server, self.terms.now().around.reports);
+        let call = message::encode_probe(server, self.settings.current().node_settings.reports);
         let (head, body) = link.ask(call, MOST_REPORT).await.map_err(|()| Failure::Broken)?;
-        self.senders.keep_link(server, link);
-        let report = || message::decode_report(&String::from_utf8_lossy(&body), &self.terms.now().around);
+        self.pool.keep_link(server, link);
+        let report = || {
+            message::decode_report(&String::from_utf8_lossy(&body), &self.settings.current().node_settings)
+        };
         match head.status {
-            hyper::StatusCode::OK if self.terms.now().around.reports => Ok(report()),
+            hyper::StatusCode::OK if self.settings.current().node_settings.reports => Ok(report()),
             hyper::StatusCode::OK => Ok(Ok(Vec::new())),
             status => Err(Failure::Status(status)),
         }
--- a/crates/pearfront-node/src/route.rs
+++ b/crates/pearfront-node/src/route.rs
@@ -3,18 +3,18 @@
 
 use crate::admit::Share;
 use crate::book::Book;
-use crate::clock::{Clock, NEVER};
+use crate::clock::{Clock, NEVER_MS};
+use crate::connection_pool::{Attempt, ConnectionEnd, ConnectionPool};
 use crate::deadline::{self, Deadline};
 use crate::discovery::{self, Discovery, ServerLocation};
 use crate::flow::Broken;
 use crate::guard::Guard;
 use crate::handover::Peers;
-use crate::logger::Limited;
+use crate::logger::InfoLimiter;
 use crate::message::{Answer, Job};
 use crate::probe::Prober;
 use crate::relay::Relay;
-use crate::send::{Attempt, ConnectionEnd, Senders};
-use crate::terms::InForce;
+use crate::runtime_settings::SharedSettings;
 use crate::wire::Wire;
 use http_body_util::Either;
 use hyper::header::HeaderValue;
@@ -114,7 +114,7 @@
     }
 
     pub fn profile(&self) -> &Profile {
-        &self.job.terms.settings.profiles[self.job.profile]
+        &self.job.settings.policy_settings.profiles[self.job.profile]
     }
 
     /// Has its client ended its connection?
@@ -158,7 +158,7 @@
 pub struct Route {
     pub clock: Clock,
     pub inbox: Rc<Inbox>,
-    senders: Rc<Senders>,
+    pool: Rc<ConnectionPool>,
     discovery: Rc<Discovery>,
     pub guard: Rc<Guard>,
     prober: Rc<Prober>,
@@ -167,17 +167,17 @@
     /// The other processes of this node, and the ids of the jobs held here and there.
     peers: Rc<Peers>,
     numbered: Cell<u32>,
-    refused: Limited,
-    repeated: Limited,
-    unsent: Limited,
-    broken: Rc<Limited>,
+    refused: InfoLimiter,
+    repeated: InfoLimiter,
+    unsent: InfoLimiter,
+    broken: Rc<InfoLimiter>,
 }
 
 impl Route {
     pub fn new(
         clock: Clock,
         inbox: Rc<Inbox>,
-        senders: Rc<Senders>,
+        pool: Rc<ConnectionPool>,
         discovery: Rc<Discovery>,
         prober: Rc<Prober>,
         book: Rc<Book>,
@@ -185,12 +185,12 @@
     ) -> Rc<Self> {
         let guard = prober.guard.clone();
         let (held, numbered) = (RefCell::default(), Cell::new(0));
-        let limited = || Limited::new(TOLD_IN_LOG);
+        let limited = || InfoLimiter::new(TOLD_IN_LOG);
         let (refused, repeated, unsent) = (limited(), limited(), limited());
         Rc::new(Self {
             clock,
             inbox,
-            senders,
+            pool,
             discovery,
             guard,
             prober,
@@ -207,7 +207,7 @@
 
     /// Is another job with its id open, whoever sent that, here or in another process of this node?
     pub fn has_open(&self, job: &Job) -> bool {
-        self.peers.has_open(&text(job.id()))
+        self.peers.has_open_request(&text(job.id()))
     }
 
     /// Takes a job on; its answer comes through the receiver, whatever happens. Where the body is still coming the module
@@ -222,7 +222,7 @@
         let (relay, answer) = Relay::new(self.book.clone());
         let number = self.numbered.get();
         self.numbered.set(number.wrapping_add(1));
-        let (terms, profile, customer) = (job.terms.clone(), job.profile, job.customer);
+        let (settings, profile, customer) = (job.settings.clone(), job.profile, job.customer);
         let limit = if job.flows() { f64::INFINITY } else { deadline.at() };
         let held = Rc::new(Held {
             number,
@@ -235,27 +235,28 @@
             out: Cell::new(0),
             _share: share,
         });
-        self.peers.open(text(held.job.id()).into());
+        self.peers.request_opened(text(held.job.id()).into());
         self.held.borrow_mut().insert(number, held.clone());
         self.book.taken.add();
-        self.inbox
-            .tell(move |balancer| balancer.job_under(&terms.settings, number, profile, customer, limit));
+        self.inbox.tell(move |balancer| {
+            balancer.job_under(&settings.policy_settings, number, profile, customer, limit)
+        });
         (held, answer)
     }
 
     /// When the answer is due to the request that was handed out last on this connection, and whose client waits so long.
     pub fn deadline(&self, time: f64, caller: &Rc<Wire>) -> Deadline {
-        Deadline::new(self.clock, self.discovery.pulse(), time, caller)
+        Deadline::new(self.clock, self.discovery.stall_monitor(), time, caller)
     }
 
     /// Since when the process stood still, ms, if it has just done so and not caught up with what came meanwhile.
     pub fn stopped_since(&self) -> Option<f64> {
-        self.discovery.pulse().stopped_at(self.clock.now())
+        self.discovery.stall_monitor().stall_began(self.clock.now())
     }
 
     /// Waits until an answer that is on its way to this client has to end, as one behind it is due.
     pub async fn one_behind_is_due(&self, client: &Rc<Wire>) {
-        deadline::one_behind_is_due(self.clock, &self.discovery.pulse(), client).await;
+        deadline::one_behind_is_due(self.clock, &self.discovery.stall_monitor(), client).await;
     }
 
     /// The last byte of a job has come: its times count from now on.
@@ -325,7 +326,7 @@
     fn forget(&self, held: &Held) {
         if held.out.get() == 0 && !held.relay.is_open() {
             self.held.borrow_mut().remove(&held.number);
-            self.peers.over(&text(held.job.id()));
+            self.peers.request_closed(&text(held.job.id()));
         }
     }
 
@@ -333,14 +334,14 @@
         let Some(held) = self.held.borrow().get(&number).cloned() else { return };
         let called_off = Rc::new(Notify::new());
         let place = held.attempts.borrow().len();
-        let to = discovery::address(server);
+        let to = discovery::decode_address(server);
         if place > 0 {
             let line = || format!("request {} sent again, to {to}: {}", text(held.job.id()), held.history());
             self.repeated.info(line);
         }
         held.attempts.borrow_mut().push(Sent {
             server: to,
-            place: self.discovery.place_of(to),
+            place: self.discovery.location_of(to),
             written: None,
             called_off: called_off.clone(),
             end: None,
@@ -350,9 +351,9 @@
         let route = self.clone();
         spawn_local(async move {
             let started = route.clock.now();
-            let until = route.clock.at(started + limit);
+            let until = route.clock.instant_at(started + limit);
             let permit = || {
-                let permit = route.guard.attempt(&held, place, to)?;
+                let permit = route.guard.permit_attempt(&held, place, to)?;
                 // From its first byte on it can't be sent again.
                 if held.job.flows() {
                     route.inbox.tell(move |balancer| balancer.spent(number));
@@ -361,7 +362,7 @@
             };
             let over = route.over(&held, until);
             let (closed, called_off) = (held.relay.closed(), called_off.notified());
-            let attempt = route.senders.attempt(to, &held.job, over, closed, permit, called_off).await;
+            let attempt = route.pool.attempt(to, &held.job, over, closed, permit, called_off).await;
             if attempt.end == ConnectionEnd::CallerGone {
                 route.left(&held);
             }
@@ -381,7 +382,7 @@
             }
         }
         // Its last byte may have come between the choice of the attempt and its beginning, so nothing rings here for it.
-        sleep_until(until.min(self.clock.at(held.deadline.at()))).await;
+        sleep_until(until.min(self.clock.instant_at(held.deadline.at()))).await;
     }
 
     fn attempt_ended(&self, held: &Rc<Held>, place: usize, server: Address, mut attempt: Attempt, took: f64) {
@@ -391,7 +392,7 @@
         }
         if matches!(attempt.end, ConnectionEnd::NotSent | ConnectionEnd::CallerGone | ConnectionEnd::Withheld)
         {
-            let to = discovery::address(server);
+            let to = discovery::decode_address(server);
             let line = || format!("request {} not sent to {to}: {:?}", text(held.job.id()), attempt.end);
             self.unsent.info(line);
         }
@@ -403,7 +404,7 @@
             if let Either::Right(flow) = &mut reply.body {
                 self.book.flows.add();
                 flow.keep(held.clone());
-                flow.due(self.clock.at(held.deadline.at()));
+                flow.due(self.clock.instant_at(held.deadline.at()));
                 flow.at_break(self.note_of_break(held));
             }
             held.relay.give(Answer::Served(Box::new(reply)));
@@ -439,16 +440,16 @@
     }
 
     /// Rounds, as long as the node runs: one once something came in or a wake is due, no two closer than `round`.
-    pub async fn drive(self: Rc<Self>, mut balancer: Balancer, terms: Rc<InForce>) {
-        let mut wake = NEVER;
+    pub async fn drive(self: Rc<Self>, mut balancer: Balancer, settings: Rc<SharedSettings>) {
+        let mut wake = NEVER_MS;
         loop {
             tokio::select! {
                 () = self.inbox.bell.notified() => {}
-                () = sleep_until(self.clock.at(wake)) => {}
+                () = sleep_until(self.clock.instant_at(wake)) => {}
             }
             let now = self.clock.now();
             if wake <= now {
-                wake = NEVER;
+                wake = NEVER_MS;
             }
             let words = self.inbox.words.take();
             let feed = |balancer: &mut Balancer| {
@@ -459,7 +460,7 @@
             let Ok(()) = balancer.round(now, feed, &mut decisions);
             wake = decisions.wake;
             self.book.rounds.add();
-            sleep_until(self.clock.at(now + terms.now().settings.round)).await;
+            sleep_until(self.clock.instant_at(now + settings.current().policy_settings.round)).await;
         }
     }
 }
@@ -493,7 +494,7 @@
     }
 
     fn probe(&mut self, server: Address) {
-        spawn_local(self.route.prober.clone().probe(server, discovery::address(server)));
+        spawn_local(self.route.prober.clone().probe(server, discovery::decode_address(server)));
     }
 
     fn wake(&mut self, delay: f64) {
@@ -501,7 +502,7 @@
     }
 
     fn watch(&mut self) {
-        self.route.discovery.watch();
+        self.route.discovery.start_watch();
     }
 
     fn log(&mut self, line: &str) {
--- a/crates/pearfront-node/src/terms.rs
+++ b/crates/pearfront-node/src/runtime_settings.rs
@@ -7,27 +7,27 @@
 use std::rc::Rc;
 
 #[derive(Default)]
-pub struct Terms {
+pub struct RuntimeSettings {
     /// What the module decides by.
-    pub settings: Rc<Settings>,
+    pub policy_settings: Rc<Settings>,
     /// What the node needs beside it.
-    pub around: Surroundings,
+    pub node_settings: Surroundings,
 }
 
 /// The terms in force.
 #[derive(Default)]
-pub struct InForce(RefCell<Rc<Terms>>);
+pub struct SharedSettings(RefCell<Rc<RuntimeSettings>>);
 
-impl InForce {
-    pub fn new(terms: Terms) -> Rc<Self> {
-        Rc::new(Self(RefCell::new(Rc::new(terms))))
+impl SharedSettings {
+    pub fn new(settings: RuntimeSettings) -> Rc<Self> {
+        Rc::new(Self(RefCell::new(Rc::new(settings))))
     }
 
-    pub fn now(&self) -> Rc<Terms> {
+    pub fn current(&self) -> Rc<RuntimeSettings> {
         self.0.borrow().clone()
     }
 
-    pub fn swap(&self, terms: Rc<Terms>) {
-        self.0.replace(terms);
+    pub fn replace(&self, settings: Rc<RuntimeSettings>) {
+        self.0.replace(settings);
     }
 }
--- a/crates/pearfront-node/src/pulse.rs
+++ b/crates/pearfront-node/src/stall_monitor.rs
@@ -15,26 +15,26 @@
 const CATCH_UP_MS: f64 = CATCH_UP.as_millis() as f64;
 
 /// Times are ms since the start.
-pub struct Pulse {
+pub struct StallMonitor {
     start: Instant,
     last: Cell<f64>,
     /// Begin and end of the last stop.
     stop: Cell<(f64, f64)>,
 }
 
-impl Pulse {
+impl StallMonitor {
     /// Beats as long as the runtime runs.
     pub fn start(start: Instant) -> Rc<Self> {
         let never = (f64::NEG_INFINITY, f64::NEG_INFINITY);
-        let pulse = Rc::new(Self { start, last: Cell::new(0.0), stop: Cell::new(never) });
-        let beating = pulse.clone();
+        let stall_monitor = Rc::new(Self { start, last: Cell::new(0.0), stop: Cell::new(never) });
+        let beating = stall_monitor.clone();
         tokio::task::spawn_local(async move {
             loop {
                 sleep(BEAT).await;
                 beating.beat(beating.start.elapsed().as_secs_f64() * 1000.0);
             }
         });
-        pulse
+        stall_monitor
     }
 
     fn beat(&self, now: f64) {
@@ -46,7 +46,7 @@
     }
 
     /// When the stop began that had just ended at that time, if one had.
-    pub fn stopped_at(&self, time: f64) -> Option<f64> {
+    pub fn stall_began(&self, time: f64) -> Option<f64> {
         let (begun, ended) = self.stop.get();
         if time - self.last.get() > STOP {
             Some(self.begun(self.last.get()))
@@ -63,8 +63,8 @@
     }
 
     /// What is read now came after this time.
-    pub fn awake_since(&self, now: f64) -> f64 {
-        self.stopped_at(now).unwrap_or(now - CATCH_UP_MS)
+    pub fn earliest_arrival(&self, now: f64) -> f64 {
+        self.stall_began(now).unwrap_or(now - CATCH_UP_MS)
     }
 }
 
--- a/crates/pearfront-node/src/system.rs
+++ b/crates/pearfront-node/src/system.rs
@@ -32,7 +32,7 @@
 ///
 /// # Errors
 /// The last one that the call gave.
-pub fn patiently<T>(call: impl Fn() -> io::Result<T>) -> io::Result<T> {
+pub fn retry_transient<T>(call: impl Fn() -> io::Result<T>) -> io::Result<T> {
     for _ in 0..TRIES {
         match call() {
             Err(error) if is_transient(&error) => {
--- a/crates/pearfront-node/src/system/tests.rs
+++ b/crates/pearfront-node/src/system/tests.rs
@@ -1,6 +1,6 @@
 //! What is tried again, and what is not.
 
-use super::{is_local, is_transient, patiently};
+use super::{is_local, is_transient, retry_transient};
 use rustix::io::Errno;
 use std::cell::Cell;
 use std::io;
@@ -25,8 +25,8 @@
         calls.set(calls.get() + 1);
         if calls.get() < 3 { Err(io::Error::from(errno)) } else { Ok(()) }
     };
-    assert!(patiently(|| call(Errno::NFILE)).is_ok());
+    assert!(retry_transient(|| call(Errno::NFILE)).is_ok());
     calls.set(0);
-    assert!(patiently(|| call(Errno::ADDRINUSE)).is_err());
+    assert!(retry_transient(|| call(Errno::ADDRINUSE)).is_err());
     assert_eq!(calls.get(), 1);
 }
--- a/crates/pearfront-node/src/take_in.rs
+++ b/crates/pearfront-node/src/take_in.rs
@@ -4,15 +4,15 @@
 use crate::admit::{Room, Share};
 use crate::book::Book;
 use crate::client::Client;
+use crate::connection_pool::{BUFFER_BYTES, ConnectionPool};
 use crate::deadline::Deadline;
 use crate::flow::{Broken, MOST_WHOLE, Start};
 use crate::lifecycle::Lifecycle;
-use crate::logger::{Limited, Seldom};
+use crate::logger::{InfoLimiter, WarnLimiter};
 use crate::message::{self, Answer, Body, Call, Job, JobBody};
 use crate::overdue::{Answered, Overdue};
 use crate::route::{Held, Route};
-use crate::send::{BUFFER, Senders};
-use crate::terms::InForce;
+use crate::runtime_settings::SharedSettings;
 use crate::upload::{self, Upload};
 use crate::wire::{Socket, Wire};
 use http_body_util::Either;
@@ -57,36 +57,36 @@
 pub struct TakeIn {
     pub route: Rc<Route>,
     pub room: Rc<Room>,
-    senders: Rc<Senders>,
-    terms: Rc<InForce>,
+    pool: Rc<ConnectionPool>,
+    settings: Rc<SharedSettings>,
     pub book: Rc<Book>,
-    pub life: Rc<Lifecycle>,
+    pub lifecycle: Rc<Lifecycle>,
     overdue: Overdue,
-    malformed: Seldom,
-    crowded: Seldom,
-    broken_off: Limited,
+    malformed: WarnLimiter,
+    crowded: WarnLimiter,
+    broken_off: InfoLimiter,
 }
 
 impl TakeIn {
     pub fn new(
         route: Rc<Route>,
         room: Rc<Room>,
-        senders: Rc<Senders>,
-        terms: Rc<InForce>,
+        pool: Rc<ConnectionPool>,
+        settings: Rc<SharedSettings>,
         book: Rc<Book>,
-        life: Rc<Lifecycle>,
+        lifecycle: Rc<Lifecycle>,
     ) -> Rc<Self> {
         Rc::new(Self {
             route,
             room,
-            senders,
-            terms,
+            pool,
+            settings,
             overdue: Overdue::new(book.clone()),
             book,
-            life,
-            malformed: Seldom::default(),
-            crowded: Seldom::default(),
-            broken_off: Limited::new(LINES),
+            lifecycle,
+            malformed: WarnLimiter::default(),
+            crowded: WarnLimiter::default(),
+            broken_off: InfoLimiter::new(LINES),
         })
     }
 
@@ -99,7 +99,7 @@
 
     /// Is there a place for one more connection? If need be idle ones are closed for it.
     pub fn make_place(&self) -> bool {
-        self.senders.make_caller_place()
+        self.pool.make_room_for_client()
     }
 
     async fn serve(self: Rc<Self>, wire: Rc<Wire>) {
@@ -109,7 +109,7 @@
             self.answer(&caller, request)
         });
         let mut connection =
-            pin!(Builder::new().max_buf_size(BUFFER).serve_connection(Socket(wire.clone()), service));
+            pin!(Builder::new().max_buf_size(BUFFER_BYTES).serve_connection(Socket(wire.clone()), service));
         let mut closing = None;
         // Right before the end of the sending: whoever chose this connection to be closed looked earlier, and many were
         // chosen at once. What has come since is a request, and is answered first.
@@ -168,7 +168,7 @@
             self.book.flows_broken.add();
             self.broken_off.info(|| "an answer ends in its middle: one behind it is due".into());
         } else if ended != Ended::Stalled {
-            self.route.guard.close(&caller, &format!("{ended:?}"));
+            self.route.guard.check_close(&caller, &format!("{ended:?}"));
             if !wire.has_ended() {
                 self.overdue.never(caller.unanswered(), &format!("their connection ended: {ended:?}"));
             }
@@ -207,7 +207,7 @@
             _ => caller.end(),
         }
         // Only the last of the requests that have come may say that it is.
-        if self.life.keeps_alive() && !caller.wire.is_ending() || caller.wire.has_more() {
+        if self.lifecycle.keeps_alive() && !caller.wire.is_ending() || caller.wire.has_more() {
             return answer;
         }
         caller.wire.end_reading();
@@ -217,9 +217,9 @@
     async fn call(&self, caller: &Client, request: Request<Incoming>) -> Result<Response<Body>, Broken> {
         let (head, body) = request.into_parts();
         let has_length = caller.wire.hand_out().has_length;
-        let call = message::decode_call(head, &self.terms.now(), has_length);
+        let call = message::decode_call(head, &self.settings.current(), has_length);
         let problem = match call {
-            Ok(Call::Up) => return Ok(message::encode_up(self.life.is_ready())),
+            Ok(Call::Up) => return Ok(message::encode_up(self.lifecycle.is_ready())),
             Ok(Call::Job(job)) => match self.job(caller, *job, body).await {
                 Ok(answer) => return Ok(answer),
                 Err(Problem::Gone) => return Err(Broken::Cut),
@@ -357,10 +357,10 @@
     /// Closes idle callers whenever clients are let go, as long as the node runs.
     pub async fn let_go(self: Rc<Self>) {
         loop {
-            if let Some(pause) = self.life.spares_for() {
+            if let Some(pause) = self.lifecycle.idle_close_after() {
                 self.room.close_all_idle(pause);
             }
-            if !self.life.reads_requests() {
+            if !self.lifecycle.reads_requests() {
                 self.room.end_reading();
             }
             sleep(LOOK).await;
--- a/crates/pearfront-node/src/test_support.rs
+++ b/crates/pearfront-node/src/test_support.rs
@@ -2,16 +2,16 @@
 
 use crate::book::Book;
 use crate::clock::Clock;
+use crate::connection_pool::ConnectionPool;
 use crate::discovery::{Discovery, Parts};
 use crate::guard::Guard;
 use crate::handover::Peers;
 use crate::lifecycle::Lifecycle;
-use crate::logger::{Limited, Seldom};
+use crate::logger::{InfoLimiter, WarnLimiter};
 use crate::message::{Line, List};
 use crate::probe::{LOGGED_FAILURES, Prober};
 use crate::route::Inbox;
-use crate::send::Senders;
-use crate::terms::{InForce, Terms};
+use crate::runtime_settings::{RuntimeSettings, SharedSettings};
 use pearfront::interface::Standing;
 use pearfront_settings::Surroundings;
 use std::cell::Cell;
@@ -28,21 +28,21 @@
 impl Stages {
     /// Stages whose discovery service has this address; only within `run`.
     pub fn new(service: SocketAddr) -> Self {
-        let around = Surroundings {
+        let node_settings = Surroundings {
             connect_timeout: 1000.0,
             conn_idle: 1000.0,
             drain_grace: 400.0,
             ..Surroundings::default()
         };
-        let terms = InForce::new(Terms { around, ..Terms::default() });
+        let settings = SharedSettings::new(RuntimeSettings { node_settings, ..RuntimeSettings::default() });
         let (clock, inbox) = (Clock::start(), Rc::new(Inbox::default()));
         let (room, book) = (crate::admit::Room::new(64, 1.0), Rc::new(Book::default()));
-        let senders = Senders::new(terms.clone(), room.clone(), book.clone());
+        let pool = ConnectionPool::new(settings.clone(), room.clone(), book.clone());
         let peers = Peers::new(room, Rc::new(Lifecycle::new()));
         let parts = Parts {
             clock,
-            terms: terms.clone(),
-            senders: senders.clone(),
+            settings: settings.clone(),
+            pool: pool.clone(),
             book: book.clone(),
             inbox: inbox.clone(),
             peers,
@@ -50,15 +50,15 @@
         let discovery = Discovery::new(service, parts);
         let guard = Guard::new(discovery.clone(), clock, book.clone());
         let prober = Rc::new(Prober {
-            senders,
+            pool,
             inbox,
-            terms,
+            settings,
             book: book.clone(),
             discovery: discovery.clone(),
             guard,
             clock,
-            unread: Seldom::default(),
-            failures: Limited::new(LOGGED_FAILURES),
+            unread: WarnLimiter::default(),
+            failures: InfoLimiter::new(LOGGED_FAILURES),
             out: Cell::new(0),
         });
         Self { book, discovery, prober }
