--- a/crates/pearfront-node/src/handover.rs
+++ b/crates/pearfront-node/src/handover.rs
@@ -24,23 +24,23 @@
 use tokio::time::{interval, sleep, timeout};
 
 /// What both sides must agree on; any change of `Word` is another version.
-const VERSION: u64 = 1;
+const PROTOCOL_VERSION: u64 = 1;
 /// How often each tells what it uses.
-const EVERY: Duration = Duration::from_millis(50);
+const USAGE_INTERVAL: Duration = Duration::from_millis(50);
 /// How long a new process waits for the first word of the one before it: it may be busy.
-const HELLO: Duration = Duration::from_millis(1500);
+const HELLO_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Words that may wait to be written: one that reads no more of them is as good as gone.
-const WAITING: usize = 4096;
+const MAX_QUEUED_MESSAGES: usize = 4096;
 /// Longest line, bytes: a list of thousands of servers.
-const LONGEST: u64 = 8 * 1024 * 1024;
+const MAX_LINE_BYTES: u64 = 8 * 1024 * 1024;
 /// Silent for so long, though each says something every 50 ms, another process may stand still: nothing is left to it.
-const SILENT: Duration = Duration::from_millis(300);
+const SILENCE_LIMIT: Duration = Duration::from_millis(300);
 /// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-enum Word {
+enum PeerMessage {
     Hello {
         version: u64,
     },
@@ -48,73 +48,75 @@
     List(Value),
     /// It says yes to operators.
     Ready,
-    Uses {
+    #[serde(rename = "uses")]
+    Usage {
         connections: usize,
         bytes: usize,
     },
     /// A job of this id is open there, or no longer.
     Open(String),
-    Over(String),
+    #[serde(rename = "over")]
+    Closed(String),
 }
 
 /// Another process of this node.
-struct Other {
-    out: Sender<Word>,
+struct Peer {
+    out: Sender<PeerMessage>,
     greeted: Cell<bool>,
     ready: Cell<bool>,
     /// Has it said nothing for too long?
     silent: Cell<bool>,
     uses: Cell<Use>,
-    ids: RefCell<HashSet<String>>,
+    open_ids: RefCell<HashSet<String>>,
     /// Rung when it does not read what it is told.
-    lost: Notify,
+    overflowed: Notify,
 }
 
-impl Other {
-    fn tell(&self, word: Word) {
-        if self.out.try_send(word).is_err() {
-            self.lost.notify_one();
+impl Peer {
+    fn send(&self, message: PeerMessage) {
+        if self.out.try_send(message).is_err() {
+            self.overflowed.notify_one();
         }
     }
 
     /// Waits while it stands still. It has its connections meanwhile, and its requests may go on: nothing of that is free before
     /// it speaks again, or has ended.
-    async fn stands_still(&self) {
-        sleep(SILENT + EVERY).await;
+    async fn wait_until_responsive(&self) {
+        sleep(SILENCE_LIMIT + USAGE_INTERVAL).await;
         while self.silent.get() {
-            sleep(EVERY).await;
+            sleep(USAGE_INTERVAL).await;
         }
     }
 }
 
 pub struct Peers {
-    others: RefCell<Vec<Rc<Other>>>,
+    peers: RefCell<Vec<Rc<Peer>>>,
     /// The ids open here.
-    ids: RefCell<HashSet<String>>,
+    open_ids: RefCell<HashSet<String>>,
     pub room: Rc<Room>,
     lifecycle: Rc<Lifecycle>,
     greeted: Notify,
     /// Rung when the last other process has gone.
-    alone: Notify,
-    failing: WarnLimiter,
+    all_gone: Notify,
+    accept_log: WarnLimiter,
 }
 
 impl Peers {
     pub fn new(room: Rc<Room>, lifecycle: Rc<Lifecycle>) -> Rc<Self> {
-        let (others, ids, greeted) = (RefCell::default(), RefCell::default(), Notify::new());
+        let (peers, open_ids, greeted) = (RefCell::default(), RefCell::default(), Notify::new());
         Rc::new(Self {
-            others,
-            ids,
+            peers,
+            open_ids,
             room,
             lifecycle,
             greeted,
-            alone: Notify::new(),
-            failing: WarnLimiter::default(),
+            all_gone: Notify::new(),
+            accept_log: WarnLimiter::default(),
         })
     }
 
     /// Where the processes of a node of this name meet; nowhere without a folder that they share.
-    pub fn place(name: &str) -> Option<PathBuf> {
+    pub fn socket_path(name: &str) -> Option<PathBuf> {
         let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty())?;
         let name: String = name.chars().filter(char::is_ascii_alphanumeric).collect();
         Some(PathBuf::from(folder).join(format!("pearfront-{name}.sock")))
@@ -122,41 +124,41 @@
 
     /// Is a job of that id open, here or in another process?
     pub fn has_open_request(&self, id: &str) -> bool {
-        let there = |other: &Rc<Other>| other.ids.borrow().contains(id);
-        self.ids.borrow().contains(id) || self.others.borrow().iter().any(there)
+        let in_peer = |peer: &Rc<Peer>| peer.open_ids.borrow().contains(id);
+        self.open_ids.borrow().contains(id) || self.peers.borrow().iter().any(in_peer)
     }
 
     pub fn request_opened(&self, id: String) {
-        self.tell(|| Word::Open(id.clone()));
-        self.ids.borrow_mut().insert(id);
+        self.broadcast(|| PeerMessage::Open(id.clone()));
+        self.open_ids.borrow_mut().insert(id);
     }
 
     pub fn request_closed(&self, id: &str) {
-        self.tell(|| Word::Over(id.into()));
-        self.ids.borrow_mut().remove(id);
+        self.broadcast(|| PeerMessage::Closed(id.into()));
+        self.open_ids.borrow_mut().remove(id);
     }
 
     /// This process says yes to operators.
-    pub fn ready(&self) {
-        self.tell(|| Word::Ready);
+    pub fn announce_ready(&self) {
+        self.broadcast(|| PeerMessage::Ready);
     }
 
-    fn tell(&self, word: impl Fn() -> Word) {
-        self.others.borrow().iter().for_each(|other| other.tell(word()));
+    fn broadcast(&self, message: impl Fn() -> PeerMessage) {
+        self.peers.borrow().iter().for_each(|peer| peer.send(message()));
     }
 
     /// Calls the process before this one, and waits for what it has to say; is there one? One that ends meanwhile is none.
-    pub async fn call(self: &Rc<Self>, place: &PathBuf, discovery: &Rc<Discovery>) -> bool {
-        match UnixStream::connect(place).await {
+    pub async fn connect(self: &Rc<Self>, socket_path: &PathBuf, discovery: &Rc<Discovery>) -> bool {
+        match UnixStream::connect(socket_path).await {
             Err(error) => {
                 log::info!("no other process of this node to ask: {error}");
                 false
             }
             Ok(stream) => {
-                let ended = spawn_local(self.clone().talk(stream, discovery.clone()));
+                let ended = spawn_local(self.clone().exchange_messages(stream, discovery.clone()));
                 tokio::select! {
                     biased;
-                    greeted = timeout(HELLO, self.greeted.notified()) => {
+                    greeted = timeout(HELLO_TIMEOUT, self.greeted.notified()) => {
                         if greeted.is_err() {
                             log::warn!("the other process of this node does not answer");
                         }
@@ -169,54 +171,57 @@
     }
 
     /// Waits until no other process of this node is known.
-    pub async fn alone(&self) {
-        while !self.others.borrow().is_empty() {
-            self.alone.notified().await;
+    pub async fn all_gone(&self) {
+        while !self.peers.borrow().is_empty() {
+            self.all_gone.notified().await;
         }
     }
 
     /// Answers the next process of this node that starts, as long as this one runs.
-    pub async fn serve(self: Rc<Self>, place: PathBuf, discovery: Rc<Discovery>) {
+    pub async fn serve(self: Rc<Self>, socket_path: PathBuf, discovery: Rc<Discovery>) {
         // What stands there is of a process that this one follows, or of one that has gone.
-        let _ = std::fs::remove_file(&place);
-        let listener = match retry_transient(|| UnixListener::bind(&place)) {
+        let _ = std::fs::remove_file(&socket_path);
+        let listener = match retry_transient(|| UnixListener::bind(&socket_path)) {
             Ok(listener) => listener,
             Err(error) => return log::warn!("the next process of this node will know nothing: {error}"),
         };
         loop {
             match listener.accept().await {
-                Ok((stream, _)) => drop(spawn_local(self.clone().talk(stream, discovery.clone()))),
+                Ok((stream, _)) => {
+                    drop(spawn_local(self.clone().exchange_messages(stream, discovery.clone())))
+                }
                 Err(error) => {
-                    self.failing.warn(format_args!("another process of this node was not let in: {error}"));
+                    self.accept_log
+                        .warn(format_args!("another process of this node was not let in: {error}"));
                     sleep(ACCEPT_PAUSE).await;
                 }
             }
         }
     }
 
-    async fn talk(self: Rc<Self>, stream: UnixStream, discovery: Rc<Discovery>) {
+    async fn exchange_messages(self: Rc<Self>, stream: UnixStream, discovery: Rc<Discovery>) {
         let (read, mut write) = stream.into_split();
-        let (out, words) = mpsc::channel(WAITING);
-        let other = Rc::new(Other {
+        let (out, messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
+        let peer = Rc::new(Peer {
             out,
             greeted: Cell::new(false),
             ready: Cell::new(false),
             silent: Cell::new(false),
             uses: Cell::default(),
-            ids: RefCell::default(),
-            lost: Notify::new(),
+            open_ids: RefCell::default(),
+            overflowed: Notify::new(),
         });
-        other.tell(Word::Hello { version: VERSION });
-        other.tell(Word::List(discovery.as_json()));
-        self.ids.borrow().iter().for_each(|id| other.tell(Word::Open(id.clone())));
+        peer.send(PeerMessage::Hello { version: PROTOCOL_VERSION });
+        peer.send(PeerMessage::List(discovery.as_json()));
+        self.open_ids.borrow().iter().for_each(|id| peer.send(PeerMessage::Open(id.clone())));
         if self.lifecycle.is_ready() {
-            other.tell(Word::Ready);
+            peer.send(PeerMessage::Ready);
         }
-        self.others.borrow_mut().push(other.clone());
+        self.peers.borrow_mut().push(peer.clone());
         let writing = async {
-            let (mut words, mut tick) = (words, interval(EVERY));
-            while let Some(word) = self.next(&mut words, &mut tick).await {
-                let mut line = serde_json::to_string(&word).expect("words are plain");
+            let (mut messages, mut tick) = (messages, interval(USAGE_INTERVAL));
+            while let Some(message) = self.next_outgoing(&mut messages, &mut tick).await {
+                let mut line = serde_json::to_string(&message).expect("words are plain");
                 line.push('\n');
                 if write.write_all(line.as_bytes()).await.is_err() {
                     break;
@@ -224,96 +229,108 @@
             }
             "it does not listen".to_string()
         };
-        let told = async {
+        let sending = async {
             tokio::select! {
                 problem = writing => problem,
-                () = other.lost.notified() => {
-                    other.stands_still().await;
+                () = peer.overflowed.notified() => {
+                    peer.wait_until_responsive().await;
                     "it does not read what it is told".to_string()
                 }
             }
         };
         let problem = tokio::select! {
-            problem = told => problem,
-            problem = self.hear(&other, read, &discovery) => problem,
+            problem = sending => problem,
+            problem = self.receive(&peer, read, &discovery) => problem,
         };
-        self.others.borrow_mut().retain(|known| !Rc::ptr_eq(known, &other));
-        self.share();
+        self.peers.borrow_mut().retain(|known| !Rc::ptr_eq(known, &peer));
+        self.update_shared_state();
         log::info!("the other process of this node is gone: {problem}");
-        if self.others.borrow().is_empty() {
-            self.alone.notify_waiters();
+        if self.peers.borrow().is_empty() {
+            self.all_gone.notify_waiters();
         }
     }
 
-    async fn next(&self, words: &mut Receiver<Word>, tick: &mut tokio::time::Interval) -> Option<Word> {
+    async fn next_outgoing(
+        &self,
+        messages: &mut Receiver<PeerMessage>,
+        tick: &mut tokio::time::Interval,
+    ) -> Option<PeerMessage> {
         tokio::select! {
             biased;
-            word = words.recv() => word,
+            message = messages.recv() => message,
             _ = tick.tick() => {
                 let Use { connections, bytes } = self.room.uses();
-                Some(Word::Uses { connections, bytes })
+                Some(PeerMessage::Usage { connections, bytes })
             }
         }
     }
 
     /// Takes in what another process says until it ends; says why.
-    async fn hear(&self, other: &Other, read: OwnedReadHalf, discovery: &Rc<Discovery>) -> String {
+    async fn receive(&self, peer: &Peer, read: OwnedReadHalf, discovery: &Rc<Discovery>) -> String {
         let mut reader = BufReader::new(read);
         loop {
             let mut line = Vec::new();
-            let read =
-                self.follow_silence(other, (&mut reader).take(LONGEST).read_until(b'\n', &mut line)).await;
+            let read = self
+                .detect_silence(peer, (&mut reader).take(MAX_LINE_BYTES).read_until(b'\n', &mut line))
+                .await;
             match read {
                 Ok(0) => return "it has ended".into(),
                 Ok(_) => {}
                 Err(error) => return error.to_string(),
             }
-            let word = serde_json::from_slice(&line).map_err(|error| error.to_string());
-            if let Err(problem) = word.and_then(|word| self.take(other, word, discovery)) {
+            let message = serde_json::from_slice(&line).map_err(|error| error.to_string());
+            if let Err(problem) = message.and_then(|message| self.handle_message(peer, message, discovery)) {
                 return format!("it can't be understood: {problem}");
             }
         }
     }
 
     /// Waits for its next word; meanwhile it is known whether it has been silent for too long.
-    async fn follow_silence<T>(&self, other: &Other, word: impl Future<Output = T>) -> T {
-        let mut word = pin!(word);
-        if let Ok(word) = timeout(SILENT, word.as_mut()).await {
-            return word;
+    async fn detect_silence<T>(&self, peer: &Peer, message: impl Future<Output = T>) -> T {
+        let mut message = pin!(message);
+        if let Ok(message) = timeout(SILENCE_LIMIT, message.as_mut()).await {
+            return message;
         }
-        other.silent.set(true);
-        self.share();
-        let word = word.await;
-        other.silent.set(false);
-        word
+        peer.silent.set(true);
+        self.update_shared_state();
+        let message = message.await;
+        peer.silent.set(false);
+        message
     }
 
-    fn take(&self, other: &Other, word: Word, discovery: &Rc<Discovery>) -> Result<(), String> {
-        match word {
-            Word::Hello { version: VERSION } => other.greeted.set(true),
-            Word::Hello { version } => return Err(format!("version {version}, not {VERSION}")),
-            _ if !other.greeted.get() => return Err("it says nothing of its version".into()),
+    fn handle_message(
+        &self,
+        peer: &Peer,
+        message: PeerMessage,
+        discovery: &Rc<Discovery>,
+    ) -> Result<(), String> {
+        match message {
+            PeerMessage::Hello { version: PROTOCOL_VERSION } => peer.greeted.set(true),
+            PeerMessage::Hello { version } => {
+                return Err(format!("version {version}, not {PROTOCOL_VERSION}"));
+            }
+            _ if !peer.greeted.get() => return Err("it says nothing of its version".into()),
             // From then on each has its own watch.
-            Word::List(_) if self.lifecycle.state() != State::Starting => {}
-            Word::List(list) => {
+            PeerMessage::List(_) if self.lifecycle.state() != State::Starting => {}
+            PeerMessage::List(list) => {
                 discovery.apply_peer_list(&list)?;
                 self.greeted.notify_waiters();
             }
-            Word::Ready => other.ready.set(true),
-            Word::Uses { connections, bytes } => other.uses.set(Use { connections, bytes }),
-            Word::Open(id) => drop(other.ids.borrow_mut().insert(id)),
-            Word::Over(id) => drop(other.ids.borrow_mut().remove(&id)),
+            PeerMessage::Ready => peer.ready.set(true),
+            PeerMessage::Usage { connections, bytes } => peer.uses.set(Use { connections, bytes }),
+            PeerMessage::Open(id) => drop(peer.open_ids.borrow_mut().insert(id)),
+            PeerMessage::Closed(id) => drop(peer.open_ids.borrow_mut().remove(&id)),
         }
-        self.share();
+        self.update_shared_state();
         Ok(())
     }
 
     /// What the others are and use, where it matters here.
-    fn share(&self) {
-        let others = self.others.borrow();
-        let known: Vec<_> = others.iter().filter(|other| other.greeted.get()).collect();
-        self.room.share(&known.iter().map(|other| other.uses.get()).collect::<Vec<_>>());
-        self.lifecycle.set_successor(known.iter().any(|other| other.ready.get() && !other.silent.get()));
+    fn update_shared_state(&self) {
+        let peers = self.peers.borrow();
+        let known: Vec<_> = peers.iter().filter(|peer| peer.greeted.get()).collect();
+        self.room.share(&known.iter().map(|peer| peer.uses.get()).collect::<Vec<_>>());
+        self.lifecycle.set_successor(known.iter().any(|peer| peer.ready.get() && !peer.silent.get()));
     }
 }
 
--- a/crates/pearfront-node/src/main.rs
+++ b/crates/pearfront-node/src/main.rs
@@ -142,7 +142,7 @@
     let cluster = cluster.map_err(|problem| format!("config.cluster.{problem}"))?;
     let as_written = config.as_written.clone();
     let settings = SharedSettings::new(std::mem::take(&mut config.settings));
-    let place = if shared { Peers::place(&name) } else { None };
+    let place = if shared { Peers::socket_path(&name) } else { None };
     let (take_in, book, discovery) = build(config, &settings, lifecycle.clone());
     log::info!("node {name} listens on {address}");
     if let Some(operators) = operators {
@@ -208,7 +208,7 @@
         wait_beside_others(&place, &discovery).await;
     }
     guard.mark_ready(&lifecycle);
-    discovery.peers.ready();
+    discovery.peers.announce_ready();
     if let Some(place) = place {
         discovery.peers.clone().serve(place, discovery).await;
     }
@@ -219,7 +219,7 @@
 async fn wait_beside_others(place: &Option<PathBuf>, discovery: &Rc<Discovery>) {
     let mut asked = pin!(async {
         match place {
-            Some(place) => discovery.peers.call(place, discovery).await,
+            Some(place) => discovery.peers.connect(place, discovery).await,
             None => true,
         }
     });
@@ -234,7 +234,7 @@
     if is_beside && !is_heard {
         tokio::select! {
             _ = heard => {}
-            () = discovery.peers.alone() => {}
+            () = discovery.peers.all_gone() => {}
         }
     }
 }
