--- a/crates/pearfront-node/src/connection_pool/attempt.rs
+++ b/crates/pearfront-node/src/connection_pool/attempt.rs
@@ -3,10 +3,10 @@
 use super::ConnectionPool;
 use super::connection_end::ConnectionEnd;
 use super::http_connection::HttpConnection;
-use crate::flow::Start;
 use crate::guard::Permit;
-use crate::message::{self, Job, Reply};
-use crate::wire::Wire;
+use crate::message::{self, ClientRequest, Reply};
+use crate::streaming::BodyStart;
+use crate::tracked_stream::TrackedStream;
 use http_body_util::Either;
 use hyper::http::response;
 use std::cell::OnceCell;
@@ -37,14 +37,14 @@
     pub async fn attempt(
         self: &Rc<Self>,
         server: SocketAddr,
-        request: &Job,
+        request: &ClientRequest,
         timed_out: impl Future<Output = ()>,
         request_closed: impl Future<Output = ()>,
         permit: impl Fn() -> Option<Rc<Permit>>,
         called_off: impl Future<Output = ()>,
     ) -> Attempt {
         let (mut link, wire) = (None, OnceCell::new());
-        let written = || wire.get().is_some_and(|wire: &Rc<Wire>| wire.whole_written());
+        let written = || wire.get().is_some_and(|wire: &Rc<TrackedStream>| wire.is_fully_written());
         let exchange = self.exchange(&mut link, &wire, server, request, permit);
         let request_closed_before_written = async {
             request_closed.await;
@@ -65,9 +65,9 @@
     async fn exchange(
         &self,
         slot: &mut Option<HttpConnection>,
-        wire: &OnceCell<Rc<Wire>>,
+        wire: &OnceCell<Rc<TrackedStream>>,
         server: SocketAddr,
-        request: &Job,
+        request: &ClientRequest,
         permit: impl Fn() -> Option<Rc<Permit>>,
     ) -> Attempt {
         // A server may have closed a kept connection without our knowing yet. Where that happens, a request that could
@@ -76,31 +76,31 @@
         let link = if needs_new { self.renewed_link(server).await } else { self.link(server).await };
         let Ok(link) = link else { return Attempt::ended(ConnectionEnd::NeverUp) };
         // What was written on it before belongs to another message.
-        link.wire.expect(Some(0));
+        link.wire.begin_message(Some(0));
         wire.get_or_init(|| link.wire.clone());
         let link = slot.insert(link);
         let encoded = permit().and_then(|permit| Some((request.encode(permit.remaining_ms)?, permit)));
         let Some((encoded, permit)) = encoded else {
             return Attempt::ended(ConnectionEnd::NotSent);
         };
-        link.wire.write_with(permit.clone());
+        link.wire.set_write_permit(permit.clone());
         let answer = link.begin(encoded).await;
-        if link.wire.is_withheld() {
+        if link.wire.was_withheld() {
             let gone = permit.client_has_left();
             return Attempt::ended(if gone { ConnectionEnd::CallerGone } else { ConnectionEnd::Withheld });
         }
-        self.break_rates.record(link.kept, answer.is_err() && !link.wire.has_begun());
+        self.break_rates.record(link.kept, answer.is_err() && !link.wire.has_received());
         match answer {
             Ok((head, body)) => self.read(head, body),
-            Err(_) if !link.wire.whole_written() => Attempt::ended(ConnectionEnd::BrokenBefore),
+            Err(_) if !link.wire.is_fully_written() => Attempt::ended(ConnectionEnd::BrokenBefore),
             Err(_) => Attempt::ended(ConnectionEnd::BrokenAfter),
         }
     }
 
-    fn read(&self, head: response::Parts, body: Start) -> Attempt {
+    fn read(&self, head: response::Parts, body: BodyStart) -> Attempt {
         let report = message::decode_report_of(&head, &self.settings.current().node_settings);
         let end = message::decode_end(&head);
-        let is_complete = matches!(body, Start::Whole(_));
+        let is_complete = matches!(body, BodyStart::Complete(_));
         let reply = (end == ConnectionEnd::Served).then(|| message::decode_reply(head, body));
         Attempt { end, reply, is_complete, report }
     }
@@ -120,8 +120,8 @@
         let pool = self.clone();
         match attempt.reply.as_mut().map(|reply| &mut reply.body) {
             // Its connection is free again once the last byte of the answer has been passed on.
-            Some(Either::Right(flow)) => flow.at_end(move || pool.keep_link(server, link)),
-            _ if attempt.is_complete && (attempt.end == NotSent || link.wire.whole_written()) => {
+            Some(Either::Right(flow)) => flow.on_end(move || pool.keep_link(server, link)),
+            _ if attempt.is_complete && (attempt.end == NotSent || link.wire.is_fully_written()) => {
                 pool.keep_link(server, link);
             }
             _ => {}
--- a/crates/pearfront-node/src/discovery.rs
+++ b/crates/pearfront-node/src/discovery.rs
@@ -4,15 +4,15 @@
 
 pub use roster::ServerLocation;
 
-use crate::admit::Place;
-use crate::book::Book;
+use crate::capacity::ConnectionSlot;
 use crate::clock::Clock;
 use crate::connection_pool::{ConnectionPool, HttpConnection};
+use crate::counters::Counters;
+use crate::dispatcher::EventQueue;
 use crate::handover::Peers;
 use crate::lease::{CallOutcome, LeaseRules, Leases, WRITE_DELAY_MARGIN_MS};
 use crate::logger::WarnLimiter;
 use crate::message::{self, ServerEntry, ServerList};
-use crate::route::Inbox;
 use crate::runtime_settings::SharedSettings;
 use crate::stall_monitor::StallMonitor;
 use crate::wall_clock::{self, WallClock};
@@ -87,8 +87,8 @@
     pub clock: Clock,
     pub settings: Rc<SharedSettings>,
     pub pool: Rc<ConnectionPool>,
-    pub book: Rc<Book>,
-    pub inbox: Rc<Inbox>,
+    pub book: Rc<Counters>,
+    pub inbox: Rc<EventQueue>,
     pub peers: Rc<Peers>,
 }
 
@@ -101,9 +101,9 @@
     /// When a list was heard last.
     last_list_at: Cell<Option<f64>>,
     settings: Rc<SharedSettings>,
-    inbox: Rc<Inbox>,
+    inbox: Rc<EventQueue>,
     pool: Rc<ConnectionPool>,
-    book: Rc<Book>,
+    book: Rc<Counters>,
     /// Other processes of this node.
     pub peers: Rc<Peers>,
     roster: RefCell<Roster>,
@@ -252,7 +252,7 @@
             self.last_list_at.set(Some(now));
             self.list_received.notify_waiters();
         }
-        self.inbox.tell(move |balancer| {
+        self.inbox.push(move |balancer| {
             balancer.listed(false, may_be_old, entries.into_iter());
         });
     }
@@ -320,7 +320,7 @@
             .filter(|watch_connection| !new_connection && watch_connection.is_usable())
         {
             Some(watch_connection) => Ok(watch_connection),
-            None => HttpConnection::open(self.service.get(), Place::own()).await,
+            None => HttpConnection::open(self.service.get(), ConnectionSlot::uncounted()).await,
         }
     }
 }
@@ -354,7 +354,7 @@
             Failure::Truncated(problem)
         };
         record_truncated();
-        let body = timeout(LIST_BODY_TIMEOUT, message::whole_of(body, MAX_LIST_BYTES)).await;
+        let body = timeout(LIST_BODY_TIMEOUT, message::read_whole(body, MAX_LIST_BYTES)).await;
         let body = body.map_err(|_| truncated("a list that stalled".into()))?;
         let body = body.map_err(|()| truncated("a list that broke off".into()))?;
         let list = message::decode_list(&body, &self.settings.current().node_settings).map_err(truncated)?;
--- a/crates/pearfront-node/src/handover.rs
+++ b/crates/pearfront-node/src/handover.rs
@@ -2,7 +2,7 @@
 //! open, and what each uses of the limits that they share. The one that serves listens at a socket in `$TMPDIR`, the
 //! next one to start calls there; what can't be understood leaves each as if it were alone.
 
-use crate::admit::{Room, Use};
+use crate::capacity::{Capacity, Usage};
 use crate::discovery::Discovery;
 use crate::lifecycle::{Lifecycle, State};
 use crate::logger::WarnLimiter;
@@ -66,7 +66,7 @@
     ready: Cell<bool>,
     /// Has it said nothing for too long?
     silent: Cell<bool>,
-    uses: Cell<Use>,
+    uses: Cell<Usage>,
     open_ids: RefCell<HashSet<String>>,
     /// Rung when it does not read what it is told.
     overflowed: Notify,
@@ -93,7 +93,7 @@
     peers: RefCell<Vec<Rc<Peer>>>,
     /// The ids open here.
     open_ids: RefCell<HashSet<String>>,
-    pub room: Rc<Room>,
+    pub room: Rc<Capacity>,
     lifecycle: Rc<Lifecycle>,
     greeted: Notify,
     /// Rung when the last other process has gone.
@@ -102,7 +102,7 @@
 }
 
 impl Peers {
-    pub fn new(room: Rc<Room>, lifecycle: Rc<Lifecycle>) -> Rc<Self> {
+    pub fn new(room: Rc<Capacity>, lifecycle: Rc<Lifecycle>) -> Rc<Self> {
         let (peers, open_ids, greeted) = (RefCell::default(), RefCell::default(), Notify::new());
         Rc::new(Self {
             peers,
@@ -259,7 +259,7 @@
             biased;
             message = messages.recv() => message,
             _ = tick.tick() => {
-                let Use { connections, bytes } = self.room.uses();
+                let Usage { connections, bytes } = self.room.usage();
                 Some(PeerMessage::Usage { connections, bytes })
             }
         }
@@ -317,7 +317,7 @@
                 self.greeted.notify_waiters();
             }
             PeerMessage::Ready => peer.ready.set(true),
-            PeerMessage::Usage { connections, bytes } => peer.uses.set(Use { connections, bytes }),
+            PeerMessage::Usage { connections, bytes } => peer.uses.set(Usage { connections, bytes }),
             PeerMessage::Open(id) => drop(peer.open_ids.borrow_mut().insert(id)),
             PeerMessage::Closed(id) => drop(peer.open_ids.borrow_mut().remove(&id)),
         }
@@ -329,7 +329,7 @@
     fn update_shared_state(&self) {
         let peers = self.peers.borrow();
         let known: Vec<_> = peers.iter().filter(|peer| peer.greeted.get()).collect();
-        self.room.share(&known.iter().map(|peer| peer.uses.get()).collect::<Vec<_>>());
+        self.room.set_others(&known.iter().map(|peer| peer.uses.get()).collect::<Vec<_>>());
         self.lifecycle.set_successor(known.iter().any(|peer| peer.ready.get() && !peer.silent.get()));
     }
 }
--- a/crates/pearfront-node/src/lease_monitor.rs
+++ b/crates/pearfront-node/src/lease_monitor.rs
@@ -3,10 +3,10 @@
 
 use crate::clock::{Clock, ms};
 use crate::discovery::{self, Discovery};
+use crate::dispatcher::EventQueue;
 use crate::guard::Guard;
 use crate::logger::InfoLimiter;
 use crate::probe::Prober;
-use crate::route::Inbox;
 use crate::runtime_settings::SharedSettings;
 use pearfront::chance::Chance;
 use pearfront::interface::{Address, Listing, Standing};
@@ -41,7 +41,7 @@
 pub struct LeaseMonitor {
     discovery: Rc<Discovery>,
     prober: Rc<Prober>,
-    inbox: Rc<Inbox>,
+    inbox: Rc<EventQueue>,
     settings: Rc<SharedSettings>,
     clock: Clock,
     /// Those that the module is told not to send to.
@@ -55,7 +55,7 @@
     pub fn new(
         discovery: Rc<Discovery>,
         prober: Rc<Prober>,
-        inbox: Rc<Inbox>,
+        inbox: Rc<EventQueue>,
         settings: Rc<SharedSettings>,
         clock: Clock,
     ) -> Self {
@@ -117,7 +117,7 @@
             self.change_log.info(|| {
                 format!("{without} of {all} servers without a lease, that of the list ended {age:.0} ms ago")
             });
-            self.inbox.tell(move |balancer| balancer.suspended(entries.into_iter()));
+            self.inbox.push(move |balancer| balancer.suspended(entries.into_iter()));
         }
     }
 
--- a/crates/pearfront-node/src/probe.rs
+++ b/crates/pearfront-node/src/probe.rs
@@ -1,13 +1,13 @@
 //! Probes: one small call to a server, whose answer the load table gets.
 
-use crate::book::Book;
 use crate::clock::Clock;
 use crate::connection_pool::ConnectionPool;
+use crate::counters::Counters;
 use crate::discovery::Discovery;
+use crate::dispatcher::EventQueue;
 use crate::guard::Guard;
 use crate::logger::{InfoLimiter, WarnLimiter};
 use crate::message;
-use crate::route::Inbox;
 use crate::runtime_settings::SharedSettings;
 use pearfront::interface::Address;
 use std::cell::Cell;
@@ -48,9 +48,9 @@
 /// Probes servers, and tells the module and discovery what they answer.
 pub struct Prober {
     pub pool: Rc<ConnectionPool>,
-    pub inbox: Rc<Inbox>,
+    pub inbox: Rc<EventQueue>,
     pub settings: Rc<SharedSettings>,
-    pub book: Rc<Book>,
+    pub book: Rc<Counters>,
     pub discovery: Rc<Discovery>,
     pub guard: Rc<Guard>,
     pub clock: Clock,
@@ -94,7 +94,7 @@
             // The server is well, and what was known of it stays.
             Ok(Err(problem)) => return self.drop_report(&problem),
         };
-        self.inbox.tell(move |balancer| {
+        self.inbox.push(move |balancer| {
             balancer.probe_answered(address, report.is_some(), &report.unwrap_or_default(), took);
         });
     }
--- a/crates/pearfront-node/src/test_support.rs
+++ b/crates/pearfront-node/src/test_support.rs
@@ -1,16 +1,16 @@
 //! The stages of a node around a discovery service and servers of a unit test's own.
 
-use crate::book::Book;
 use crate::clock::Clock;
 use crate::connection_pool::ConnectionPool;
+use crate::counters::Counters;
 use crate::discovery::{Dependencies, Discovery};
+use crate::dispatcher::EventQueue;
 use crate::guard::Guard;
 use crate::handover::Peers;
 use crate::lifecycle::Lifecycle;
 use crate::logger::{InfoLimiter, WarnLimiter};
 use crate::message::{ServerEntry, ServerList};
 use crate::probe::{LOGGED_FAILURES_PER_S, Prober};
-use crate::route::Inbox;
 use crate::runtime_settings::{RuntimeSettings, SharedSettings};
 use pearfront::interface::Standing;
 use pearfront_settings::Surroundings;
@@ -20,7 +20,7 @@
 use tokio::task::LocalSet;
 
 pub struct Stages {
-    pub book: Rc<Book>,
+    pub book: Rc<Counters>,
     pub discovery: Rc<Discovery>,
     pub prober: Rc<Prober>,
 }
@@ -35,8 +35,8 @@
             ..Surroundings::default()
         };
         let settings = SharedSettings::new(RuntimeSettings { node_settings, ..RuntimeSettings::default() });
-        let (clock, inbox) = (Clock::start(), Rc::new(Inbox::default()));
-        let (room, book) = (crate::admit::Room::new(64, 1.0), Rc::new(Book::default()));
+        let (clock, inbox) = (Clock::start(), Rc::new(EventQueue::default()));
+        let (room, book) = (crate::capacity::Capacity::new(64, 1.0), Rc::new(Counters::default()));
         let pool = ConnectionPool::new(settings.clone(), room.clone(), book.clone());
         let peers = Peers::new(room, Rc::new(Lifecycle::new()));
         let dependencies = Dependencies {
