--- a/crates/pearfront-cli/src/store.rs
+++ b/crates/pearfront-cli/src/store.rs
@@ -75,7 +75,7 @@
         if !folder.is_dir() {
             return Err(Trouble::Input(format!("{shown}: is no folder")));
         }
-        match check(&mut Folder::look(&folder)) {
+        match check(&mut Folder::open_read_only(&folder)) {
             Ok(found) => {
                 let snapshot = found.snapshot.as_ref().map_or("no snapshot".to_string(), |snapshot| {
                     format!("a snapshot of {} bytes up to record {}", snapshot.bytes.len(), snapshot.index)
@@ -83,12 +83,12 @@
                 println!(
                     "{shown}: whole; {snapshot}, {} records behind it, the last is {}",
                     found.entries.len(),
-                    found.last()
+                    found.last_index()
                 );
-                if found.torn > 0 {
+                if found.torn_bytes > 0 {
                     println!(
                         "{} bytes at the end were being written and will be cut off at the next start",
-                        found.torn
+                        found.torn_bytes
                     );
                 }
                 Ok(())
--- a/crates/pearfront-cluster/src/board.rs
+++ b/crates/pearfront-cluster/src/board.rs
@@ -6,7 +6,8 @@
 use crate::seat::{Post, Seat};
 use pearfront_consensus::{Message, Role, decode};
 use pearfront_duties::{
-    Agent, AgentOut, Ask, Listed, Order, Told, Want, Who, decode as decode_duty, encode as encode_duty,
+    Agent, AgentAction, DutyInfo, LeaseRequest, LeaseResponse, Order, ProcessId, Want, decode as decode_duty,
+    encode as encode_duty,
 };
 use std::collections::{BTreeMap, VecDeque};
 
@@ -29,7 +30,7 @@
 }
 
 pub(crate) struct Board {
-    me: Who,
+    me: ProcessId,
     voters: Vec<String>,
     sum: u32,
     agent: Agent,
@@ -37,7 +38,7 @@
     /// Why it is no voter any more.
     trouble: Option<String>,
     rents: BTreeMap<String, Rent>,
-    list: Option<Vec<Listed>>,
+    list: Option<Vec<DutyInfo>>,
     ordered: Option<Vec<String>>,
     /// Words between two parts of this process.
     own: VecDeque<Word>,
@@ -49,7 +50,7 @@
 }
 
 impl Board {
-    pub fn new(me: Who, voters: &[String], times: pearfront_duties::Times, seat: Option<Seat>) -> Self {
+    pub fn new(me: ProcessId, voters: &[String], times: pearfront_duties::Times, seat: Option<Seat>) -> Self {
         let mut names = voters.to_vec();
         names.sort();
         Self {
@@ -120,14 +121,14 @@
                 }
             }
             Word::Ask(_, bytes) => {
-                let ask = decode_duty::<Ask>(&bytes).filter(|ask| ask.from.name == from);
+                let ask = decode_duty::<LeaseRequest>(&bytes).filter(|ask| ask.from.name == from);
                 if let (Some(seat), Some(ask)) = (&mut self.seat, ask) {
                     seat.asked(ask, now);
                 }
             }
             Word::Told(_, bytes) => {
-                if let Some(told) = decode_duty::<Told>(&bytes).filter(|told| told.from == from) {
-                    self.agent.heard(told, now);
+                if let Some(told) = decode_duty::<LeaseResponse>(&bytes).filter(|told| told.from == from) {
+                    self.agent.receive(told, now);
                 }
             }
             _ => {}
@@ -151,7 +152,7 @@
     /// That process is over, for certain.
     pub fn ended(&mut self, name: &str, life: u64, now: f64) {
         if let Some(seat) = &mut self.seat {
-            seat.ended(&Who { name: name.into(), life }, now);
+            seat.ended(&ProcessId { name: name.into(), life }, now);
         }
         self.run(now);
     }
@@ -161,7 +162,7 @@
     fn run(&mut self, now: f64) {
         loop {
             self.agent.tick(now);
-            for out in self.agent.take_out() {
+            for out in self.agent.take_actions() {
                 self.agent_out(out, now);
             }
             let posts = self.seat.as_mut().map(Seat::take_posts).unwrap_or_default();
@@ -179,7 +180,7 @@
                 self.send(to.clone(), None, Word::Log(self.sum, message.encode()));
             }
             Post::Told(told) => {
-                let Who { name, life } = told.to.clone();
+                let ProcessId { name, life } = told.to.clone();
                 self.send(name, Some(life), Word::Told(self.sum, encode_duty(&told)));
             }
         }
@@ -196,28 +197,28 @@
         self.sent.push(Sent { to, life, word });
     }
 
-    fn agent_out(&mut self, out: AgentOut, now: f64) {
+    fn agent_out(&mut self, out: AgentAction, now: f64) {
         self.news = true;
         match out {
-            AgentOut::Send { to, ask } => {
+            AgentAction::Send { to, request: ask } => {
                 self.news = false;
                 self.send(to, None, Word::Ask(self.sum, encode_duty(&ask)));
             }
-            AgentOut::Began { duty, token, until } => {
+            AgentAction::Acquired { duty, token, until } => {
                 log::info!("cluster: event=duty-held duty={duty} token={token} for_ms={:.0}", until - now);
             }
-            AgentOut::Leave { duty, token } => {
+            AgentAction::Leave { duty, token } => {
                 log::info!("cluster: event=duty-to-leave duty={duty} token={token}");
                 // What a command does it brings to an end itself.
                 if !self.rents.contains_key(&duty) {
                     self.agent.give_up(&duty, false, now);
                 }
             }
-            AgentOut::Stopped { duty, token, why } => {
+            AgentAction::Stopped { duty, token, reason: why } => {
                 log::info!("cluster: event=duty-stopped duty={duty} token={token} why={why:?}");
             }
-            AgentOut::Listed(list) => self.list = Some(list),
-            AgentOut::Ordered(told) => self.ordered = Some(told),
+            AgentAction::List(list) => self.list = Some(list),
+            AgentAction::OrderResults(told) => self.ordered = Some(told),
         }
     }
 
@@ -225,11 +226,11 @@
 
     pub fn ask_for_list(&mut self, now: f64) {
         self.list = None;
-        self.agent.ask_for_list(now);
+        self.agent.request_list(now);
         self.run(now);
     }
 
-    pub fn listed(&self) -> Option<&Vec<Listed>> {
+    pub fn listed(&self) -> Option<&Vec<DutyInfo>> {
         self.list.as_ref()
     }
 
@@ -284,12 +285,12 @@
         if let (Some((_, until)), Some(rent)) = (held, self.rents.get_mut(duty)) {
             rent.told = rent.told.max(until);
         }
-        let waits = self.agent.waits(duty);
+        let waits = self.agent.wait_status(duty);
         HoldView {
             held: held.map(|(token, until)| HeldView {
                 token,
                 left_ms: until - now,
-                leave: self.agent.leaves(duty),
+                leave: self.agent.must_leave(duty),
             }),
             holders: waits
                 .map(|waits| waits.holders.iter().map(TakenView::new).collect())
@@ -323,9 +324,9 @@
             },
             term: seat.voter.term(),
             leader: seat.voter.leader().map(str::to_string),
-            commit: seat.voter.commit(),
+            commit: seat.voter.commit_index(),
             last: seat.voter.last_index(),
-            may_stand: seat.voter.stands(),
+            may_stand: seat.voter.may_stand(),
         });
         let own = self.agent.held(now).into_iter();
         DutiesView {
--- a/crates/pearfront-cluster/src/disk.rs
+++ b/crates/pearfront-cluster/src/disk.rs
@@ -1,7 +1,7 @@
 //! A voter's records on disk, on a thread of their own: a sync that takes seconds must hold up nothing but promises.
 
 use crate::link::Event;
-use pearfront_consensus::{Kept, Record, decode_record, pack, recover, unpack};
+use pearfront_consensus::{PersistentState, Record, decode_record, decode_records, encode_records, recover};
 use pearfront_store::{Folder, Recovered, Store, check};
 use std::path::Path;
 use tokio::sync::mpsc::{Sender, UnboundedReceiver};
@@ -10,8 +10,8 @@
 /// Bytes of the log after which everything is put into a snapshot.
 const COMPACT: usize = 4 * 1024 * 1024;
 
-fn put_together(recovered: Recovered) -> Kept {
-    let old = recovered.snapshot.into_iter().flat_map(|entry| unpack(&entry.bytes));
+fn put_together(recovered: Recovered) -> PersistentState {
+    let old = recovered.snapshot.into_iter().flat_map(|entry| decode_records(&entry.bytes));
     let new = recovered.entries.into_iter().filter_map(|entry| decode_record(&entry.bytes));
     recover(old.chain(new))
 }
@@ -21,12 +21,12 @@
 /// # Errors
 /// What is wrong with it, file and place named: a voter that can't know what it promised must not begin as if it had
 /// promised nothing.
-pub(crate) fn open(folder: &Path) -> Result<(Store<Folder>, Kept), String> {
+pub(crate) fn open(folder: &Path) -> Result<(Store<Folder>, PersistentState), String> {
     let told = |problem: String| format!("{}: {problem}", folder.display());
     let disk = Folder::open(folder).map_err(|error| told(error.to_string()))?;
     let (store, recovered) = Store::open(disk).map_err(|error| told(error.to_string()))?;
-    if recovered.torn > 0 {
-        log::warn!("cluster: event=torn-end bytes={} folder={}", recovered.torn, folder.display());
+    if recovered.torn_bytes > 0 {
+        log::warn!("cluster: event=torn-end bytes={} folder={}", recovered.torn_bytes, folder.display());
     }
     Ok((store, put_together(recovered)))
 }
@@ -72,9 +72,9 @@
     let encoded: Vec<&[u8]> = encoded.iter().map(Vec::as_slice).collect();
     store.append(&encoded).and_then(|_| store.sync()).map_err(|error| error.to_string())?;
     if store.log_bytes() > COMPACT {
-        let upto = store.synced();
+        let upto = store.synced_index();
         let found = check(store.disk()).map_err(|error| error.to_string())?;
-        let bytes = pack(&put_together(found).records());
+        let bytes = encode_records(&put_together(found).into_records());
         store.snapshot(upto, &bytes).map_err(|error| error.to_string())?;
     }
     Ok(())
--- a/crates/pearfront-cluster/src/drive.rs
+++ b/crates/pearfront-cluster/src/drive.rs
@@ -9,9 +9,11 @@
 use crate::seat::Seat;
 use crate::settings::Settings;
 use crate::view::{CountsView, MemberView, View, state_word};
-use pearfront_consensus::Kept;
-use pearfront_duties::Who;
-use pearfront_membership::{Change, Identity, LONGEST_DATAGRAM, Member, Membership, Out, State, To};
+use pearfront_consensus::PersistentState;
+use pearfront_duties::ProcessId;
+use pearfront_membership::{
+    Action, Change, Destination, Identity, MAX_DATAGRAM_BYTES, Member, Membership, State,
+};
 use pearfront_store::{Folder, Store};
 use rand::RngCore;
 use std::cell::{Cell, RefCell};
@@ -108,14 +110,14 @@
             zone: settings.zone.clone(),
             address: settings.reached_at(),
             life,
-            kept,
+            last_incarnation: kept,
         };
         let seeds = settings.asked_first(&name);
         let core = Membership::new(who, seeds, settings.times.core(), seed, clock.now())
             .map_err(|problem| format!("name: {problem}"))?;
         let (events, heard) = mpsc::channel(EVENTS);
         let greeting = Greeting::new(&settings.installation, &name, life);
-        let me = Who { name: name.clone(), life };
+        let me = ProcessId { name: name.clone(), life };
         let board = board(&settings, me, voter, &events, (chance.next_u64(), clock.now()));
         let links = Links::new(greeting, clock, events);
         let (keep, wanted) = watch::channel(kept);
@@ -146,12 +148,12 @@
     }
 
     /// Descriptors that it may use, which nothing else may have.
-    pub fn descriptors() -> usize {
+    pub fn max_descriptors() -> usize {
         DESCRIPTORS
     }
 
     async fn drive(self: Rc<Self>, mut events: Receiver<Event>) {
-        let mut buffer = vec![0; LONGEST_DATAGRAM + 1];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
         let (mut budget, mut filled) = (BUDGET_AT_ONCE, self.clock.now());
         let mut reads_from = Instant::now();
         self.call(|core, now| core.tick(now));
@@ -193,7 +195,7 @@
             let Ok((length, _)) = self.socket.try_recv_from(buffer) else { return done };
             self.call(|core, now| {
                 // What is refused is counted there.
-                let _ = core.heard(&buffer[..length], now);
+                let _ = core.receive_bytes(&buffer[..length], now);
             });
         }
         most
@@ -204,7 +206,7 @@
         let (value, out) = {
             let mut core = self.core.borrow_mut();
             let value = call(&mut core, self.clock.now());
-            (value, core.take_out())
+            (value, core.take_actions())
         };
         for out in out {
             self.carry(out);
@@ -236,20 +238,20 @@
         }
     }
 
-    fn carry(self: &Rc<Self>, out: Out) {
+    fn carry(self: &Rc<Self>, out: Action) {
         match out {
-            Out::Datagram { to, bytes } => {
+            Action::Datagram { to, bytes } => {
                 // A datagram that the kernel does not take is one that is lost: the core bears that.
                 let _ = self.socket.try_send_to(&bytes, self.reached(&to));
             }
-            Out::Frame { to, bytes } => self.links.send_frame(to.life, self.reached(&to), bytes),
-            Out::Keep(incarnation) => drop(self.keep.send(incarnation)),
-            Out::Changed(change) => self.told(&change),
+            Action::Frame { to, bytes } => self.links.send_frame(to.life, self.reached(&to), bytes),
+            Action::PersistIncarnation(incarnation) => drop(self.keep.send(incarnation)),
+            Action::Changed(change) => self.told(&change),
         }
     }
 
     /// Where this process reaches one: as its own file says, else as that one says.
-    fn reached(&self, to: &To) -> SocketAddr {
+    fn reached(&self, to: &Destination) -> SocketAddr {
         let own = to.name.as_ref().and_then(|name| self.settings.peers.get(name));
         own.copied().unwrap_or(to.address)
     }
@@ -262,12 +264,16 @@
                 let core = self.core.borrow();
                 let member = core.member(&other.name).filter(|member| member.card.life == other.life);
                 if let Some(member) = member {
-                    let to = To { name: Some(other.name.clone()), life: None, address: member.card.address };
+                    let to = Destination {
+                        name: Some(other.name.clone()),
+                        life: None,
+                        address: member.card.address,
+                    };
                     spawn_local(self.links.clone().verify(other.name, other.life, self.reached(&to)));
                 }
             }
             Event::Ended { name, life } => {
-                self.call(|core, now| core.ended(&name, life, now));
+                self.call(|core, now| core.process_ended(&name, life, now));
                 self.on_board(|board, now| board.ended(&name, life, now));
             }
             Event::Stored(stored) => {
@@ -280,16 +286,16 @@
         match word {
             Word::Beat(number) => {
                 self.links.echo(from.life, number);
-                self.call(|core, now| core.link_heard(&from.name, from.life, None, now));
+                self.call(|core, now| core.link_active(&from.name, from.life, None, now));
             }
             Word::Echo(number) => {
                 let trip = self.links.echoed(from.life, number);
-                self.call(|core, now| core.link_heard(&from.name, from.life, trip, now));
+                self.call(|core, now| core.link_active(&from.name, from.life, trip, now));
             }
             Word::Frame(bytes) => {
                 self.links.used(from.life);
                 self.call(|core, now| {
-                    let _ = core.heard(&bytes, now);
+                    let _ = core.receive_bytes(&bytes, now);
                 });
             }
             word => {
@@ -324,10 +330,10 @@
         if *core.state() != State::Member {
             return Vec::new();
         }
-        let here: Vec<&Member> = core.members().filter(|member| member.is_here()).collect();
+        let here: Vec<&Member> = core.members().filter(|member| member.is_present()).collect();
         let reached = |member: &Member| {
             let name = Some(member.card.name.clone());
-            self.reached(&To { name, life: None, address: member.card.address })
+            self.reached(&Destination { name, life: None, address: member.card.address })
         };
         let own = here.partition_point(|member| member.card.name < self.name);
         let near = |place: usize| {
@@ -362,7 +368,7 @@
             }
             Change::Left { name } => log::info!("cluster: event=left name={name}"),
             Change::Refuted { was, incarnation } => {
-                log::warn!("cluster: event=refuted held={} incarnation={incarnation}", was.word());
+                log::warn!("cluster: event=refuted held={} incarnation={incarnation}", was.as_str());
             }
             Change::Doubts { stood } => log::warn!("cluster: event=stood-still ms={stood:.0}"),
             Change::Sure => log::info!("cluster: event=sure"),
@@ -404,10 +410,10 @@
             life: format!("{:016x}", me.life),
             state: state_word(state),
             barred_by,
-            sure: core.is_sure(),
-            deaf_s: core.deaf_since().map(|since| (now - since) / 1000.0),
+            sure: core.is_view_confirmed(),
+            deaf_s: core.isolated_since().map(|since| (now - since) / 1000.0),
             health: core.health(),
-            sum: format!("{:08x}", core.sum()),
+            sum: format!("{:08x}", core.view_checksum()),
             members: core.members().map(|member| self.member_view(&core, member, now)).collect(),
             counts: CountsView::new(core.counts(), self.over_budget.get(), self.links.dropped.get()),
         }
@@ -419,7 +425,7 @@
             name: member.card.name.clone(),
             zone: member.card.zone.clone(),
             address: member.card.address.to_string(),
-            state: member.standing.word(),
+            state: member.status.as_str(),
             since_s: (now - member.since) / 1000.0,
             incarnation: member.card.incarnation,
             life: format!("{:016x}", member.card.life),
@@ -452,8 +458,8 @@
 /// Duties, and this process's own seat among the voters, if its file names any.
 fn board(
     settings: &Settings,
-    me: Who,
-    voter: Option<(Store<Folder>, Kept)>,
+    me: ProcessId,
+    voter: Option<(Store<Folder>, PersistentState)>,
     events: &Sender<Event>,
     (seed, now): (u64, f64),
 ) -> Option<Board> {
--- a/crates/pearfront-cluster/src/duties.rs
+++ b/crates/pearfront-cluster/src/duties.rs
@@ -3,7 +3,7 @@
 use crate::drive::Cluster;
 use crate::duty_view::{DutiesView, HoldView};
 use crate::settings::is_duty_name;
-use pearfront_duties::{Standing, Want};
+use pearfront_duties::{Rank, Want};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::timeout;
@@ -87,12 +87,12 @@
         let zone = place.unwrap_or(settings.zones.len()).min(usize::from(u8::MAX)) as u8;
         Want {
             duty: hold.duty.clone(),
-            most: settings.holders,
+            max_holders: settings.holders,
             lease: settings.lease_ms,
             // A command goes on when the process that it asks has ended.
-            outlives: true,
-            once_per: hold.once_per_ms,
-            standing: Standing { zone, load: 0, wish: settings.wish },
+            outlives_process: true,
+            min_interval: hold.once_per_ms,
+            rank: Rank { zone, load: 0, preference: settings.preference },
         }
     }
 
@@ -105,7 +105,7 @@
     ///
     /// # Errors
     /// Nobody holds it, or no leader answered.
-    pub async fn order(&self, duty: &str, to: Option<&str>) -> Result<String, String> {
+    pub async fn move_duty(&self, duty: &str, to: Option<&str>) -> Result<String, String> {
         self.list().await;
         if self.on_board(|board, _| board.listed().is_none()).unwrap_or(true) {
             return Err("no leader answers".into());
--- a/crates/pearfront-cluster/src/duty_view.rs
+++ b/crates/pearfront-cluster/src/duty_view.rs
@@ -1,6 +1,6 @@
 //! What operators, and commands that hold duties, are shown.
 
-use pearfront_duties::{Listed, Taken};
+use pearfront_duties::{DutyInfo, HolderInfo};
 use serde::Serialize;
 
 #[derive(Debug, Clone, Serialize)]
@@ -12,7 +12,7 @@
 }
 
 impl TakenView {
-    pub(crate) fn new(taken: &Taken) -> Self {
+    pub(crate) fn new(taken: &HolderInfo) -> Self {
         Self { name: taken.name.clone(), token: taken.token, left_ms: taken.left }
     }
 }
@@ -29,7 +29,7 @@
 }
 
 impl ListedView {
-    pub(crate) fn new(listed: &Listed) -> Self {
+    pub(crate) fn new(listed: &DutyInfo) -> Self {
         Self {
             duty: listed.duty.clone(),
             holders: listed.holders.iter().map(TakenView::new).collect(),
--- a/crates/pearfront-cluster/src/link.rs
+++ b/crates/pearfront-cluster/src/link.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use futures_util::stream::{SplitSink, SplitStream};
 use futures_util::{SinkExt, StreamExt};
-use pearfront_membership::LONGEST_FRAME;
+use pearfront_membership::MAX_FRAME_BYTES;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 use tokio::net::TcpStream;
@@ -57,7 +57,7 @@
     /// Why there is no link: cut, too slow, or another installation or version.
     pub async fn greet(stream: TcpStream, own: &Greeting) -> Result<Self, String> {
         stream.set_nodelay(true).map_err(|error| error.to_string())?;
-        let codec = LengthDelimitedCodec::builder().max_frame_length(LONGEST_FRAME + 64).new_codec();
+        let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES + 64).new_codec();
         let mut stream = Framed::new(stream, codec);
         let greeting = async {
             let bytes = postcard::to_stdvec(own).map_err(|error| error.to_string())?;
--- a/crates/pearfront-cluster/src/permit.rs
+++ b/crates/pearfront-cluster/src/permit.rs
@@ -3,7 +3,7 @@
 
 use crate::drive::Cluster;
 use crate::settings::PermitSettings;
-use pearfront_duties::{Standing, Want};
+use pearfront_duties::{Rank, Want};
 use std::time::Duration;
 use tokio::time::timeout;
 
@@ -26,12 +26,12 @@
         let Some((duty, permit)) = self.permit() else { return Ok(()) };
         let want = Want {
             duty: duty.clone(),
-            most: permit.at_most,
+            max_holders: permit.at_most,
             lease: permit.restart_ms,
             // It is away until it is back, not until its process has ended.
-            outlives: true,
-            once_per: 0.0,
-            standing: Standing::default(),
+            outlives_process: true,
+            min_interval: 0.0,
+            rank: Rank::default(),
         };
         self.on_board(|board, now| board.want(want, now));
         let held = || self.on_board(|board, now| board.holds(&duty, now)).unwrap_or(false);
--- a/crates/pearfront-cluster/src/rescue.rs
+++ b/crates/pearfront-cluster/src/rescue.rs
@@ -1,7 +1,7 @@
 //! The way back where a majority of voters is lost for good: what one of them has becomes the beginning of all.
 
 use crate::disk;
-use pearfront_consensus::{Kept, Record};
+use pearfront_consensus::{PersistentState, Record};
 use pearfront_duties::Duties;
 use std::path::Path;
 
@@ -26,7 +26,7 @@
 /// A folder that is damaged or held by a process, or one to be made that has something in it.
 pub fn rescue(from: &Path, to: &Path) -> Result<Rescued, String> {
     let (_held, kept) = disk::open(from)?;
-    let Kept { term, snapshot, entries, .. } = kept;
+    let PersistentState { term, snapshot, entries, .. } = kept;
     let mut duties = match &snapshot {
         Some((.., bytes)) => Duties::decode(bytes)
             .ok_or_else(|| format!("{}: its snapshot is none of duties", from.display()))?,
@@ -36,21 +36,21 @@
         duties.apply(&entry.bytes);
     }
     let last = entries.last().map(|entry| entry.index).or(snapshot.map(|(index, ..)| index)).unwrap_or(0);
-    let last_token = duties.tokens();
+    let last_token = duties.last_token();
     duties.skip_tokens(AHEAD);
     let (mut store, there) = disk::open(to)?;
-    if there != Kept::default() {
+    if there != PersistentState::default() {
         return Err(format!("{}: is not empty", to.display()));
     }
     // The next term: nobody who follows a leader of the old one goes on with it.
     let term = term + 1;
     let records = [
-        Record::Term { term, voted: None },
+        Record::Term { term, voted_for: None },
         Record::Snapshot { index: last + AHEAD, term, bytes: duties.encode() },
     ];
     let bytes = records.map(|record| record.encode());
     let bytes: Vec<&[u8]> = bytes.iter().map(Vec::as_slice).collect();
     store.append(&bytes).and_then(|_| store.sync()).map_err(|error| error.to_string())?;
-    let next_token = duties.tokens() + 1;
+    let next_token = duties.last_token() + 1;
     Ok(Rescued { last_index: last, term, last_token, next_token, duties: duties.all().count() })
 }
--- a/crates/pearfront-cluster/src/settings.rs
+++ b/crates/pearfront-cluster/src/settings.rs
@@ -67,12 +67,13 @@
     /// Zones in the order in which they are to have it; those that are not named come after.
     pub zones: Vec<String>,
     /// How gladly this process has it, 0 before 1 and so on.
-    pub wish: u8,
+    #[serde(rename = "wish")]
+    pub preference: u8,
 }
 
 impl Default for DutySettings {
     fn default() -> Self {
-        Self { holders: 1, lease_ms: 10_000.0, zones: Vec::new(), wish: 0 }
+        Self { holders: 1, lease_ms: 10_000.0, zones: Vec::new(), preference: 0 }
     }
 }
 
@@ -216,13 +217,13 @@
             }
         }
         let log = self.log();
-        if log.election < 2.0 * log.beat {
+        if log.election < 2.0 * log.heartbeat {
             return Err(
                 "times.election_ms is below two of times.beat_ms: a lost beat would be an election".into()
             );
         }
         let core = self.core();
-        if core.suspicion < core.period {
+        if core.suspicion < core.probe_period {
             return Err("times.suspicion_ms is below times.period_ms: nobody could answer in it".into());
         }
         Ok(())
@@ -230,23 +231,23 @@
 
     pub(crate) fn log(&self) -> pearfront_consensus::Times {
         let (beat, election) = (self.beat_ms.unwrap_or(BEAT), self.election_ms.unwrap_or(ELECTION));
-        pearfront_consensus::Times { beat, election }
+        pearfront_consensus::Times { heartbeat: beat, election }
     }
 
     pub(crate) fn duties(&self) -> pearfront_duties::Times {
         let usual = pearfront_duties::Times::default();
-        pearfront_duties::Times { steady: self.steady_ms.unwrap_or(usual.steady), ..usual }
+        pearfront_duties::Times { stability: self.steady_ms.unwrap_or(usual.stability), ..usual }
     }
 
     pub(crate) fn core(&self) -> pearfront_membership::Times {
         let usual = pearfront_membership::Times::default();
         pearfront_membership::Times {
-            period: self.period_ms.unwrap_or(usual.period),
-            answer: self.answer_ms.unwrap_or(usual.answer),
+            probe_period: self.period_ms.unwrap_or(usual.probe_period),
+            probe_timeout: self.answer_ms.unwrap_or(usual.probe_timeout),
             suspicion: self.suspicion_ms.unwrap_or(usual.suspicion),
-            compare: self.compare_ms.unwrap_or(usual.compare),
-            ask_again: self.ask_again_ms.unwrap_or(usual.ask_again),
-            remember: self.remember_ms.unwrap_or(usual.remember),
+            sync_interval: self.compare_ms.unwrap_or(usual.sync_interval),
+            reconnect_interval: self.ask_again_ms.unwrap_or(usual.reconnect_interval),
+            retention: self.remember_ms.unwrap_or(usual.retention),
         }
     }
 }
--- a/crates/pearfront-consensus/src/elect.rs
+++ b/crates/pearfront-consensus/src/elect.rs
@@ -7,7 +7,7 @@
     /// No leader was heard for long: asks first whether it could be one, so that a term is not spent in vain.
     pub(crate) fn stand(&mut self, now: f64) {
         self.stand_later(now);
-        if !self.stands() {
+        if !self.may_stand() {
             return;
         }
         self.role = Role::PreCandidate;
@@ -52,14 +52,14 @@
     }
 
     pub(crate) fn vote(&mut self, from: &str, term: u64, last: Place, now: f64) {
-        let free = self.voted.is_none() || self.voted.as_deref() == Some(from);
+        let free = self.voted_for.is_none() || self.voted_for.as_deref() == Some(from);
         let granted = term == self.term
             && free
             && last >= self.last()
             && self.proof.allows(last, term)
             && self.role == Role::Follower;
         if granted {
-            if self.voted.is_none() {
+            if self.voted_for.is_none() {
                 self.set_term(term, Some(from.into()));
             }
             self.stand_later(now);
--- a/crates/pearfront-consensus/src/lib.rs
+++ b/crates/pearfront-consensus/src/lib.rs
@@ -12,6 +12,6 @@
 mod times;
 mod voter;
 
-pub use message::{Entry, Message, Record, decode, decode_record, pack, unpack};
+pub use message::{Entry, Message, Record, decode, decode_record, decode_records, encode_records};
 pub use times::Times;
-pub use voter::{Kept, Out, Role, Voter, recover};
+pub use voter::{Action, PersistentState, Role, Voter, recover};
--- a/crates/pearfront-consensus/src/message.rs
+++ b/crates/pearfront-consensus/src/message.rs
@@ -96,11 +96,11 @@
     /// The term, and for whom it voted in it.
     Term {
         term: u64,
-        voted: Option<String>,
+        voted_for: Option<String>,
     },
     Entry(Entry),
     /// All entries from this index on are void.
-    Cut {
+    Truncate {
         from: u64,
     },
     /// All up to there is in this; entries up to it are void.
@@ -122,7 +122,7 @@
 }
 
 /// Records in one piece, for a store that puts all it has into a snapshot.
-pub fn pack(records: &[Record]) -> Vec<u8> {
+pub fn encode_records(records: &[Record]) -> Vec<u8> {
     let mut bytes = Vec::new();
     for record in records {
         let record = record.encode();
@@ -133,7 +133,7 @@
 }
 
 /// The records of such a piece.
-pub fn unpack(bytes: &[u8]) -> Vec<Record> {
+pub fn decode_records(bytes: &[u8]) -> Vec<Record> {
     let (mut records, mut rest) = (Vec::new(), bytes);
     while let Some((length, more)) = rest.split_first_chunk::<4>() {
         let (one, more) = more.split_at((u32::from_le_bytes(*length) as usize).min(more.len()));
--- a/crates/pearfront-consensus/src/proof.rs
+++ b/crates/pearfront-consensus/src/proof.rs
@@ -85,9 +85,9 @@
             return;
         }
         // It may have voted in this term before it forgot: its vote is the leader's, who has won it already.
-        let (term, voted) = (self.term, Some(leader.to_string()));
-        if self.voted != voted {
-            self.set_term(term, voted);
+        let (term, voted_for) = (self.term, Some(leader.to_string()));
+        if self.voted_for != voted_for {
+            self.set_term(term, voted_for);
         }
         self.proof = Proof::Given;
     }
--- a/crates/pearfront-consensus/src/replicate.rs
+++ b/crates/pearfront-consensus/src/replicate.rs
@@ -2,7 +2,7 @@
 
 use crate::message::{Body, Entry, Place};
 use crate::times::{BYTES, ENTRIES, PIECE};
-use crate::voter::{Out, Read, Role, Voter};
+use crate::voter::{Action, PendingRead, Role, Voter};
 
 impl Voter {
     // ---- leader ----
@@ -19,14 +19,14 @@
     }
 
     /// Asks for the index that a linearizable read has to see: `Out::Read` or `Out::NoRead` answers.
-    pub fn read(&mut self, read: u64, now: f64) {
+    pub fn request_read(&mut self, read_id: u64, now: f64) {
         if self.role != Role::Leader {
-            return self.tell(Out::NoRead { read });
+            return self.tell(Action::ReadFailed { read_id });
         }
         // Before its first own entry is committed it may not know of all that is.
         let index = self.commit.max(self.first_of_term());
         self.round += 1;
-        self.reads.push(Read { read, index, round: self.round });
+        self.reads.push(PendingRead { id: read_id, index, round: self.round });
         self.replicate(now);
     }
 
@@ -45,7 +45,7 @@
             let term = self.term;
             return self.follow(term, None, now);
         }
-        self.beat_at = now + self.times.beat;
+        self.beat_at = now + self.times.heartbeat;
         self.round += 1;
         self.replicate(now);
     }
@@ -137,11 +137,11 @@
         rounds.sort_unstable_by(|a, b| b.cmp(a));
         let answered = rounds[self.majority() - 2];
         let commit = self.commit;
-        let (go, wait): (Vec<Read>, Vec<Read>) = std::mem::take(&mut self.reads)
+        let (go, wait): (Vec<PendingRead>, Vec<PendingRead>) = std::mem::take(&mut self.reads)
             .into_iter()
             .partition(|read| read.round <= answered && read.index <= commit);
         self.reads = wait;
-        go.into_iter().for_each(|read| self.tell(Out::Read { read: read.read, index: read.index }));
+        go.into_iter().for_each(|read| self.tell(Action::ReadReady { read_id: read.id, index: read.index }));
     }
 
     // ---- follower ----
--- a/crates/pearfront-consensus/src/times.rs
+++ b/crates/pearfront-consensus/src/times.rs
@@ -3,7 +3,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Times {
     /// A leader tells that it is there in this time.
-    pub beat: f64,
+    pub heartbeat: f64,
     /// A voter that heard no leader for so long, up to twice as long by chance, asks whether it could be one. Five beats:
     /// a lost one or two change nothing.
     pub election: f64,
@@ -11,7 +11,7 @@
 
 impl Default for Times {
     fn default() -> Self {
-        Self { beat: 60.0, election: 300.0 }
+        Self { heartbeat: 60.0, election: 300.0 }
     }
 }
 
--- a/crates/pearfront-consensus/src/voter.rs
+++ b/crates/pearfront-consensus/src/voter.rs
@@ -10,18 +10,18 @@
 
 /// What a voter had on disk.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Kept {
+pub struct PersistentState {
     pub term: u64,
-    pub voted: Option<String>,
+    pub voted_for: Option<String>,
     pub snapshot: Option<(u64, u64, Vec<u8>)>,
     pub entries: Vec<Entry>,
 }
 
-impl Kept {
+impl PersistentState {
     /// As few records as bring it back.
-    pub fn records(self) -> Vec<Record> {
-        let Self { term, voted, snapshot, entries } = self;
-        let mut all = vec![Record::Term { term, voted }];
+    pub fn into_records(self) -> Vec<Record> {
+        let Self { term, voted_for, snapshot, entries } = self;
+        let mut all = vec![Record::Term { term, voted_for }];
         all.extend(snapshot.map(|(index, term, bytes)| Record::Snapshot { index, term, bytes }));
         all.extend(entries.into_iter().map(Record::Entry));
         all
@@ -29,13 +29,13 @@
 }
 
 /// Puts records together again, in their order.
-pub fn recover(records: impl IntoIterator<Item = Record>) -> Kept {
-    let mut kept = Kept::default();
+pub fn recover(records: impl IntoIterator<Item = Record>) -> PersistentState {
+    let mut kept = PersistentState::default();
     for record in records {
         match record {
-            Record::Term { term, voted } => (kept.term, kept.voted) = (term, voted),
+            Record::Term { term, voted_for } => (kept.term, kept.voted_for) = (term, voted_for),
             Record::Entry(entry) => kept.entries.push(entry),
-            Record::Cut { from } => kept.entries.retain(|entry| entry.index < from),
+            Record::Truncate { from } => kept.entries.retain(|entry| entry.index < from),
             Record::Snapshot { index, term, bytes } => {
                 kept.entries.retain(|entry| entry.index > index);
                 kept.snapshot = Some((index, term, bytes));
@@ -56,7 +56,7 @@
 
 /// What is to be done outside, in this order.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Out {
+pub enum Action {
     /// Store and sync these; then `stored` with this number. Numbers rise by one.
     Store {
         number: u64,
@@ -71,13 +71,13 @@
         bytes: Rc<Vec<u8>>,
     },
     /// That read may be answered once everything up to there is applied.
-    Read {
-        read: u64,
+    ReadReady {
+        read_id: u64,
         index: u64,
     },
     /// That read can't be answered here.
-    NoRead {
-        read: u64,
+    ReadFailed {
+        read_id: u64,
     },
 }
 
@@ -96,8 +96,8 @@
 }
 
 #[derive(Debug, Clone)]
-pub(crate) struct Read {
-    pub read: u64,
+pub(crate) struct PendingRead {
+    pub id: u64,
     pub index: u64,
     pub round: u64,
 }
@@ -109,7 +109,7 @@
     pub(crate) times: Times,
     pub(crate) chance: ChaCha8Rng,
     pub(crate) term: u64,
-    pub(crate) voted: Option<String>,
+    pub(crate) voted_for: Option<String>,
     pub(crate) log: VecDeque<Entry>,
     /// The last entry that is in the snapshot, and not in the log.
     pub(crate) base: Place,
@@ -124,11 +124,11 @@
     pub(crate) beat_at: f64,
     pub(crate) round: u64,
     pub(crate) known: BTreeMap<String, Other>,
-    pub(crate) reads: Vec<Read>,
+    pub(crate) reads: Vec<PendingRead>,
     pub(crate) proof: Proof,
     /// Snapshot that comes in, by its last index.
     pub(crate) coming: Option<(Place, Vec<u8>)>,
-    out: Vec<Out>,
+    out: Vec<Action>,
     writing: Vec<Record>,
     /// Number of the last group given out to be stored, and of the last that is.
     written: u64,
@@ -142,8 +142,15 @@
 
 impl Voter {
     /// A voter as its disk had it. It takes part in votes only after the others have told what they know of it.
-    pub fn new(me: &str, voters: &[String], kept: Kept, times: Times, seed: u64, now: f64) -> Self {
-        let fresh = kept == Kept::default();
+    pub fn new(
+        me: &str,
+        voters: &[String],
+        kept: PersistentState,
+        times: Times,
+        seed: u64,
+        now: f64,
+    ) -> Self {
+        let fresh = kept == PersistentState::default();
         let base = kept
             .snapshot
             .as_ref()
@@ -155,7 +162,7 @@
             times,
             chance: ChaCha8Rng::seed_from_u64(seed),
             term: kept.term,
-            voted: kept.voted,
+            voted_for: kept.voted_for,
             log: kept.entries.into(),
             base,
             snapshot: kept.snapshot.map(|(.., bytes)| Rc::new(bytes)),
@@ -181,7 +188,7 @@
         };
         voter.own_stored = voter.last().index;
         if let Some(bytes) = voter.snapshot.clone() {
-            voter.out.push(Out::Restore { index: base.index, bytes });
+            voter.out.push(Action::Restore { index: base.index, bytes });
         }
         voter.stand_later(now);
         voter
@@ -202,17 +209,17 @@
         self.leader.as_deref()
     }
 
-    pub fn commit(&self) -> u64 {
+    pub fn commit_index(&self) -> u64 {
         self.commit
     }
 
     /// May it stand? Not before the others have told how far they are, nor while it has less.
-    pub fn stands(&self) -> bool {
+    pub fn may_stand(&self) -> bool {
         self.proof.allows(self.last(), self.term + 1)
     }
 
     /// Does it lead, and has it committed in its own term? Then it has all that was ever committed.
-    pub fn settled(&self) -> bool {
+    pub fn has_committed_in_term(&self) -> bool {
         self.role == Role::Leader && self.place(self.commit).is_some_and(|place| place.term == self.term)
     }
 
@@ -240,14 +247,14 @@
 
     /// Everything that decides what it does next, times as they are to now: two voters with the same do the same but for
     /// chance. For checks that go through all that may happen.
-    pub fn shown(&self, now: f64) -> String {
-        let beats = |since: f64| ((now - since) / self.times.beat).min(1000.0) as i64;
+    pub fn fingerprint(&self, now: f64) -> String {
+        let beats = |since: f64| ((now - since) / self.times.heartbeat).min(1000.0) as i64;
         let known: Vec<_> = self
             .known
             .iter()
             .map(|(name, one)| (name, one.stored, one.next, one.round, one.piece, beats(one.heard)))
             .collect();
-        let own = (self.term, &self.voted, self.role, &self.leader, self.commit, self.hears_leader(now));
+        let own = (self.term, &self.voted_for, self.role, &self.leader, self.commit, self.hears_leader(now));
         let log = (&self.log, self.base, self.own_stored, &self.votes, self.round, &self.reads);
         let disk = (self.written, self.stored, &self.held, &self.brought, &self.writing, &self.coming);
         format!("{own:?}{log:?}{known:?}{disk:?}{:?}", self.proof)
@@ -255,16 +262,16 @@
 
     /// When it wants to be called at the latest, ms.
     pub fn due(&self) -> f64 {
-        let beat = if self.role == Role::Leader { self.beat_at } else { f64::INFINITY };
-        beat.min(self.stand_at).min(self.proof.due())
+        let heartbeat = if self.role == Role::Leader { self.beat_at } else { f64::INFINITY };
+        heartbeat.min(self.stand_at).min(self.proof.due())
     }
 
     /// What has to be done outside now.
-    pub fn take_out(&mut self) -> Vec<Out> {
+    pub fn take_actions(&mut self) -> Vec<Action> {
         if !self.writing.is_empty() {
             let records = std::mem::take(&mut self.writing);
             self.written += 1;
-            self.out.push(Out::Store { number: self.written, records });
+            self.out.push(Action::Store { number: self.written, records });
         }
         std::mem::take(&mut self.out)
     }
@@ -282,16 +289,16 @@
 
     /// That voter's process has ended, for certain: if it led nobody has to wait for it. Times decide nothing but when
     /// somebody stands, so a proof that were none would cost an election and no more.
-    pub fn ended(&mut self, name: &str, now: f64) {
+    pub fn process_ended(&mut self, name: &str, now: f64) {
         if self.leader.as_deref() == Some(name) && self.role != Role::Leader {
             self.leader = None;
             self.heard = f64::NEG_INFINITY;
-            self.stand_at = now + self.times.beat * self.chance.random::<f64>();
+            self.stand_at = now + self.times.heartbeat * self.chance.random::<f64>();
         }
     }
 
     /// A group of records is stored and synced.
-    pub fn stored(&mut self, number: u64, now: f64) {
+    pub fn on_stored(&mut self, number: u64, now: f64) {
         self.stored = self.stored.max(number);
         while let Some((_, index)) = self.brought.front().filter(|(group, _)| *group <= self.stored) {
             // It may have been cut since.
@@ -300,7 +307,7 @@
         }
         while self.held.front().is_some_and(|(group, _)| *group <= self.stored) {
             if let Some((_, message)) = self.held.pop_front() {
-                self.out.push(Out::Send(message));
+                self.out.push(Action::Send(message));
             }
         }
         if self.role == Role::Leader {
@@ -309,7 +316,7 @@
     }
 
     /// A message came. One of another installation's voters is none of ours.
-    pub fn heard(&mut self, message: Message, now: f64) {
+    pub fn receive(&mut self, message: Message, now: f64) {
         if message.to != self.me || !self.others.contains(&message.from) {
             return;
         }
@@ -368,7 +375,7 @@
             self.role = Role::Follower;
             self.votes.clear();
             let reads = std::mem::take(&mut self.reads);
-            self.out.extend(reads.into_iter().map(|read| Out::NoRead { read: read.read }));
+            self.out.extend(reads.into_iter().map(|read| Action::ReadFailed { read_id: read.id }));
             self.stand_later(now);
         }
         if leader.is_some() {
@@ -378,12 +385,12 @@
         self.leader = leader;
     }
 
-    pub(crate) fn set_term(&mut self, term: u64, voted: Option<String>) {
+    pub(crate) fn set_term(&mut self, term: u64, voted_for: Option<String>) {
         self.term = term;
-        self.voted.clone_from(&voted);
+        self.voted_for.clone_from(&voted_for);
         // What was promised in a term that is over need not be said any more.
         self.held.retain(|(_, message)| message.term >= term);
-        self.writing.push(Record::Term { term, voted });
+        self.writing.push(Record::Term { term, voted_for });
     }
 
     pub(crate) fn hears_leader(&self, now: f64) -> bool {
@@ -408,7 +415,7 @@
 
     /// Everything from that index on goes.
     pub(crate) fn cut(&mut self, from: u64) {
-        self.writing.push(Record::Cut { from });
+        self.writing.push(Record::Truncate { from });
         while self.log.back().is_some_and(|entry| entry.index >= from) {
             self.log.pop_back();
         }
@@ -422,13 +429,13 @@
             self.commit += 1;
             let place = (self.commit - self.base.index - 1) as usize;
             if let Some(entry) = self.log.get(place) {
-                self.out.push(Out::Commit(entry.clone()));
+                self.out.push(Action::Commit(entry.clone()));
             }
         }
     }
 
     /// What was committed up to there is in this, from whoever applies it: the log before it goes.
-    pub fn snapshot(&mut self, index: u64, bytes: Vec<u8>) {
+    pub fn compact(&mut self, index: u64, bytes: Vec<u8>) {
         let Some(place) = self.place(index).filter(|_| index > self.base.index && index <= self.commit)
         else {
             return;
@@ -447,7 +454,7 @@
 
     pub(crate) fn restored(&mut self, bytes: Rc<Vec<u8>>) {
         self.commit = self.base.index;
-        self.out.push(Out::Restore { index: self.base.index, bytes });
+        self.out.push(Action::Restore { index: self.base.index, bytes });
     }
 
     // ---- sending ----
@@ -458,7 +465,7 @@
 
     pub(crate) fn send(&mut self, to: &str, body: Body) {
         let message = self.message(to, body);
-        self.out.push(Out::Send(message));
+        self.out.push(Action::Send(message));
     }
 
     /// Sent once all that was written so far is on disk: it is a promise.
@@ -466,13 +473,13 @@
         let message = self.message(to, body);
         let waits = if self.writing.is_empty() { self.written } else { self.written + 1 };
         if waits <= self.stored {
-            self.out.push(Out::Send(message))
+            self.out.push(Action::Send(message))
         } else {
             self.held.push_back((waits, message))
         }
     }
 
-    pub(crate) fn tell(&mut self, out: Out) {
+    pub(crate) fn tell(&mut self, out: Action) {
         self.out.push(out);
     }
 }
--- a/crates/pearfront-duties/src/agent.rs
+++ b/crates/pearfront-duties/src/agent.rs
@@ -1,14 +1,16 @@
 //! The holder's side: what this process wants, what it holds, and until when it may act. It counts a lease from before it
 //! asked, and of that a part only (`SHARE`), so it has stopped before anyone else may begin, also when it is told nothing.
 
-use crate::message::{Answer, Ask, Held, Listed, Order, Over, Told, Waits, Want};
-use crate::state::Who;
-use crate::times::{ASKS, LEASE, MOST_WANTS, REMEMBERED, SHARE, Times};
+use crate::message::{
+    DutyInfo, HeldLease, LeaseRequest, LeaseResponse, Order, Release, ResponseBody, WaitStatus, Want,
+};
+use crate::state::ProcessId;
+use crate::times::{ASKS, LEASE, MAX_WANTS, REMEMBERED, Times, USABLE_LEASE_SHARE};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Why it stopped acting.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Why {
+pub enum StopReason {
     /// It gave the duty up.
     Given,
     /// Its lease ran out before a voter renewed it.
@@ -18,13 +20,13 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum Out {
+pub enum Action {
     Send {
         to: String,
-        ask: Ask,
+        request: LeaseRequest,
     },
     /// It may act, up to then if nothing renews it.
-    Began {
+    Acquired {
         duty: String,
         token: u64,
         until: f64,
@@ -37,14 +39,14 @@
     Stopped {
         duty: String,
         token: u64,
-        why: Why,
+        reason: StopReason,
     },
-    Listed(Vec<Listed>),
-    Ordered(Vec<String>),
+    List(Vec<DutyInfo>),
+    OrderResults(Vec<String>),
 }
 
 /// One duty that it holds, or is about to be done with.
-struct Grip {
+struct LocalLease {
     token: u64,
     lease: f64,
     until: f64,
@@ -54,7 +56,7 @@
     /// It is done with it, and said so: did it end well?
     over: Option<bool>,
     /// Since when nothing comes of its acts.
-    undone: Option<f64>,
+    failing: Option<f64>,
 }
 
 struct Sent {
@@ -65,12 +67,12 @@
 }
 
 pub struct Agent {
-    me: Who,
+    me: ProcessId,
     voters: Vec<String>,
     times: Times,
     wants: BTreeMap<String, Want>,
-    grips: BTreeMap<String, Grip>,
-    waits: BTreeMap<String, Waits>,
+    grips: BTreeMap<String, LocalLease>,
+    waits: BTreeMap<String, WaitStatus>,
     /// Tokens that are over, by duty: none of them is ever begun again, whatever message comes late.
     over: BTreeMap<String, u64>,
     orders: Vec<Order>,
@@ -88,11 +90,11 @@
     sent_on: u32,
     ask_at: f64,
     answer_by: f64,
-    out: Vec<Out>,
+    out: Vec<Action>,
 }
 
 impl Agent {
-    pub fn new(me: Who, voters: &[String], times: Times) -> Self {
+    pub fn new(me: ProcessId, voters: &[String], times: Times) -> Self {
         // Not all begin with the same voter.
         let turn = me.life as usize % voters.len().max(1);
         Self {
@@ -122,7 +124,7 @@
 
     /// Wants a duty from now on, or wants it otherwise.
     pub fn want(&mut self, want: Want, now: f64) {
-        let full = self.wants.len() >= MOST_WANTS && !self.wants.contains_key(&want.duty);
+        let full = self.wants.len() >= MAX_WANTS && !self.wants.contains_key(&want.duty);
         if full || self.wants.get(&want.duty) == Some(&want) {
             return;
         }
@@ -141,32 +143,32 @@
     }
 
     /// Is done with what it holds: from this call on it does not act.
-    pub fn give_up(&mut self, duty: &str, well: bool, now: f64) {
+    pub fn give_up(&mut self, duty: &str, succeeded: bool, now: f64) {
         let Some(grip) = self.grips.get_mut(duty).filter(|grip| grip.over.is_none()) else { return };
-        grip.over = Some(well);
+        grip.over = Some(succeeded);
         let (token, acted) = (grip.token, std::mem::replace(&mut grip.acting, false));
         if acted {
-            self.out.push(Out::Stopped { duty: duty.into(), token, why: Why::Given });
+            self.out.push(Action::Stopped { duty: duty.into(), token, reason: StopReason::Given });
         }
         self.ask_at = now;
     }
 
     /// Something came of an act, or not: a duty that is held and not done goes to another.
-    pub fn acted(&mut self, duty: &str, done: bool, now: f64) {
+    pub fn record_outcome(&mut self, duty: &str, done: bool, now: f64) {
         if let Some(grip) = self.grips.get_mut(duty) {
-            grip.undone = if done { None } else { Some(grip.undone.unwrap_or(now)) };
+            grip.failing = if done { None } else { Some(grip.failing.unwrap_or(now)) };
         }
     }
 
     pub fn order(&mut self, order: Order, now: f64) {
-        if self.orders.len() < MOST_WANTS {
+        if self.orders.len() < MAX_WANTS {
             self.orders.push(order);
             self.ask_at = now;
         }
     }
 
     /// Asks for all duties.
-    pub fn ask_for_list(&mut self, now: f64) {
+    pub fn request_list(&mut self, now: f64) {
         self.list = true;
         self.ask_at = now;
     }
@@ -180,7 +182,7 @@
     }
 
     /// Is it told to leave that duty?
-    pub fn leaves(&self, duty: &str) -> bool {
+    pub fn must_leave(&self, duty: &str) -> bool {
         self.grips.get(duty).is_some_and(|grip| grip.leaving)
     }
 
@@ -195,7 +197,7 @@
     }
 
     /// Who has a duty that it waits for, as it was last told.
-    pub fn waits(&self, duty: &str) -> Option<&Waits> {
+    pub fn wait_status(&self, duty: &str) -> Option<&WaitStatus> {
         self.waits.get(duty)
     }
 
@@ -206,13 +208,13 @@
     /// When it wants to be called at the latest, ms.
     pub fn due(&self) -> f64 {
         let ends = self.grips.values().filter(|grip| grip.acting).map(|grip| {
-            let undone = grip.undone.map_or(f64::INFINITY, |since| since + self.times.undone);
-            grip.until.min(undone)
+            let failing = grip.failing.map_or(f64::INFINITY, |since| since + self.times.max_failing);
+            grip.until.min(failing)
         });
         ends.fold(self.ask_at.min(self.answer_by), f64::min)
     }
 
-    pub fn take_out(&mut self) -> Vec<Out> {
+    pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.out)
     }
 
@@ -222,14 +224,19 @@
         for (duty, grip) in &mut self.grips {
             if grip.acting && grip.until <= now {
                 grip.acting = false;
-                self.out.push(Out::Stopped { duty: duty.clone(), token: grip.token, why: Why::Lapsed });
+                self.out.push(Action::Stopped {
+                    duty: duty.clone(),
+                    token: grip.token,
+                    reason: StopReason::Lapsed,
+                });
             }
         }
-        let after = self.times.undone;
-        let undone = |grip: &Grip| grip.acting && grip.undone.is_some_and(|since| now >= since + after);
-        let undone: Vec<String> =
-            self.grips.iter().filter(|(_, grip)| undone(grip)).map(|(duty, _)| duty.clone()).collect();
-        undone.iter().for_each(|duty| self.give_up(duty, false, now));
+        let after = self.times.max_failing;
+        let failing =
+            |grip: &LocalLease| grip.acting && grip.failing.is_some_and(|since| now >= since + after);
+        let failing: Vec<String> =
+            self.grips.iter().filter(|(_, grip)| failing(grip)).map(|(duty, _)| duty.clone()).collect();
+        failing.iter().for_each(|duty| self.give_up(duty, false, now));
         if now >= self.answer_by {
             self.leader = None;
             self.turn += 1;
@@ -252,9 +259,9 @@
         let live = self.grips.iter().filter(|(_, grip)| grip.over.is_none());
         let holds: Vec<(String, u64)> = live.map(|(duty, grip)| (duty.clone(), grip.token)).collect();
         let over = self.grips.iter().filter_map(|(duty, grip)| {
-            grip.over.map(|well| Over { duty: duty.clone(), token: grip.token, well })
+            grip.over.map(|succeeded| Release { duty: duty.clone(), token: grip.token, succeeded })
         });
-        let ask = Ask {
+        let ask = LeaseRequest {
             from: self.me.clone(),
             number: self.number,
             answered: self.answered,
@@ -271,30 +278,30 @@
             self.sent.pop_front();
         }
         self.sent.push_back(sent);
-        self.answer_by = now + self.times.answer;
+        self.answer_by = now + self.times.response_timeout;
         let turn = self.turn % self.voters.len();
         let to = self.leader.clone().unwrap_or_else(|| self.voters[turn].clone());
-        self.out.push(Out::Send { to, ask });
+        self.out.push(Action::Send { to, request: ask });
     }
 
     // ---- what the voters say ----
 
-    pub fn heard(&mut self, told: Told, now: f64) {
+    pub fn receive(&mut self, told: LeaseResponse, now: f64) {
         let known = self.sent.iter().position(|sent| sent.number == told.number);
         let Some(place) = known.filter(|_| told.to == self.me && told.number >= self.answered) else {
             return;
         };
-        match told.answer {
-            Answer::Elsewhere { leader } => {
+        match told.body {
+            ResponseBody::NotLeader { leader } => {
                 if told.number == self.number {
                     self.elsewhere(&told.from, leader, now);
                 }
             }
-            Answer::Granted(held) => {
+            ResponseBody::Granted(held) => {
                 let at = self.sent[place].at;
                 self.holds(held, at, now);
             }
-            Answer::Stands { held, waits, list, orders } => {
+            ResponseBody::Status { held, waits, list, orders } => {
                 self.answered = told.number;
                 self.less = self.less.filter(|said| said.is_none_or(|said| said > told.number));
                 self.leader = Some(told.from);
@@ -309,11 +316,11 @@
                 if done > 0 {
                     self.orders.drain(..done);
                     self.sent.iter_mut().for_each(|sent| sent.orders = 0);
-                    self.out.push(Out::Ordered(orders));
+                    self.out.push(Action::OrderResults(orders));
                 }
                 if let Some(list) = list {
                     self.list = false;
-                    self.out.push(Out::Listed(list));
+                    self.out.push(Action::List(list));
                 }
             }
         }
@@ -327,7 +334,7 @@
             self.turn += 1;
         }
         // The first hint is followed at once; two that name each other must not be asked in circles.
-        let pause = if self.leader.is_some() && self.sent_on == 1 { 0.0 } else { self.times.again };
+        let pause = if self.leader.is_some() && self.sent_on == 1 { 0.0 } else { self.times.retry_delay };
         self.ask_at = now + pause;
     }
 
@@ -337,7 +344,7 @@
         leases.chain(self.grips.values().map(|grip| grip.lease)).fold(LEASE.1, f64::min) / ASKS
     }
 
-    fn stands(&mut self, place: usize, held: Vec<Held>, now: f64) {
+    fn stands(&mut self, place: usize, held: Vec<HeldLease>, now: f64) {
         let (at, said) = (self.sent[place].at, std::mem::take(&mut self.sent[place].holds));
         let named: Vec<u64> = held.iter().map(|held| held.token).collect();
         held.into_iter().for_each(|held| self.holds(held, at, now));
@@ -350,7 +357,7 @@
     fn lost(&mut self, duty: &str, token: u64) {
         let Some(grip) = self.grips.get(duty).filter(|grip| grip.token == token) else { return };
         if grip.acting {
-            self.out.push(Out::Stopped { duty: duty.into(), token, why: Why::Lost });
+            self.out.push(Action::Stopped { duty: duty.into(), token, reason: StopReason::Lost });
         }
         self.grips.remove(duty);
         self.forget(duty, token);
@@ -360,15 +367,15 @@
         let over = self.over.entry(duty.into()).or_default();
         *over = token.max(*over);
         // The oldest say least: a message from before them was answered long ago.
-        if self.over.len() > 2 * MOST_WANTS {
+        if self.over.len() > 2 * MAX_WANTS {
             let oldest = self.over.iter().min_by_key(|(_, token)| **token).map(|(duty, _)| duty.clone());
             oldest.and_then(|duty| self.over.remove(&duty));
         }
     }
 
     /// A voter says that it holds this, at a time after `sent`.
-    fn holds(&mut self, held: Held, sent: f64, now: f64) {
-        let Held { duty, token, lease, renewed, give_up } = held;
+    fn holds(&mut self, held: HeldLease, sent: f64, now: f64) {
+        let HeldLease { duty, token, lease, renewed, give_up } = held;
         if self.over.get(&duty).is_some_and(|over| token <= *over) {
             return;
         }
@@ -377,18 +384,18 @@
             Some(other) if other < token => self.lost(&duty, other),
             _ => {}
         }
-        let new = Grip {
+        let new = LocalLease {
             token,
             lease,
             until: f64::NEG_INFINITY,
             acting: false,
             leaving: false,
             over: None,
-            undone: None,
+            failing: None,
         };
         let grip = self.grips.entry(duty.clone()).or_insert(new);
         if renewed {
-            grip.until = grip.until.max(sent + lease * SHARE);
+            grip.until = grip.until.max(sent + lease * USABLE_LEASE_SHARE);
         }
         if grip.over.is_some() {
             return;
@@ -400,11 +407,11 @@
             return self.give_up(&duty, false, now);
         }
         if told_to_leave {
-            self.out.push(Out::Leave { duty: duty.clone(), token });
+            self.out.push(Action::Leave { duty: duty.clone(), token });
         }
         if !acting && now < until {
             grip.acting = true;
-            self.out.push(Out::Began { duty, token, until });
+            self.out.push(Action::Acquired { duty, token, until });
         }
     }
 }
--- a/crates/pearfront-duties/src/desk.rs
+++ b/crates/pearfront-duties/src/lease_manager.rs
@@ -2,22 +2,25 @@
 //! renewal costs a round among the voters and no write: a new leader counts every lease anew, from after its election,
 //! and so never shorter than any leader before it has promised.
 
-use crate::message::{Answer, Ask, Held, Listed, Order, Over, Standing, Taken, Told, Waits, Want};
-use crate::state::{Change, Command, Duties, Entry, Grantee, Holder, Who};
+use crate::message::{
+    DutyInfo, HeldLease, HolderInfo, LeaseRequest, LeaseResponse, Order, Rank, Release, ResponseBody,
+    WaitStatus, Want,
+};
+use crate::state::{Change, Command, Duties, Entry, Grantee, Holder, ProcessId};
 use crate::times::{ASKS, DEAF, Times};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum Out {
+pub enum Action {
     /// Ask the log for a linearizable read of that number; `read` then says what came of it.
     Read(u64),
     Propose(Vec<u8>),
-    Tell(Told),
+    Respond(LeaseResponse),
 }
 
 /// One that wants a duty.
 struct Candidate {
-    who: Who,
+    who: ProcessId,
     want: Want,
     /// Its last ask that came.
     number: u64,
@@ -31,7 +34,7 @@
 /// A grant that was proposed.
 struct Granting {
     duty: String,
-    who: Who,
+    who: ProcessId,
     /// The asker's ask that had come by then. Its lease counts from that one: a later ask may come while this leader does
     /// not know yet that another was elected, which counts from its election.
     number: u64,
@@ -65,30 +68,30 @@
     taken: BTreeMap<(String, String), f64>,
     /// The first answer to each process that it has not said it heard.
     unheard: BTreeMap<String, Unheard>,
-    collecting: Vec<Ask>,
-    reading: Option<(u64, Vec<Ask>)>,
+    collecting: Vec<LeaseRequest>,
+    reading: Option<(u64, Vec<LeaseRequest>)>,
 }
 
-pub struct Desk {
+pub struct LeaseManager {
     me: String,
     times: Times,
     /// The log's time, and when that was here.
     clock: (f64, f64),
     reads: u64,
     lead: Option<Lead>,
-    out: Vec<Out>,
+    out: Vec<Action>,
 }
 
-impl Desk {
+impl LeaseManager {
     pub fn new(me: &str, times: Times) -> Self {
         Self { me: me.into(), times, clock: (0.0, 0.0), reads: 0, lead: None, out: Vec::new() }
     }
 
-    pub fn take_out(&mut self) -> Vec<Out> {
+    pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.out)
     }
 
-    pub fn leading(&self) -> bool {
+    pub fn is_leading(&self) -> bool {
         self.lead.is_some()
     }
 
@@ -99,13 +102,13 @@
     // ---- the log ----
 
     /// This voter leads in that term and has applied all that was committed before it, or it does not lead.
-    pub fn leads(&mut self, term: Option<u64>, duties: &Duties, now: f64) {
+    pub fn set_leadership(&mut self, term: Option<u64>, duties: &Duties, now: f64) {
         if self.lead.as_ref().map(|lead| lead.term) == term {
             return;
         }
         if let Some(lead) = self.lead.take() {
-            let reading = lead.reading.into_iter().flat_map(|(_, asks)| asks);
-            reading.chain(lead.collecting).for_each(|ask| self.elsewhere(&ask, None));
+            let reading = lead.reading.into_iter().flat_map(|(_, requests)| requests);
+            reading.chain(lead.collecting).for_each(|request| self.elsewhere(&request, None));
         }
         let Some(term) = term else { return };
         let holders = duties.all().flat_map(|(name, duty)| duty.holders.iter().map(move |one| (name, one)));
@@ -127,13 +130,13 @@
 
     /// A snapshot has taken the place of what was applied.
     pub fn restored(&mut self, duties: &Duties, now: f64) {
-        self.clock = (duties.at(), now);
+        self.clock = (duties.log_time(), now);
     }
 
     /// An entry was applied, and these came of it.
     pub fn applied(&mut self, changes: Vec<Change>, duties: &Duties, now: f64) {
-        if duties.at() > self.clock.0 {
-            self.clock = (duties.at(), now);
+        if duties.log_time() > self.clock.0 {
+            self.clock = (duties.log_time(), now);
         }
         for change in changes {
             match change {
@@ -156,7 +159,7 @@
         }
     }
 
-    fn no_more_granting(&mut self, duty: &str, who: &Who) -> Option<u64> {
+    fn no_more_granting(&mut self, duty: &str, who: &ProcessId) -> Option<u64> {
         let lead = self.lead.as_mut()?;
         let place = lead.granting.iter().position(|one| one.duty == duty && one.who == *who)?;
         Some(lead.granting.remove(place).number)
@@ -168,32 +171,32 @@
         lead.until.insert(holder.token, (duty.clone(), now + holder.lease));
         if let Some(number) = number {
             let (token, lease) = (holder.token, holder.lease);
-            let held = Held { duty, token, lease, renewed: true, give_up: false };
-            self.tell(&holder.who, number, Answer::Granted(held));
+            let held = HeldLease { duty, token, lease, renewed: true, give_up: false };
+            self.tell(&holder.who, number, ResponseBody::Granted(held));
         }
     }
 
     fn propose(&mut self, command: Command, now: f64) {
         let entry = Entry { at: self.log_now(now), command };
-        self.out.push(Out::Propose(entry.encode()));
+        self.out.push(Action::Propose(entry.encode()));
     }
 
-    fn tell(&mut self, to: &Who, number: u64, answer: Answer) {
-        self.out.push(Out::Tell(Told { from: self.me.clone(), to: to.clone(), number, answer }));
+    fn tell(&mut self, to: &ProcessId, number: u64, body: ResponseBody) {
+        self.out.push(Action::Respond(LeaseResponse { from: self.me.clone(), to: to.clone(), number, body }));
     }
 
-    fn elsewhere(&mut self, ask: &Ask, leader: Option<&str>) {
+    fn elsewhere(&mut self, request: &LeaseRequest, leader: Option<&str>) {
         let leader = leader.map(str::to_string);
-        self.tell(&ask.from, ask.number, Answer::Elsewhere { leader });
+        self.tell(&request.from, request.number, ResponseBody::NotLeader { leader });
     }
 
     // ---- asks ----
 
     /// An ask came; `leader` is who leads as far as this voter knows.
-    pub fn asked(&mut self, ask: Ask, leader: Option<&str>, now: f64) {
-        let Some(lead) = &mut self.lead else { return self.elsewhere(&ask, leader) };
-        lead.note(&ask, now);
-        lead.collecting.push(ask);
+    pub fn receive(&mut self, request: LeaseRequest, leader: Option<&str>, now: f64) {
+        let Some(lead) = &mut self.lead else { return self.elsewhere(&request, leader) };
+        lead.note(&request, now);
+        lead.collecting.push(request);
         self.read_on();
     }
 
@@ -205,43 +208,43 @@
         }
         self.reads += 1;
         lead.reading = Some((self.reads, std::mem::take(&mut lead.collecting)));
-        self.out.push(Out::Read(self.reads));
+        self.out.push(Action::Read(self.reads));
     }
 
     /// That read may be answered, or can't be.
-    pub fn read(&mut self, read: u64, may: bool, duties: &Duties, now: f64) {
+    pub fn read_result(&mut self, read: u64, may: bool, duties: &Duties, now: f64) {
         let Some(lead) = &mut self.lead else { return };
-        let Some((_, asks)) = lead.reading.take_if(|(number, _)| *number == read) else { return };
-        for ask in asks {
-            if may { self.answer(&ask, duties, now) } else { self.elsewhere(&ask, None) }
+        let Some((_, requests)) = lead.reading.take_if(|(number, _)| *number == read) else { return };
+        for request in requests {
+            if may { self.answer(&request, duties, now) } else { self.elsewhere(&request, None) }
         }
         self.read_on();
     }
 
-    fn answer(&mut self, ask: &Ask, duties: &Duties, now: f64) {
-        for Over { duty, token, well } in &ask.over {
-            if duties.holder(duty, *token).is_some_and(|holder| holder.who == ask.from) {
-                self.end(duty, *token, *well, duties, now);
+    fn answer(&mut self, request: &LeaseRequest, duties: &Duties, now: f64) {
+        for Release { duty, token, succeeded } in &request.over {
+            if duties.holder(duty, *token).is_some_and(|holder| holder.who == request.from) {
+                self.end(duty, *token, *succeeded, duties, now);
             }
         }
-        let orders = ask.orders.iter().map(|order| self.order(order, duties, now)).collect();
-        for want in &ask.wants {
+        let orders = request.orders.iter().map(|order| self.order(order, duties, now)).collect();
+        for want in &request.wants {
             self.fill(&want.duty, duties, now);
             self.move_on(&want.duty, duties, now);
         }
-        let held = self.renew(&ask.from, duties, now);
-        let waits = ask.wants.iter().filter(|want| !held.iter().any(|held| held.duty == want.duty));
+        let held = self.renew(&request.from, duties, now);
+        let waits = request.wants.iter().filter(|want| !held.iter().any(|held| held.duty == want.duty));
         let waits = waits.map(|want| self.waits(&want.duty, duties, now)).collect();
-        let list = ask.list.then(|| self.list(duties, now));
+        let list = request.list.then(|| self.list(duties, now));
         if let Some(lead) = &mut self.lead {
-            let unheard = Unheard { life: ask.from.life, number: ask.number, at: now };
-            lead.unheard.entry(ask.from.name.clone()).or_insert(unheard);
+            let unheard = Unheard { life: request.from.life, number: request.number, at: now };
+            lead.unheard.entry(request.from.name.clone()).or_insert(unheard);
         }
-        self.tell(&ask.from, ask.number, Answer::Stands { held, waits, list, orders });
+        self.tell(&request.from, request.number, ResponseBody::Status { held, waits, list, orders });
     }
 
     /// All that it holds, renewed but for what it has to leave.
-    fn renew(&mut self, who: &Who, duties: &Duties, now: f64) -> Vec<Held> {
+    fn renew(&mut self, who: &ProcessId, duties: &Duties, now: f64) -> Vec<HeldLease> {
         let Some(lead) = &mut self.lead else { return Vec::new() };
         let mut all = Vec::new();
         for (name, duty) in duties.all() {
@@ -256,15 +259,15 @@
                 lead.until.insert(token, (name.clone(), now + lease));
             }
             let give_up = going.is_some();
-            all.push(Held { duty: name.clone(), token, lease, renewed, give_up });
+            all.push(HeldLease { duty: name.clone(), token, lease, renewed, give_up });
         }
         all
     }
 
-    fn taken(&self, holders: &[Holder], now: f64) -> Vec<Taken> {
+    fn taken(&self, holders: &[Holder], now: f64) -> Vec<HolderInfo> {
         let until =
             |token| self.lead.as_ref().and_then(|lead| lead.until.get(&token)).map(|(_, until)| *until);
-        let taken = |one: &Holder| Taken {
+        let taken = |one: &Holder| HolderInfo {
             name: one.who.name.clone(),
             token: one.token,
             left: until(one.token).map_or(0.0, |until| (until - now).max(0.0)),
@@ -272,24 +275,28 @@
         holders.iter().map(taken).collect()
     }
 
-    fn waits(&self, duty: &str, duties: &Duties, now: f64) -> Waits {
+    fn waits(&self, duty: &str, duties: &Duties, now: f64) -> WaitStatus {
         let holders = self.taken(duties.holders(duty), now);
         let ran = duties.get(duty).and_then(|duty| duty.ran.as_ref());
-        Waits { duty: duty.into(), holders, ran_ago: ran.map(|ran| (self.log_now(now) - ran.at).max(0.0)) }
+        WaitStatus {
+            duty: duty.into(),
+            holders,
+            ran_ago: ran.map(|ran| (self.log_now(now) - ran.at).max(0.0)),
+        }
     }
 
-    fn list(&self, duties: &Duties, now: f64) -> Vec<Listed> {
+    fn list(&self, duties: &Duties, now: f64) -> Vec<DutyInfo> {
         let Some(lead) = &self.lead else { return Vec::new() };
         let names: BTreeSet<&String> =
             duties.all().map(|(name, _)| name).chain(lead.candidates.keys()).collect();
         let listed = |name: &String| {
-            let Waits { duty, holders, ran_ago } = self.waits(name, duties, now);
+            let WaitStatus { duty, holders, ran_ago } = self.waits(name, duties, now);
             let ran_by = duties.get(name).and_then(|duty| duty.ran.as_ref()).map(|ran| ran.by.clone());
-            let mut waiting: Vec<(Standing, String)> =
-                lead.here(name, now).map(|one| (one.want.standing, one.who.name.clone())).collect();
+            let mut waiting: Vec<(Rank, String)> =
+                lead.here(name, now).map(|one| (one.want.rank, one.who.name.clone())).collect();
             waiting.sort();
             let candidates = waiting.into_iter().map(|(_, name)| name).collect();
-            Listed { duty, holders, candidates, ran_ago, ran_by }
+            DutyInfo { duty, holders, candidates, ran_ago, ran_by }
         };
         names.into_iter().map(listed).collect()
     }
@@ -307,7 +314,7 @@
         }
         let name = holder.who.name.clone();
         lead.going.entry(*token).or_insert(Going { asked: now, to: to.clone() });
-        lead.taken.insert((duty.clone(), name.clone()), now + holder.lease + self.times.steady);
+        lead.taken.insert((duty.clone(), name.clone()), now + holder.lease + self.times.stability);
         format!("{name} is told to leave {duty}")
     }
 
@@ -319,7 +326,7 @@
         while let Some(lead) = &self.lead {
             let Some(best) = lead.best(duty, None, None, duties, (now, log_now)) else { return };
             let granting = lead.granting.iter().filter(|one| one.duty == duty).count();
-            if duties.holders(duty).len() + granting >= best.want.most as usize {
+            if duties.holders(duty).len() + granting >= best.want.max_holders as usize {
                 return;
             }
             let to = self.begin_granting(duty, None, None, duties, now);
@@ -331,7 +338,7 @@
     fn begin_granting(
         &mut self,
         duty: &str,
-        but: Option<&Who>,
+        but: Option<&ProcessId>,
         to: Option<&str>,
         duties: &Duties,
         now: f64,
@@ -340,56 +347,61 @@
         let lead = self.lead.as_mut()?;
         let best = lead.best(duty, but, to, duties, (now, log_now))?;
         let (who, number, want) = (best.who.clone(), best.number, &best.want);
-        let to = Grantee { who: who.clone(), lease: want.lease, outlives: want.outlives, most: want.most };
+        let to = Grantee {
+            who: who.clone(),
+            lease: want.lease,
+            outlives_process: want.outlives_process,
+            max_holders: want.max_holders,
+        };
         lead.granting.push(Granting { duty: duty.into(), who, number });
         Some(to)
     }
 
     /// Proposes the end of a token, and whoever is best placed after it.
-    fn end(&mut self, duty: &str, token: u64, well: bool, duties: &Duties, now: f64) {
+    fn end(&mut self, duty: &str, token: u64, succeeded: bool, duties: &Duties, now: f64) {
         let Some(lead) = self.lead.as_mut() else { return };
         let Some(holder) = duties.holder(duty, token).filter(|_| lead.ending.insert(token)) else { return };
         let to = lead.going.get(&token).and_then(|going| going.to.clone());
-        let once = |one: &Candidate| one.want.once_per > 0.0;
+        let once = |one: &Candidate| one.want.min_interval > 0.0;
         // The run that ends here is not remembered yet: whoever wants it once in a while is asked after it is.
-        let waits = well && lead.candidates.get(duty).is_some_and(|all| all.values().any(once));
+        let waits = succeeded && lead.candidates.get(duty).is_some_and(|all| all.values().any(once));
         let next = if waits {
             None
         } else {
             self.begin_granting(duty, Some(&holder.who), to.as_deref(), duties, now)
         };
-        self.propose(Command::End { duty: duty.into(), token, next, well }, now);
+        self.propose(Command::End { duty: duty.into(), token, next, succeeded }, now);
     }
 
     /// A better candidate that has been there for long is to have it.
     fn move_on(&mut self, duty: &str, duties: &Duties, now: f64) {
-        let (steady, log_now) = (self.times.steady, self.log_now(now));
+        let (steady, log_now) = (self.times.stability, self.log_now(now));
         let Some(lead) = self.lead.as_mut() else { return };
         let holders = duties.holders(duty);
         if holders.iter().any(|one| lead.going.contains_key(&one.token) || lead.ending.contains(&one.token)) {
             return;
         }
-        let standing = |one: &Holder| {
+        let rank = |one: &Holder| {
             let own = lead.candidates.get(duty).and_then(|all| all.get(&one.who.name));
-            own.map(|own| own.want.standing)
+            own.map(|own| own.want.rank)
         };
         let held = holders.iter().filter(|one| log_now - one.since >= steady);
-        let worst = held.filter_map(|one| standing(one).map(|standing| (standing, one.token))).max();
+        let worst = held.filter_map(|one| rank(one).map(|rank| (rank, one.token))).max();
         let Some((worst, token)) = worst else { return };
         let Some(best) = lead.best(duty, None, None, duties, (now, log_now)) else { return };
-        if best.want.standing < worst && now - best.since >= steady {
+        if best.want.rank < worst && now - best.since >= steady {
             let to = Some(best.who.name.clone());
             lead.going.insert(token, Going { asked: now, to });
         }
     }
 
     /// That life of a process is over for certain: what it held and what can't go on without it is free.
-    pub fn ended(&mut self, who: &Who, duties: &Duties, now: f64) {
+    pub fn process_ended(&mut self, who: &ProcessId, duties: &Duties, now: f64) {
         let Some(lead) = &mut self.lead else { return };
         lead.forget(who);
         let mut over = Vec::new();
         for (name, duty) in duties.all() {
-            let gone = duty.holders.iter().filter(|one| one.who == *who && !one.outlives);
+            let gone = duty.holders.iter().filter(|one| one.who == *who && !one.outlives_process);
             over.extend(gone.map(|one| (name.clone(), one.token)));
         }
         over.iter().for_each(|(duty, token)| self.end(duty, *token, false, duties, now));
@@ -400,7 +412,7 @@
     pub fn due(&self) -> f64 {
         let Some(lead) = &self.lead else { return f64::INFINITY };
         let open = lead.until.iter().filter(|(token, _)| !lead.ending.contains(token));
-        open.map(|(_, (_, until))| *until).fold(self.clock.1 + self.times.time, f64::min)
+        open.map(|(_, (_, until))| *until).fold(self.clock.1 + self.times.time_interval, f64::min)
     }
 
     pub fn tick(&mut self, duties: &Duties, now: f64) {
@@ -410,7 +422,7 @@
         let over: Vec<(String, u64)> = over.map(|(token, (duty, _))| (duty.clone(), *token)).collect();
         lead.taken.retain(|_, until| now < *until);
         over.iter().for_each(|(duty, token)| self.end(duty, *token, false, duties, now));
-        if now >= self.clock.1 + self.times.time {
+        if now >= self.clock.1 + self.times.time_interval {
             let remembers = duties.all().any(|(_, duty)| duty.ran.is_some());
             // Counted from here on in any case: nothing is to be proposed at each call.
             let at = self.log_now(now);
@@ -429,15 +441,16 @@
     }
 
     /// What one wants now.
-    fn note(&mut self, ask: &Ask, now: f64) {
-        let name = &ask.from.name;
-        let wants = ask.wants.iter().map(|want| want.lease);
+    fn note(&mut self, request: &LeaseRequest, now: f64) {
+        let name = &request.from.name;
+        let wants = request.wants.iter().map(|want| want.lease);
         let was_deaf = self.is_deaf(name, wants.fold(0.0, f64::max), now);
-        let heard = |unheard: &Unheard| unheard.life != ask.from.life || ask.answered >= unheard.number;
+        let heard =
+            |unheard: &Unheard| unheard.life != request.from.life || request.answered >= unheard.number;
         if self.unheard.get(name).is_some_and(heard) {
             self.unheard.remove(name);
         }
-        let names: Vec<String> = ask.wants.iter().map(|want| want.duty.clone()).collect();
+        let names: Vec<String> = request.wants.iter().map(|want| want.duty.clone()).collect();
         let before = self.wanted.insert(name.clone(), names.clone()).unwrap_or_default();
         for duty in before.iter().filter(|duty| !names.contains(duty)) {
             if let Some(all) = self.candidates.get_mut(duty) {
@@ -447,23 +460,23 @@
                 }
             }
         }
-        for want in &ask.wants {
+        for want in &request.wants {
             let all = self.candidates.entry(want.duty.clone()).or_default();
-            let before = all.get(name).filter(|one| one.who == ask.from);
-            if before.is_some_and(|one| one.number > ask.number) {
+            let before = all.get(name).filter(|one| one.who == request.from);
+            if before.is_some_and(|one| one.number > request.number) {
                 continue;
             }
             let steady = before
                 .filter(|one| !was_deaf && now - one.heard <= one.want.lease)
-                .filter(|one| want.standing <= one.want.standing)
+                .filter(|one| want.rank <= one.want.rank)
                 .map_or(now, |one| one.since);
             let waits = before.map_or(now, |one| one.waits.max(steady));
-            let (who, want, number) = (ask.from.clone(), want.clone(), ask.number);
+            let (who, want, number) = (request.from.clone(), want.clone(), request.number);
             all.insert(name.clone(), Candidate { who, want, number, heard: now, since: steady, waits });
         }
     }
 
-    fn forget(&mut self, who: &Who) {
+    fn forget(&mut self, who: &ProcessId) {
         self.unheard.remove(&who.name);
         self.candidates.values_mut().for_each(|all| all.retain(|_, one| one.who != *who));
         self.candidates.retain(|_, all| !all.is_empty());
@@ -481,17 +494,17 @@
     fn best(
         &self,
         duty: &str,
-        but: Option<&Who>,
+        but: Option<&ProcessId>,
         to: Option<&str>,
         duties: &Duties,
         (now, log_now): (f64, f64),
     ) -> Option<&Candidate> {
-        let has = |who: &Who| duties.holders(duty).iter().any(|holder| holder.who == *who);
-        let gets = |who: &Who| self.granting.iter().any(|one| one.duty == duty && one.who == *who);
-        let taken = |who: &Who| self.taken.contains_key(&(duty.to_string(), who.name.clone()));
+        let has = |who: &ProcessId| duties.holders(duty).iter().any(|holder| holder.who == *who);
+        let gets = |who: &ProcessId| self.granting.iter().any(|one| one.duty == duty && one.who == *who);
+        let taken = |who: &ProcessId| self.taken.contains_key(&(duty.to_string(), who.name.clone()));
         let ran = duties.get(duty).and_then(|duty| duty.ran.as_ref());
-        let due = |want: &Want| ran.is_none_or(|ran| log_now - ran.at >= want.once_per);
-        let place = |one: &&Candidate| (to != Some(one.who.name.as_str()), one.want.standing);
+        let due = |want: &Want| ran.is_none_or(|ran| log_now - ran.at >= want.min_interval);
+        let place = |one: &&Candidate| (to != Some(one.who.name.as_str()), one.want.rank);
         self.here(duty, now)
             .filter(|one| Some(&one.who) != but && !has(&one.who) && !gets(&one.who) && !taken(&one.who))
             .filter(|one| due(&one.want))
--- a/crates/pearfront-duties/src/lib.rs
+++ b/crates/pearfront-duties/src/lib.rs
@@ -6,14 +6,17 @@
 //! Why it is so is in `docs/design/duties.md`.
 
 mod agent;
-mod desk;
+mod lease_manager;
 mod message;
 mod state;
 mod times;
 
-pub use agent::{Agent, Out as AgentOut, Why};
-pub use desk::{Desk, Out as DeskOut};
-pub use message::{Answer, Ask, Held, Listed, Order, Over, Standing, Taken, Told, Waits, Want};
+pub use agent::{Action as AgentAction, Agent, StopReason};
+pub use lease_manager::{Action as ManagerAction, LeaseManager};
+pub use message::{
+    DutyInfo, HeldLease, HolderInfo, LeaseRequest, LeaseResponse, Order, Rank, Release, ResponseBody,
+    WaitStatus, Want,
+};
 pub use pearfront_codec::{decode_bounded as decode, encode};
-pub use state::{Change, Command, Duties, Duty, Entry, Grantee, Holder, Ran, Who};
-pub use times::{MOST_DUTIES, MOST_WANTS, SHARE, Times};
+pub use state::{Change, Command, Duties, Duty, Entry, Grantee, Holder, LastRun, ProcessId};
+pub use times::{MAX_DUTIES, MAX_WANTS, Times, USABLE_LEASE_SHARE};
--- a/crates/pearfront-duties/src/message.rs
+++ b/crates/pearfront-duties/src/message.rs
@@ -1,38 +1,38 @@
 //! What goes between whoever wants duties and the voters. `decode` is the only way in, and takes nothing on trust.
 
-use crate::state::Who;
-use crate::times::{LEASE, LONGEST_NAME, MOST_HOLDERS, MOST_WANTS};
+use crate::state::ProcessId;
+use crate::times::{LEASE, MAX_HOLDERS, MAX_NAME_BYTES, MAX_WANTS};
 use pearfront_codec::Bounded;
 use serde::{Deserialize, Serialize};
 
 /// How well placed one is for a duty; lower is better, the first difference decides, then the name.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Standing {
+pub struct Rank {
     /// Place of its zone in the duty's order of zones.
     pub zone: u8,
     /// Tenths of what it can bear that it bears already.
     pub load: u8,
     /// What its own operators wish.
-    pub wish: u8,
+    pub preference: u8,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Want {
     pub duty: String,
-    pub most: u32,
+    pub max_holders: u32,
     pub lease: f64,
-    pub outlives: bool,
+    pub outlives_process: bool,
     /// Not again within this time, ms, after a run that ended well; 0 if that does not matter.
-    pub once_per: f64,
-    pub standing: Standing,
+    pub min_interval: f64,
+    pub rank: Rank,
 }
 
 /// A duty that the sender is done with, or gives up.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Over {
+pub struct Release {
     pub duty: String,
     pub token: u64,
-    pub well: bool,
+    pub succeeded: bool,
 }
 
 /// What operators want done.
@@ -45,21 +45,21 @@
 
 /// Everything that one process wants, holds and is done with: the next one says all of it again, so none is missed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
-    pub from: Who,
+pub struct LeaseRequest {
+    pub from: ProcessId,
     pub number: u64,
     /// Number of the last of its asks whose answer it heard.
     pub answered: u64,
     pub holds: Vec<(String, u64)>,
     pub wants: Vec<Want>,
-    pub over: Vec<Over>,
+    pub over: Vec<Release>,
     pub orders: Vec<Order>,
     /// Tell of all duties.
     pub list: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Held {
+pub struct HeldLease {
     pub duty: String,
     pub token: u64,
     pub lease: f64,
@@ -71,25 +71,25 @@
 
 /// A duty that the asker wants and others have.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Waits {
+pub struct WaitStatus {
     pub duty: String,
-    pub holders: Vec<Taken>,
+    pub holders: Vec<HolderInfo>,
     /// Time since the last run that ended well, ms.
     pub ran_ago: Option<f64>,
 }
 
 /// Who has it, and until when at the latest if nothing is heard of it any more, ms.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Taken {
+pub struct HolderInfo {
     pub name: String,
     pub token: u64,
     pub left: f64,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct DutyInfo {
     pub duty: String,
-    pub holders: Vec<Taken>,
+    pub holders: Vec<HolderInfo>,
     /// Who wants it, the best first.
     pub candidates: Vec<String>,
     pub ran_ago: Option<f64>,
@@ -97,51 +97,51 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Answer {
+pub enum ResponseBody {
     /// Another voter leads, or nobody that this one knows of.
-    Elsewhere { leader: Option<String> },
+    NotLeader { leader: Option<String> },
     /// How things stand, as seen after the ask came: what the asker holds that is not named here it has no more.
-    Stands { held: Vec<Held>, waits: Vec<Waits>, list: Option<Vec<Listed>>, orders: Vec<String> },
+    Status { held: Vec<HeldLease>, waits: Vec<WaitStatus>, list: Option<Vec<DutyInfo>>, orders: Vec<String> },
     /// One duty is the asker's, granted after its ask came.
-    Granted(Held),
+    Granted(HeldLease),
 }
 
 /// An answer to the ask of that number.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Told {
+pub struct LeaseResponse {
     pub from: String,
-    pub to: Who,
+    pub to: ProcessId,
     pub number: u64,
-    pub answer: Answer,
+    pub body: ResponseBody,
 }
 
 fn named(name: &str) -> bool {
-    (1..=LONGEST_NAME).contains(&name.len())
+    (1..=MAX_NAME_BYTES).contains(&name.len())
 }
 
-impl Bounded for Ask {
+impl Bounded for LeaseRequest {
     fn is_bounded(&self) -> bool {
-        let few = self.wants.len() <= MOST_WANTS
-            && self.holds.len() <= MOST_WANTS
-            && self.over.len() <= MOST_WANTS
-            && self.orders.len() <= MOST_WANTS;
+        let few = self.wants.len() <= MAX_WANTS
+            && self.holds.len() <= MAX_WANTS
+            && self.over.len() <= MAX_WANTS
+            && self.orders.len() <= MAX_WANTS;
         let want = |want: &Want| {
             named(&want.duty)
-                && (1..=MOST_HOLDERS).contains(&want.most)
+                && (1..=MAX_HOLDERS).contains(&want.max_holders)
                 && (LEASE.0..=LEASE.1).contains(&want.lease)
-                && want.once_per >= 0.0
+                && want.min_interval >= 0.0
         };
         few && named(&self.from.name) && self.wants.iter().all(want)
     }
 }
 
-impl Bounded for Told {
+impl Bounded for LeaseResponse {
     fn is_bounded(&self) -> bool {
-        let held = |held: &Held| held.lease.is_finite() && held.lease >= 0.0;
-        match &self.answer {
-            Answer::Elsewhere { .. } => true,
-            Answer::Stands { held: all, .. } => all.iter().all(held),
-            Answer::Granted(one) => held(one),
+        let held = |held: &HeldLease| held.lease.is_finite() && held.lease >= 0.0;
+        match &self.body {
+            ResponseBody::NotLeader { .. } => true,
+            ResponseBody::Status { held: all, .. } => all.iter().all(held),
+            ResponseBody::Granted(one) => held(one),
         }
     }
 }
--- a/crates/pearfront-duties/src/message/tests.rs
+++ b/crates/pearfront-duties/src/message/tests.rs
@@ -1,18 +1,18 @@
 use super::*;
 use crate::{decode, encode};
 
-fn ask() -> Ask {
+fn ask() -> LeaseRequest {
     let want = Want {
         duty: "export".into(),
-        most: 1,
+        max_holders: 1,
         lease: 8000.0,
-        outlives: true,
-        once_per: 0.0,
-        standing: Standing::default(),
+        outlives_process: true,
+        min_interval: 0.0,
+        rank: Rank::default(),
     };
     let (holds, over, orders) = (vec![("a".into(), 3)], Vec::new(), Vec::new());
-    let from = Who { name: "n0".into(), life: 7 };
-    Ask { from, number: 1, answered: 0, holds, wants: vec![want], over, orders, list: false }
+    let from = ProcessId { name: "n0".into(), life: 7 };
+    LeaseRequest { from, number: 1, answered: 0, holds, wants: vec![want], over, orders, list: false }
 }
 
 #[test]
@@ -22,22 +22,22 @@
     for place in 0..bytes.len() {
         let mut spoilt = bytes.clone();
         spoilt[place] ^= 1;
-        assert_eq!(decode::<Ask>(&spoilt), None);
-        assert_eq!(decode::<Ask>(&bytes[..place]), None);
+        assert_eq!(decode::<LeaseRequest>(&spoilt), None);
+        assert_eq!(decode::<LeaseRequest>(&bytes[..place]), None);
     }
 }
 
 #[test]
 fn what_is_out_of_bounds_is_not_taken() {
     for spoil in [
-        |ask: &mut Ask| ask.wants[0].lease = f64::NAN,
-        |ask: &mut Ask| ask.wants[0].lease = 1.0,
-        |ask: &mut Ask| ask.wants[0].most = 0,
-        |ask: &mut Ask| ask.wants[0].duty = String::new(),
-        |ask: &mut Ask| ask.holds = vec![("a".into(), 1); 300],
+        |ask: &mut LeaseRequest| ask.wants[0].lease = f64::NAN,
+        |ask: &mut LeaseRequest| ask.wants[0].lease = 1.0,
+        |ask: &mut LeaseRequest| ask.wants[0].max_holders = 0,
+        |ask: &mut LeaseRequest| ask.wants[0].duty = String::new(),
+        |ask: &mut LeaseRequest| ask.holds = vec![("a".into(), 1); 300],
     ] {
         let mut ask = ask();
         spoil(&mut ask);
-        assert_eq!(decode::<Ask>(&encode(&ask)), None);
+        assert_eq!(decode::<LeaseRequest>(&encode(&ask)), None);
     }
 }
--- a/crates/pearfront-duties/src/state.rs
+++ b/crates/pearfront-duties/src/state.rs
@@ -1,12 +1,12 @@
 //! What the log says of duties. No clock is here: whose lease is over the leader proposes, and the log decides.
 
-use crate::times::{LEASE, LONGEST_NAME, MOST_DUTIES, MOST_HOLDERS};
+use crate::times::{LEASE, MAX_DUTIES, MAX_HOLDERS, MAX_NAME_BYTES};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// One life of a process: after a restart it is another, and holds nothing of what it held.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Who {
+pub struct ProcessId {
     pub name: String,
     pub life: u64,
 }
@@ -14,13 +14,13 @@
 /// One that is to have a duty.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Grantee {
-    pub who: Who,
+    pub who: ProcessId,
     /// How long it may be silent, ms.
     pub lease: f64,
     /// What it does may go on when its process has ended: its lease has to end, too, before another begins.
-    pub outlives: bool,
+    pub outlives_process: bool,
     /// How many may hold this duty with it.
-    pub most: u32,
+    pub max_holders: u32,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -35,7 +35,7 @@
         token: u64,
         next: Option<Grantee>,
         /// What it did ended well.
-        well: bool,
+        succeeded: bool,
     },
     /// Nothing but the time.
     Time,
@@ -56,18 +56,18 @@
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Holder {
-    pub who: Who,
+    pub who: ProcessId,
     /// Grows over the whole life of the installation.
     pub token: u64,
     pub lease: f64,
-    pub outlives: bool,
+    pub outlives_process: bool,
     /// The log's time when it was granted.
     pub since: f64,
 }
 
 /// The last run that ended well.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Ran {
+pub struct LastRun {
     pub at: f64,
     pub by: String,
 }
@@ -75,7 +75,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Duty {
     pub holders: Vec<Holder>,
-    pub ran: Option<Ran>,
+    pub ran: Option<LastRun>,
 }
 
 /// What has come of an entry.
@@ -92,7 +92,7 @@
     /// It could not be granted: others hold it, or there are too many duties.
     Refused {
         duty: String,
-        who: Who,
+        who: ProcessId,
     },
 }
 
@@ -106,11 +106,11 @@
 
 impl Duties {
     /// The log's time, ms.
-    pub fn at(&self) -> f64 {
+    pub fn log_time(&self) -> f64 {
         self.at
     }
 
-    pub fn tokens(&self) -> u64 {
+    pub fn last_token(&self) -> u64 {
         self.tokens
     }
 
@@ -153,7 +153,7 @@
         }
         match entry.command {
             Command::Grant { duty, to } => vec![self.grant(duty, to)],
-            Command::End { duty, token, next, well } => self.end(&duty, token, next, well),
+            Command::End { duty, token, next, succeeded } => self.end(&duty, token, next, succeeded),
             Command::Time => Vec::new(),
         }
     }
@@ -162,28 +162,34 @@
         let known = self.duties.contains_key(&duty);
         let holders = self.holders(&duty);
         let has = holders.iter().any(|holder| holder.who == to.who);
-        let room = holders.len() < to.most.clamp(1, MOST_HOLDERS) as usize;
-        let named = (1..=LONGEST_NAME).contains(&duty.len());
-        if has || !room || !named || (!known && self.duties.len() >= MOST_DUTIES) {
+        let room = holders.len() < to.max_holders.clamp(1, MAX_HOLDERS) as usize;
+        let named = (1..=MAX_NAME_BYTES).contains(&duty.len());
+        if has || !room || !named || (!known && self.duties.len() >= MAX_DUTIES) {
             return Change::Refused { duty, who: to.who };
         }
         self.tokens += 1;
         let (least, most) = LEASE;
         let lease = if to.lease.is_finite() { to.lease.clamp(least, most) } else { most };
-        let holder = Holder { who: to.who, token: self.tokens, lease, outlives: to.outlives, since: self.at };
+        let holder = Holder {
+            who: to.who,
+            token: self.tokens,
+            lease,
+            outlives_process: to.outlives_process,
+            since: self.at,
+        };
         self.duties.entry(duty.clone()).or_default().holders.push(holder.clone());
         Change::Granted { duty, holder }
     }
 
-    fn end(&mut self, name: &str, token: u64, next: Option<Grantee>, well: bool) -> Vec<Change> {
+    fn end(&mut self, name: &str, token: u64, next: Option<Grantee>, succeeded: bool) -> Vec<Change> {
         let at = self.at;
         let Some(duty) = self.duties.get_mut(name) else { return Vec::new() };
         let Some(place) = duty.holders.iter().position(|holder| holder.token == token) else {
             return Vec::new();
         };
         let holder = duty.holders.remove(place);
-        if well {
-            duty.ran = Some(Ran { at, by: holder.who.name.clone() });
+        if succeeded {
+            duty.ran = Some(LastRun { at, by: holder.who.name.clone() });
         }
         if duty.holders.is_empty() && duty.ran.is_none() {
             self.duties.remove(name);
--- a/crates/pearfront-duties/src/state/tests.rs
+++ b/crates/pearfront-duties/src/state/tests.rs
@@ -1,7 +1,12 @@
 use super::*;
 
 fn grantee(name: &str, life: u64, most: u32) -> Grantee {
-    Grantee { who: Who { name: name.into(), life }, lease: 8000.0, outlives: false, most }
+    Grantee {
+        who: ProcessId { name: name.into(), life },
+        lease: 8000.0,
+        outlives_process: false,
+        max_holders: most,
+    }
 }
 
 fn apply(duties: &mut Duties, at: f64, command: Command) -> Vec<Change> {
@@ -15,8 +20,8 @@
     }
 }
 
-fn end(duty: &str, token: u64, next: Option<Grantee>, well: bool) -> Command {
-    Command::End { duty: duty.into(), token, next, well }
+fn end(duty: &str, token: u64, next: Option<Grantee>, succeeded: bool) -> Command {
+    Command::End { duty: duty.into(), token, next, succeeded }
 }
 
 #[test]
@@ -57,7 +62,7 @@
     grant(&mut duties, "export", grantee("a", 1, 1));
     apply(&mut duties, 500.0, Command::Time);
     apply(&mut duties, 100.0, end("export", 1, None, true));
-    assert_eq!(duties.get("export").unwrap().ran, Some(Ran { at: 500.0, by: "a".into() }));
+    assert_eq!(duties.get("export").unwrap().ran, Some(LastRun { at: 500.0, by: "a".into() }));
     let back = Duties::decode(&duties.encode());
     assert_eq!(back, Some(duties));
 }
--- a/crates/pearfront-duties/tests/desk.rs
+++ b/crates/pearfront-duties/tests/lease_manager.rs
@@ -1,7 +1,9 @@
 //! Both sides of a duty at one table: a leader whose log takes everything at once, and processes that want duties. What is
 //! said may not arrive.
 
-use pearfront_duties::{Agent, AgentOut, Desk, DeskOut, Duties, Order, Standing, Times, Want, Who};
+use pearfront_duties::{
+    Agent, AgentAction, Duties, LeaseManager, ManagerAction, Order, ProcessId, Rank, Times, Want,
+};
 use std::collections::VecDeque;
 use test_case::test_case;
 
@@ -9,7 +11,7 @@
 const STEADY: f64 = 10_000.0;
 
 struct Table {
-    desk: Desk,
+    desk: LeaseManager,
     duties: Duties,
     agents: Vec<Agent>,
     /// Which of them hear what they are told.
@@ -26,20 +28,27 @@
 
 impl Table {
     fn new(count: usize) -> Self {
-        let times = Times { steady: STEADY, ..Times::default() };
+        let times = Times { stability: STEADY, ..Times::default() };
         let agent = |place: usize| {
-            Agent::new(Who { name: name(place), life: place as u64 }, &["v0".to_string()], times)
+            Agent::new(ProcessId { name: name(place), life: place as u64 }, &["v0".to_string()], times)
         };
-        let mut desk = Desk::new("v0", times);
-        desk.leads(Some(1), &Duties::default(), 0.0);
+        let mut desk = LeaseManager::new("v0", times);
+        desk.set_leadership(Some(1), &Duties::default(), 0.0);
         let (hears, runs) = (vec![true; count], vec![true; count]);
         let agents = (0..count).map(agent).collect();
         Self { desk, duties: Duties::default(), agents, hears, runs, now: 0.0, told: Vec::new() }
     }
 
-    fn wants(&mut self, who: usize, zone: u8, once_per: f64) {
-        let standing = Standing { zone, load: 0, wish: 0 };
-        let want = Want { duty: "export".into(), most: 1, lease: LEASE, outlives: false, once_per, standing };
+    fn wants(&mut self, who: usize, zone: u8, min_interval: f64) {
+        let rank = Rank { zone, load: 0, preference: 0 };
+        let want = Want {
+            duty: "export".into(),
+            max_holders: 1,
+            lease: LEASE,
+            outlives_process: false,
+            min_interval,
+            rank,
+        };
         self.agents[who].want(want, self.now);
         self.pump();
     }
@@ -62,18 +71,18 @@
             let mut asks = VecDeque::new();
             for (place, agent) in self.agents.iter_mut().enumerate().filter(|(place, _)| self.runs[*place]) {
                 agent.tick(now);
-                for out in agent.take_out() {
+                for out in agent.take_actions() {
                     match out {
-                        AgentOut::Send { ask, .. } => asks.push_back(ask),
-                        AgentOut::Leave { duty, .. } => agent.give_up(&duty, false, now),
-                        AgentOut::Ordered(told) => self.told.extend(told),
-                        AgentOut::Began { token, .. } => self.told.push(format!("n{place} {token}")),
+                        AgentAction::Send { request, .. } => asks.push_back(request),
+                        AgentAction::Leave { duty, .. } => agent.give_up(&duty, false, now),
+                        AgentAction::OrderResults(told) => self.told.extend(told),
+                        AgentAction::Acquired { token, .. } => self.told.push(format!("n{place} {token}")),
                         _ => {}
                     }
                 }
             }
             let quiet = asks.is_empty();
-            asks.into_iter().for_each(|ask| self.desk.asked(ask, None, now));
+            asks.into_iter().for_each(|ask| self.desk.receive(ask, None, now));
             if self.answer() && quiet {
                 return;
             }
@@ -82,19 +91,19 @@
 
     /// Does what the leader wants done; true if it wanted nothing.
     fn answer(&mut self) -> bool {
-        let out = self.desk.take_out();
+        let out = self.desk.take_actions();
         let quiet = out.is_empty();
         for out in out {
             match out {
-                DeskOut::Propose(bytes) => {
+                ManagerAction::Propose(bytes) => {
                     let changes = self.duties.apply(&bytes);
                     self.desk.applied(changes, &self.duties, self.now);
                 }
-                DeskOut::Read(read) => self.desk.read(read, true, &self.duties, self.now),
-                DeskOut::Tell(told) => {
+                ManagerAction::Read(read) => self.desk.read_result(read, true, &self.duties, self.now),
+                ManagerAction::Respond(told) => {
                     let to = told.to.life as usize;
                     if self.hears[to] && self.runs[to] {
-                        self.agents[to].heard(told, self.now);
+                        self.agents[to].receive(told, self.now);
                     }
                 }
             }
@@ -207,7 +216,7 @@
     table.pass(100.0);
     table.runs[0] = false;
     if proof {
-        table.desk.ended(&Who { name: name(0), life: 0 }, &table.duties, table.now);
+        table.desk.process_ended(&ProcessId { name: name(0), life: 0 }, &table.duties, table.now);
     }
     table.pass(soonest);
     assert_eq!(table.holder(), Some(1));
@@ -220,7 +229,7 @@
     table.pass(1000.0);
     table.runs[0] = false;
     // It leads with what the log has, and knows of no lease.
-    table.desk.leads(Some(2), &table.duties, table.now);
+    table.desk.set_leadership(Some(2), &table.duties, table.now);
     table.wants(1, 0, 0.0);
     table.pass(LEASE - 10.0);
     assert_eq!(table.holder(), None);
@@ -233,7 +242,7 @@
     let mut table = Table::new(2);
     (0..2).for_each(|who| table.wants(who, 0, 0.0));
     let now = table.now;
-    table.agents[0].acted("export", false, now);
+    table.agents[0].record_outcome("export", false, now);
     table.pass(5000.0);
     assert_eq!(table.holder(), Some(0));
     table.pass(6000.0);
--- a/crates/pearfront-emulator/src/cores/consensus.rs
+++ b/crates/pearfront-emulator/src/cores/consensus.rs
@@ -5,9 +5,10 @@
 use super::duties::{Happens, Upper};
 use crate::agenda::Agenda;
 use pearfront_consensus::{
-    Entry, Message, Out, Record, Role, Times, Voter, decode, decode_record, pack, recover, unpack,
+    Action, Entry, Message, Record, Role, Times, Voter, decode, decode_record, decode_records,
+    encode_records, recover,
 };
-use pearfront_duties::{Desk, DeskOut, Duties};
+use pearfront_duties::{Duties, LeaseManager, ManagerAction};
 use pearfront_store::{Fault, SimDisk, Store, StoreError};
 use rand::prelude::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -118,7 +119,7 @@
     pub(super) voter: Option<Voter>,
     /// What is decided on the log, and the leader's side of it.
     pub(super) duties: Duties,
-    pub(super) desk: Desk,
+    pub(super) desk: LeaseManager,
     /// How fast its clock runs.
     pub(super) rate: f64,
     store: Option<Store<SimDisk>>,
@@ -174,7 +175,7 @@
             name: format!("v{place}"),
             voter: None,
             duties: Duties::default(),
-            desk: Desk::new("", pearfront_duties::Times::default()),
+            desk: LeaseManager::new("", pearfront_duties::Times::default()),
             rate: 1.0,
             store: None,
             disk: Some(SimDisk::new(seed ^ (place as u64) << 32)),
@@ -255,11 +256,11 @@
             }
             Err(error) => return self.broken(format!("{names:?} {who}: {error}")),
         };
-        let records = recovered.snapshot.into_iter().flat_map(|entry| unpack(&entry.bytes));
+        let records = recovered.snapshot.into_iter().flat_map(|entry| decode_records(&entry.bytes));
         let behind = recovered.entries.into_iter().filter_map(|entry| decode_record(&entry.bytes));
         let kept = recover(records.chain(behind));
         if self.plan.fault == Some(Faulty::AllDisksLie) {
-            store.disk().set(Fault::SyncLies);
+            store.disk().inject(Fault::SyncIgnored);
         }
         seat.life += 1;
         seat.store = Some(store);
@@ -270,7 +271,8 @@
         seat.until = 0.0;
         let own = now * seat.rate;
         seat.duties = Duties::default();
-        seat.desk = Desk::new(&names[who], self.upper.as_ref().map(|upper| upper.times).unwrap_or_default());
+        seat.desk =
+            LeaseManager::new(&names[who], self.upper.as_ref().map(|upper| upper.times).unwrap_or_default());
         seat.voter = Some(Voter::new(&names[who], &names, kept, Times::default(), seed, own));
         self.act(who, |voter, now| voter.tick(now));
     }
@@ -280,7 +282,7 @@
         let (Some(_), Some(mut store)) = (seat.voter.take(), seat.store.take()) else { return };
         let mut disk = store.disk().clone();
         disk.crash();
-        disk.mend();
+        disk.clear_faults();
         seat.disk = Some(disk);
         seat.waiting.clear();
         seat.sync = SYNC;
@@ -296,7 +298,7 @@
         let name = self.seats[of].name.clone();
         for who in (0..self.seats.len()).filter(|who| *who != of) {
             if self.seats[who].until <= self.now && self.seats[of].voter.is_none() {
-                self.act(who, |voter, now| voter.ended(&name, now));
+                self.act(who, |voter, now| voter.process_ended(&name, now));
             }
         }
     }
@@ -317,7 +319,7 @@
 
     /// Does what the voter wants done.
     fn done(&mut self, who: usize) {
-        let out = self.seats[who].voter.as_mut().map(Voter::take_out).unwrap_or_default();
+        let out = self.seats[who].voter.as_mut().map(Voter::take_actions).unwrap_or_default();
         for out in out {
             if self.seats[who].voter.is_some() {
                 self.carry(who, out);
@@ -332,20 +334,20 @@
         loop {
             let seat = &mut self.seats[who];
             let Some(voter) = &mut seat.voter else { return };
-            let term = voter.settled().then(|| voter.term());
+            let term = voter.has_committed_in_term().then(|| voter.term());
             // Long ago: every lease that was granted before is over.
             let since = if hasty { now - 1e9 } else { now };
-            seat.desk.leads(term, &seat.duties, since);
-            let out = seat.desk.take_out();
+            seat.desk.set_leadership(term, &seat.duties, since);
+            let out = seat.desk.take_actions();
             if out.is_empty() {
                 return;
             }
             for out in out {
                 let Some(voter) = &mut self.seats[who].voter else { return };
                 match out {
-                    DeskOut::Propose(bytes) => drop(voter.propose(bytes, now)),
-                    DeskOut::Read(read) => voter.read(read, now),
-                    DeskOut::Tell(told) => self.tell(who, &told),
+                    ManagerAction::Propose(bytes) => drop(voter.propose(bytes, now)),
+                    ManagerAction::Read(read) => voter.request_read(read, now),
+                    ManagerAction::Respond(told) => self.tell(who, &told),
                 }
             }
             self.done(who);
@@ -357,7 +359,7 @@
         let seat = &mut self.seats[who];
         let Some(voter) = &mut seat.voter else { return };
         let (role, term) = (voter.role(), voter.term());
-        if seat.forgot && voter.stands() && voter.commit() > 0 {
+        if seat.forgot && voter.may_stand() && voter.commit_index() > 0 {
             seat.forgot = false;
         }
         let due = (voter.due().min(seat.desk.due()) / seat.rate).max(self.now) + ROUNDING;
@@ -374,12 +376,12 @@
         }
     }
 
-    fn carry(&mut self, who: usize, out: Out) {
+    fn carry(&mut self, who: usize, out: Action) {
         match out {
-            Out::Store { number, records } => self.store(who, number, &records),
-            Out::Send(message) => self.send(who, &message),
-            Out::Commit(entry) => self.commit(who, &entry),
-            Out::Restore { index, bytes } => {
+            Action::Store { number, records } => self.store(who, number, &records),
+            Action::Send(message) => self.send(who, &message),
+            Action::Commit(entry) => self.commit(who, &entry),
+            Action::Restore { index, bytes } => {
                 let sum = bytes.first_chunk::<4>().map_or(0, |bytes| u32::from_le_bytes(*bytes));
                 self.seats[who].applied = (index, sum);
                 self.seats[who].snapshot_at = index;
@@ -392,22 +394,22 @@
                 seat.duties = bytes.get(4..).and_then(Duties::decode).unwrap_or_default();
                 seat.desk.restored(&seat.duties, now);
             }
-            Out::Read { read, .. } if self.upper.is_some() => self.read(who, read, true),
-            Out::NoRead { read } if self.upper.is_some() => self.read(who, read, false),
-            Out::Read { read, index } => {
+            Action::ReadReady { read_id: read, .. } if self.upper.is_some() => self.read(who, read, true),
+            Action::ReadFailed { read_id: read } if self.upper.is_some() => self.read(who, read, false),
+            Action::ReadReady { read_id: read, index } => {
                 self.findings.reads += 1;
                 if self.asked.remove(&read).is_some_and(|seen| index < seen) {
                     self.broken(format!("a read at v{who} sees {index}, and more was committed before it"));
                 }
             }
-            Out::NoRead { read } => drop(self.asked.remove(&read)),
+            Action::ReadFailed { read_id: read } => drop(self.asked.remove(&read)),
         }
     }
 
     fn read(&mut self, who: usize, read: u64, may: bool) {
         self.findings.reads += 1;
         let (now, seat) = (self.own_now(who), &mut self.seats[who]);
-        seat.desk.read(read, may, &seat.duties, now);
+        seat.desk.read_result(read, may, &seat.duties, now);
     }
 
     /// Its disk failed: it stops being a voter, as it has to, and is started again later.
@@ -446,7 +448,7 @@
         if !told_at_once && store.log_bytes() > LOG_BYTES {
             compact(store);
         }
-        self.act(who, |voter, now| voter.stored(number, now));
+        self.act(who, |voter, now| voter.on_stored(number, now));
     }
 
     fn commit(&mut self, who: usize, entry: &Entry) {
@@ -471,7 +473,7 @@
                 let mut bytes = sum.to_le_bytes().to_vec();
                 bytes.extend(seat.duties.encode());
                 bytes.resize(100_000, 7);
-                voter.snapshot(entry.index, bytes);
+                voter.compact(entry.index, bytes);
             }
         }
         self.granted(&changes);
@@ -550,7 +552,7 @@
         match came {
             Came::Log(bytes) => {
                 if let Some(message) = decode(&bytes) {
-                    self.act(to, |voter, now| voter.heard(message, now));
+                    self.act(to, |voter, now| voter.receive(message, now));
                 }
             }
             Came::Ask(bytes) => self.asked(to, &bytes),
@@ -601,7 +603,7 @@
             self.numbers += 1;
             let number = self.numbers;
             self.asked.insert(number, seen);
-            self.act(who, |voter, now| voter.read(number, now));
+            self.act(who, |voter, now| voter.request_read(number, now));
         }
     }
 
@@ -652,7 +654,7 @@
             }
             7 => {
                 if let Some(store) = &mut self.seats[who].store {
-                    store.disk().set(Fault::SyncFails);
+                    store.disk().inject(Fault::SyncFails);
                 }
             }
             _ => self.cut_off(who, until),
@@ -758,15 +760,15 @@
 
 /// Puts what a store has into one snapshot of it.
 fn compact(store: &mut Store<SimDisk>) {
-    let upto = store.synced();
+    let upto = store.synced_index();
     let Ok(found) = pearfront_store::check(store.disk()) else { return };
-    let old = found.snapshot.iter().flat_map(|entry| unpack(&entry.bytes));
+    let old = found.snapshot.iter().flat_map(|entry| decode_records(&entry.bytes));
     let new = found
         .entries
         .iter()
         .filter(|entry| entry.index <= upto)
         .filter_map(|entry| decode_record(&entry.bytes));
-    let bytes = pack(&recover(old.chain(new)).records());
+    let bytes = encode_records(&recover(old.chain(new)).into_records());
     // A store that could not is dead, and the next sync tells.
     let _ = store.snapshot(upto, &bytes);
 }
--- a/crates/pearfront-emulator/src/cores/distribute.rs
+++ b/crates/pearfront-emulator/src/cores/distribute.rs
@@ -4,7 +4,7 @@
 //! newer one; nothing is *in force everywhere* while a node decides under less; one update at most is under way to a node.
 
 use crate::agenda::Agenda;
-use pearfront_consensus::{Entry, Kept, Message, Out, Record, Voter, recover};
+use pearfront_consensus::{Action, Entry, Message, PersistentState, Record, Voter, recover};
 use pearfront_distribute::{
     Catalog, ChangeSet, Config, Distributor, DistributorOut, FromVoter, Outcome, Peer, Registry, RegistryOut,
     Server, Service, ServiceChange, State, Subscriber, SubscriberOut, Times, ToDistributor, ToSubscriber,
@@ -411,7 +411,7 @@
                 self.findings.forgot += 1;
                 self.forgot = Some(at);
             }
-            let kept: Kept = recover(place.disk.0.iter().cloned());
+            let kept: PersistentState = recover(place.disk.0.iter().cloned());
             let voter =
                 Voter::new(&me.name, &voter_names, kept, pearfront_consensus::Times::default(), seed, now);
             let (catalog, registry) = (Catalog::default(), Registry::new("shop", times));
@@ -513,8 +513,8 @@
         loop {
             let now = self.now;
             let Core::Voter(seat) = &mut self.places[at].core else { return };
-            let out = seat.voter.take_out();
-            let term = seat.voter.settled().then(|| seat.voter.term());
+            let out = seat.voter.take_actions();
+            let term = seat.voter.has_committed_in_term().then(|| seat.voter.term());
             if out.is_empty() {
                 seat.registry.leads(term, now);
             }
@@ -535,7 +535,7 @@
             }
         }
         let Core::Voter(seat) = &self.places[at].core else { return };
-        if self.forgot == Some(at) && seat.voter.stands() && seat.voter.commit() > 0 {
+        if self.forgot == Some(at) && seat.voter.may_stand() && seat.voter.commit_index() > 0 {
             self.forgot = None;
         }
         if let Some(version) = seat.registry.in_force().filter(|version| *version > self.stated) {
@@ -547,9 +547,9 @@
         }
     }
 
-    fn carry(&mut self, at: usize, out: Out) {
+    fn carry(&mut self, at: usize, out: Action) {
         match out {
-            Out::Store { number, records } => {
+            Action::Store { number, records } => {
                 let takes = self.between(SYNC);
                 let place = &mut self.places[at];
                 place.disk.0.extend(records);
@@ -558,7 +558,7 @@
                 // So much is on disk once that is done.
                 self.events.put(at_time, Event::Stored { who: at, life, number });
             }
-            Out::Send(message) => {
+            Action::Send(message) => {
                 let Some(to) = self.places.iter().position(|place| place.name == message.to) else { return };
                 let lost = !self.is_quiet() && self.chance.random::<f64>() < self.plan.loss;
                 if !lost && !self.is_cut(at, to) {
@@ -566,14 +566,14 @@
                     self.events.put(arrives, Event::Datagram { to, message });
                 }
             }
-            Out::Commit(entry) => self.commit(at, &entry),
-            Out::Restore { index, bytes } => {
+            Action::Commit(entry) => self.commit(at, &entry),
+            Action::Restore { index, bytes } => {
                 let Core::Voter(seat) = &mut self.places[at].core else { return };
                 seat.catalog = Catalog::decode(&bytes).unwrap_or_default();
                 (seat.applied, seat.snapshot_at) = (index, index);
                 seat.registry.restored();
             }
-            Out::Read { .. } | Out::NoRead { .. } => {}
+            Action::ReadReady { .. } | Action::ReadFailed { .. } => {}
         }
     }
 
@@ -598,7 +598,7 @@
         if entry.index >= seat.snapshot_at + SNAPSHOT {
             seat.snapshot_at = entry.index;
             let bytes = seat.catalog.encode();
-            seat.voter.snapshot(entry.index, bytes);
+            seat.voter.compact(entry.index, bytes);
         }
     }
 
@@ -1198,7 +1198,7 @@
             return;
         }
         if let Core::Voter(seat) = &mut self.places[to].core {
-            seat.voter.heard(message, now);
+            seat.voter.receive(message, now);
             self.settle(to);
         }
     }
@@ -1213,7 +1213,7 @@
             // Groups are synced in order, so all that was written by the time this one was is there; later ones are not
             // counted as lost, which a kill within a sync would make them.
             place.disk.1 = place.disk.0.len();
-            seat.voter.stored(number, now);
+            seat.voter.on_stored(number, now);
             self.settle(who);
         }
     }
--- a/crates/pearfront-emulator/src/cores/duties.rs
+++ b/crates/pearfront-emulator/src/cores/duties.rs
@@ -5,7 +5,8 @@
 use super::consensus::{self, Came, Event, Faulty, QUIET, ROUNDING, World};
 use super::history::{Call, What, linearizable};
 use pearfront_duties::{
-    Agent, AgentOut, Answer, Ask, Change, Standing, Times, Told, Want, Who, decode, encode,
+    Agent, AgentAction, Change, LeaseRequest, LeaseResponse, ProcessId, Rank, ResponseBody, Times, Want,
+    decode, encode,
 };
 use rand::prelude::Rng;
 use std::collections::{BTreeMap, BTreeSet};
@@ -114,7 +115,7 @@
     fault: Option<Fault>,
     lives: u64,
     /// Who was given each token.
-    given: BTreeMap<u64, (String, Who)>,
+    given: BTreeMap<u64, (String, ProcessId)>,
     /// Tokens that somebody was told of.
     taken: BTreeSet<u64>,
     /// What goes on of a process that has ended: its duty and until when.
@@ -139,7 +140,7 @@
     GivesUp { who: usize, life: u64, duty: String },
     Resume { who: usize },
     Start { who: usize },
-    Proof { of: Who },
+    Proof { of: ProcessId },
 }
 
 /// Plays one plan under one seed.
@@ -158,7 +159,7 @@
 
 impl World {
     fn add(&mut self, plan: &Plan) {
-        let times = Times { steady: 3000.0, time: 5000.0, ..Times::default() };
+        let times = Times { stability: 3000.0, time_interval: 5000.0, ..Times::default() };
         for seat in &mut self.seats {
             seat.rate = 1.0 + UNEVEN * (2.0 * self.chance.random::<f64>() - 1.0);
         }
@@ -248,7 +249,7 @@
                 for who in self.leading() {
                     let now = self.own_now(who);
                     let seat = &mut self.seats[who];
-                    seat.desk.ended(&of, &seat.duties, now);
+                    seat.desk.process_ended(&of, &seat.duties, now);
                     self.settle(who);
                 }
             }
@@ -264,7 +265,7 @@
         upper.lives += 1;
         let (life, times) = (upper.lives, upper.times);
         let post = self.post_mut(who);
-        let me = Who { name: format!("n{who}"), life };
+        let me = ProcessId { name: format!("n{who}"), life };
         (post.agent, post.life, post.until) = (Some(Agent::new(me, &voters, times)), life, 0.0);
         post.woken = f64::INFINITY;
         post.waiting.clear();
@@ -278,11 +279,18 @@
     }
 
     fn want(&mut self, who: usize, duty: &str) {
-        let standing = Standing { zone: self.chance.random_range(0..3), load: 0, wish: 0 };
+        let standing = Rank { zone: self.chance.random_range(0..3), load: 0, preference: 0 };
         let Some((_, most, lease, outlives)) = DUTIES.into_iter().find(|(name, ..)| *name == duty) else {
             return;
         };
-        let want = Want { duty: duty.into(), most, lease, outlives, once_per: 0.0, standing };
+        let want = Want {
+            duty: duty.into(),
+            max_holders: most,
+            lease,
+            outlives_process: outlives,
+            min_interval: 0.0,
+            rank: standing,
+        };
         self.do_at(who, |agent, now| agent.want(want, now));
     }
 
@@ -291,7 +299,7 @@
         let now = self.post_now(who);
         let post = self.post_mut(who);
         let Some(agent) = post.agent.take() else { return };
-        let of = Who { name: format!("n{who}"), life: post.life };
+        let of = ProcessId { name: format!("n{who}"), life: post.life };
         let outlive = |duty: &str| DUTIES.iter().any(|(name, .., outlives)| *name == duty && *outlives);
         // What its process had begun may go on until then.
         let ghosts: Vec<(String, f64)> = agent
@@ -333,7 +341,7 @@
         call(agent, now);
         // What it wants done may make it due at once.
         agent.tick(now);
-        let out = agent.take_out();
+        let out = agent.take_actions();
         let (due, life) = (agent.due(), post.life);
         let due = ((due + post.behind) / post.rate).max(at) + ROUNDING;
         if due < post.woken {
@@ -343,10 +351,10 @@
         out.into_iter().for_each(|out| self.post_out(who, out));
     }
 
-    fn post_out(&mut self, who: usize, out: AgentOut) {
+    fn post_out(&mut self, who: usize, out: AgentAction) {
         let (at, life) = (self.now, self.post(who).life);
         match out {
-            AgentOut::Send { to, ask } => {
+            AgentAction::Send { to, request: ask } => {
                 self.above().findings.asks += 1;
                 let post = self.post_mut(who);
                 post.sent.insert(ask.number, at);
@@ -356,17 +364,17 @@
                     self.put(at, Event::Deliver { to: voter, came: Came::Ask(encode(&ask)) });
                 }
             }
-            AgentOut::Began { duty, token, .. } => {
+            AgentAction::Acquired { duty, token, .. } => {
                 self.post_mut(who).wanted.insert(duty.clone(), at);
                 if duty == DUTIES[0].0 && self.above().befallen.is_some_and(|(.., under)| token > under) {
                     self.next_acts();
                 }
             }
-            AgentOut::Leave { duty, .. } => {
+            AgentAction::Leave { duty, .. } => {
                 let at = at + LEAVING * self.chance.random::<f64>();
                 self.put(at, Event::Above(Happens::GivesUp { who, life, duty }));
             }
-            AgentOut::Stopped { duty, token, .. } => {
+            AgentAction::Stopped { duty, token, .. } => {
                 let post = self.post_mut(who);
                 post.wanted.insert(duty.clone(), at);
                 let never_looks = post.believes.get(&duty).is_some_and(|(believed, _)| *believed == token);
@@ -374,7 +382,7 @@
                     self.post_mut(who).believes.remove(&duty);
                 }
             }
-            AgentOut::Listed(_) | AgentOut::Ordered(_) => {}
+            AgentAction::List(_) | AgentAction::OrderResults(_) => {}
         }
     }
 
@@ -466,13 +474,13 @@
     pub(super) fn asked(&mut self, to: usize, bytes: &[u8]) {
         let now = self.own_now(to);
         let seat = &mut self.seats[to];
-        let (Some(voter), Some(ask)) = (&seat.voter, decode::<Ask>(bytes)) else { return };
-        seat.desk.asked(ask, voter.leader(), now);
+        let (Some(voter), Some(ask)) = (&seat.voter, decode::<LeaseRequest>(bytes)) else { return };
+        seat.desk.receive(ask, voter.leader(), now);
         self.settle(to);
         self.act(to, |_, _| {});
     }
 
-    pub(super) fn tell(&mut self, from: usize, told: &Told) {
+    pub(super) fn tell(&mut self, from: usize, told: &LeaseResponse) {
         let Some(to) = told.to.name.strip_prefix('n').and_then(|number| number.parse::<usize>().ok()) else {
             return;
         };
@@ -489,19 +497,19 @@
         if post.until > at {
             return post.waiting.push(bytes);
         }
-        let Some(told) = decode::<Told>(&bytes).filter(|_| post.life == life) else { return };
+        let Some(told) = decode::<LeaseResponse>(&bytes).filter(|_| post.life == life) else { return };
         self.remember(to, &told);
-        self.do_at(to, |agent, now| agent.heard(told, now));
+        self.do_at(to, |agent, now| agent.receive(told, now));
     }
 
     /// For the history, and what a faulty holder makes of it.
-    fn remember(&mut self, who: usize, told: &Told) {
+    fn remember(&mut self, who: usize, told: &LeaseResponse) {
         let now = self.post_now(who);
         let Some(sent) = self.post(who).sent.get(&told.number).copied() else { return };
-        let held = match &told.answer {
-            Answer::Stands { held, .. } => held.clone(),
-            Answer::Granted(held) => vec![held.clone()],
-            Answer::Elsewhere { .. } => return,
+        let held = match &told.body {
+            ResponseBody::Status { held, .. } => held.clone(),
+            ResponseBody::Granted(held) => vec![held.clone()],
+            ResponseBody::NotLeader { .. } => return,
         };
         for one in held.iter().filter(|one| one.renewed) {
             self.above().findings.renewed += 1;
@@ -516,7 +524,7 @@
                 post.believes.insert(one.duty.clone(), (one.token, now + one.lease));
             }
         }
-        if let Answer::Stands { .. } = told.answer {
+        if let ResponseBody::Status { .. } = told.body {
             let post = self.post_mut(who);
             let gone = |(duty, (token, since)): (&String, &(u64, f64))| {
                 let over = *since <= sent && !held.iter().any(|one| one.duty == *duty && one.token == *token);
--- a/crates/pearfront-emulator/src/cores/exhaustive.rs
+++ b/crates/pearfront-emulator/src/cores/exhaustive.rs
@@ -1,8 +1,8 @@
 //! All that may happen to three voters, up to a depth: every order of messages, each delivered never, once or again; every
 //! time-out, sync and crash. The cores are those that run, not a copy; a state that was seen is not gone through again.
 
-use pearfront_consensus::{Kept, Message, Out, Record, Role, Times, Voter, decode, recover};
-use pearfront_duties::{Command, Duties, Entry, Grantee, Who};
+use pearfront_consensus::{Action, Message, PersistentState, Record, Role, Times, Voter, decode, recover};
+use pearfront_duties::{Command, Duties, Entry, Grantee, ProcessId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -92,7 +92,8 @@
     fn new(bounds: &Bounds) -> Self {
         let seat = |place: usize| {
             let names = names();
-            let voter = Voter::new(&names[place], &names, Kept::default(), Times::default(), 1, 0.0);
+            let voter =
+                Voter::new(&names[place], &names, PersistentState::default(), Times::default(), 1, 0.0);
             let (waiting, stable, duties) = (VecDeque::new(), Vec::new(), Duties::default());
             Seat { voter, now: 0.0, waiting, stable, applied: 0, duties }
         };
@@ -134,7 +135,7 @@
     fn deliver(&mut self, bytes: &[u8], syncs: bool) {
         let Some(message) = decode(bytes) else { return };
         let Some(to) = names().iter().position(|name| *name == message.to) else { return };
-        self.act(to, syncs, |voter, now| voter.heard(message, now));
+        self.act(to, syncs, |voter, now| voter.receive(message, now));
     }
 
     /// Does what the voter wants done, and looks at what must hold.
@@ -142,7 +143,7 @@
         let now = self.seats[who].now;
         call(&mut self.seats[who].voter, now);
         loop {
-            let out = self.seats[who].voter.take_out();
+            let out = self.seats[who].voter.take_actions();
             if out.is_empty() {
                 break;
             }
@@ -157,11 +158,11 @@
         }
     }
 
-    fn carry(&mut self, who: usize, out: Out) {
+    fn carry(&mut self, who: usize, out: Action) {
         match out {
-            Out::Store { number, records } => self.seats[who].waiting.push_back((number, records)),
-            Out::Send(message) => self.send(&message),
-            Out::Commit(entry) => {
+            Action::Store { number, records } => self.seats[who].waiting.push_back((number, records)),
+            Action::Send(message) => self.send(&message),
+            Action::Commit(entry) => {
                 let seat = &mut self.seats[who];
                 seat.duties.apply(&entry.bytes);
                 let follows = entry.index == seat.applied + 1;
@@ -172,7 +173,7 @@
                     self.broken = Some(format!("v{who} commits another entry at {}", entry.index));
                 }
             }
-            Out::Restore { .. } | Out::Read { .. } | Out::NoRead { .. } => {}
+            Action::Restore { .. } | Action::ReadReady { .. } | Action::ReadFailed { .. } => {}
         }
     }
 
@@ -185,7 +186,7 @@
         let seat = &mut self.seats[who];
         let Some((number, records)) = seat.waiting.pop_front() else { return };
         seat.stable.extend(records);
-        self.act(who, false, |voter, now| voter.stored(number, now));
+        self.act(who, false, |voter, now| voter.on_stored(number, now));
     }
 
     fn crash(&mut self, who: usize, forgets: bool) {
@@ -207,10 +208,10 @@
         self.proposals -= 1;
         let number = u64::from(self.proposals);
         let to = Grantee {
-            who: Who { name: format!("n{}", number / 2 % 2), life: 1 },
+            who: ProcessId { name: format!("n{}", number / 2 % 2), life: 1 },
             lease: 1000.0,
-            outlives: false,
-            most: 1,
+            outlives_process: false,
+            max_holders: 1,
         };
         let command = Command::Grant { duty: format!("d{}", number % 2), to };
         let bytes = Entry { at: 0.0, command }.encode();
@@ -227,7 +228,7 @@
                 if self.proposals > 0 {
                     steps.push(Step::Propose(who));
                 }
-            } else if seat.voter.term() < bounds.terms && seat.voter.stands() {
+            } else if seat.voter.term() < bounds.terms && seat.voter.may_stand() {
                 steps.push(Step::TimeOut(who));
             }
             if !seat.waiting.is_empty() {
@@ -250,7 +251,7 @@
                 next.act(*who, syncs, |voter, now| voter.tick(now));
             }
             Step::Beat(who) => {
-                next.seats[*who].now += Times::default().beat;
+                next.seats[*who].now += Times::default().heartbeat;
                 next.act(*who, syncs, |voter, now| voter.tick(now));
             }
             Step::Propose(who) => next.propose(*who),
@@ -281,7 +282,7 @@
             let mut hasher = DefaultHasher::new();
             salt.hash(&mut hasher);
             for seat in &self.seats {
-                seat.voter.shown(seat.now).hash(&mut hasher);
+                seat.voter.fingerprint(seat.now).hash(&mut hasher);
                 format!("{:?}{:?}", seat.waiting, seat.stable).hash(&mut hasher);
             }
             self.sent.hash(&mut hasher);
--- a/crates/pearfront-emulator/src/cores/membership.rs
+++ b/crates/pearfront-emulator/src/cores/membership.rs
@@ -1,7 +1,9 @@
 //! Membership by seed: up to a thousand cores, a network with weather between them, kills, pauses, cuts and restarts.
 
 use crate::agenda::Agenda;
-use pearfront_membership::{Change, Identity, LONGEST_DATAGRAM, Membership, Out, Standing, State, Times, To};
+use pearfront_membership::{
+    Action, Change, Destination, Identity, MAX_DATAGRAM_BYTES, Membership, State, Status, Times,
+};
 use rand::prelude::{Rng, SeedableRng};
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
@@ -218,7 +220,8 @@
         let installation = "sim".to_string();
         let life = self.chance.random::<u64>();
         let zone = format!("z{}", place % 3);
-        let identity = Identity { installation, name: name.clone(), zone, address, life, kept };
+        let identity =
+            Identity { installation, name: name.clone(), zone, address, life, last_incarnation: kept };
         let seeds = vec![self::address(0), self::address(1)];
         let seed = self.chance.random();
         let core = match Membership::new(identity, seeds, self.plan.times, seed, self.now) {
@@ -269,7 +272,7 @@
         let now = self.now;
         let process = &mut self.processes[place];
         call(&mut process.core, now);
-        let out = process.core.take_out();
+        let out = process.core.take_actions();
         for out in out {
             self.carry(place, out);
         }
@@ -282,30 +285,30 @@
         }
     }
 
-    fn carry(&mut self, from: usize, out: Out) {
+    fn carry(&mut self, from: usize, out: Action) {
         match out {
-            Out::Datagram { to, bytes } => {
+            Action::Datagram { to, bytes } => {
                 self.processes[from].datagrams += 1;
                 self.sent.0 += 1;
                 self.sent.2 += bytes.len() as u64;
                 self.second.1 += 1;
-                if bytes.len() > LONGEST_DATAGRAM {
+                if bytes.len() > MAX_DATAGRAM_BYTES {
                     self.broken(&format!("a datagram of {} bytes", bytes.len()));
                 }
                 self.send(from, &to, bytes, true);
             }
-            Out::Frame { to, bytes } => {
+            Action::Frame { to, bytes } => {
                 self.sent.1 += 1;
                 self.sent.2 += bytes.len() as u64;
                 self.send(from, &to, bytes, false);
             }
-            Out::Keep(incarnation) => {
+            Action::PersistIncarnation(incarnation) => {
                 if incarnation < self.processes[from].kept {
                     self.broken(&format!("{} falls back to {incarnation}", self.processes[from].name));
                 }
                 self.processes[from].kept = incarnation;
             }
-            Out::Changed(change) => self.changed(from, change),
+            Action::Changed(change) => self.changed(from, change),
         }
     }
 
@@ -313,7 +316,7 @@
         self.cuts.iter().any(|(froms, tos)| froms.contains(&from) && tos.contains(&to))
     }
 
-    fn send(&mut self, from: usize, to: &To, bytes: Vec<u8>, may_be_lost: bool) {
+    fn send(&mut self, from: usize, to: &Destination, bytes: Vec<u8>, may_be_lost: bool) {
         let Some(&place) = self.by_address.get(&to.address) else { return };
         // A stream needs both ways.
         let cut = self.is_cut(from, place) || (!may_be_lost && self.is_cut(place, from));
@@ -340,8 +343,8 @@
             _ => {}
         }
         let (name, standing) = match change {
-            Change::Silent { name, .. } => (name, Standing::Silent),
-            Change::Ended { name, .. } => (name, Standing::Ended),
+            Change::Silent { name, .. } => (name, Status::Silent),
+            Change::Ended { name, .. } => (name, Status::Ended),
             _ => return,
         };
         // It is that life that is held to be gone: a later one of the name may run already.
@@ -357,7 +360,7 @@
             self.broken(&format!(
                 "{} holds {name}, which runs, to be {}",
                 self.processes[at].name,
-                standing.word()
+                standing.as_str()
             ));
         }
     }
@@ -391,7 +394,7 @@
             Event::Proof { at: place, of, life } => {
                 let name = self.processes[of].name.clone();
                 if self.processes[place].running && self.processes[place].until <= at {
-                    self.act(place, |core, now| core.ended(&name, life, now));
+                    self.act(place, |core, now| core.process_ended(&name, life, now));
                 }
             }
             Event::Pause { who, lasts } => {
@@ -419,7 +422,7 @@
         }
         self.act(to, |core, now| {
             // What is refused is counted by the core.
-            let _ = core.heard(&bytes, now);
+            let _ = core.receive_bytes(&bytes, now);
         });
     }
 
@@ -500,9 +503,10 @@
 
     fn agreed(&self) -> bool {
         let partaking = self.partaking();
-        let sums: BTreeSet<u32> = partaking.iter().map(|place| self.processes[*place].core.sum()).collect();
+        let sums: BTreeSet<u32> =
+            partaking.iter().map(|place| self.processes[*place].core.view_checksum()).collect();
         let here =
-            |place: &usize| self.processes[*place].core.members().filter(|one| one.is_here()).count() + 1;
+            |place: &usize| self.processes[*place].core.members().filter(|one| one.is_present()).count() + 1;
         sums.len() == 1 && partaking.first().is_some_and(|place| here(place) == partaking.len())
     }
 
--- a/crates/pearfront-emulator/tests/membership.rs
+++ b/crates/pearfront-emulator/tests/membership.rs
@@ -2,7 +2,7 @@
 //! looks at what must never be find a core that is set up wrongly.
 
 use pearfront_emulator::cores::membership::{Findings, Plan, Trouble, Weather, World, play};
-use pearfront_membership::{Membership, Standing, State, Times};
+use pearfront_membership::{Membership, State, Status, Times};
 use test_case::test_case;
 
 /// Seeds of each case: few here, many by `make prove-membership`.
@@ -24,8 +24,8 @@
     (0..count).filter(|place| *place != who).collect()
 }
 
-fn standing(core: &Membership, name: &str) -> Option<Standing> {
-    core.member(name).map(|member| member.standing)
+fn standing(core: &Membership, name: &str) -> Option<Status> {
+    core.member(name).map(|member| member.status)
 }
 
 #[test]
@@ -67,7 +67,7 @@
     plan.links = true;
     let (found, world) = shown(plan, 1);
     assert!(found.found[0].2 < 1000.0, "{:?}", found.found);
-    assert_eq!(standing(world.core(0), "n9"), Some(Standing::Ended));
+    assert_eq!(standing(world.core(0), "n9"), Some(Status::Ended));
 }
 
 // A hears B, B does not hear A: others carry the answers, so nobody is given up.
@@ -102,19 +102,19 @@
         let mut deaf = false;
         let mut gone = 0;
         while world.step(&mut |_, _| {}) {
-            deaf |= world.core(2).deaf_since().is_some();
+            deaf |= world.core(2).isolated_since().is_some();
             let others = [0, 1, 3, 4];
             let held = |place: &usize| others.iter().filter(|of| gone_at(world.core(*place), **of)).count();
             gone = gone.max(others.iter().map(held).sum::<usize>());
         }
         assert!(deaf, "seed {seed}");
         assert_eq!(gone, 0, "seed {seed}: it buried others in the eyes of others");
-        assert!(world.core(2).is_sure());
+        assert!(world.core(2).is_view_confirmed());
     }
 }
 
 fn gone_at(core: &Membership, of: usize) -> bool {
-    standing(core, &format!("n{of}")).is_some_and(|standing| !standing.is_here())
+    standing(core, &format!("n{of}")).is_some_and(|standing| !standing.is_present())
 }
 
 #[test]
@@ -148,14 +148,14 @@
         let (mut doubted, mut back) = (false, false);
         let mut now = 0.0;
         while world.step(&mut |at, _| now = at) {
-            doubted |= now > 10_000.0 && !world.core(4).is_sure();
+            doubted |= now > 10_000.0 && !world.core(4).is_view_confirmed();
             let known = gone_at(world.core(0), 2) && now > 20_000.0;
             back |= known && [1, 3, 5].iter().any(|place| !gone_at(world.core(*place), 2));
         }
         assert!(now > 49_000.0, "seed {seed}: it ended early");
         assert!(doubted && !back, "seed {seed}: doubted {doubted}, brought back {back}");
-        assert!(world.core(4).is_sure() && gone_at(world.core(4), 2));
-        assert_eq!(standing(world.core(0), "n4"), Some(Standing::Alive));
+        assert!(world.core(4).is_view_confirmed() && gone_at(world.core(4), 2));
+        assert_eq!(standing(world.core(0), "n4"), Some(Status::Alive));
     }
 }
 
@@ -191,7 +191,7 @@
         assert!(
             matches!(world.core(5).state(), State::Barred { by } if by.address == world.core(3).me().address)
         );
-        assert!(!world.core(5).is_sure() && world.core(3).is_sure());
+        assert!(!world.core(5).is_view_confirmed() && world.core(3).is_view_confirmed());
         assert_eq!(world.core(0).member("n3").expect("known").card, *world.core(3).me());
     }
 }
@@ -222,7 +222,7 @@
 #[test]
 fn one_that_says_goodbye_is_gone_at_once_and_not_suspected() {
     let (found, world) = shown(plan(8, 15.0, vec![(10.0, Trouble::Leave { who: 5 })]), 1);
-    assert_eq!(standing(world.core(0), "n5"), Some(Standing::Left));
+    assert_eq!(standing(world.core(0), "n5"), Some(Status::Left));
     assert!(found.suspicions == 0 && found.agreed_after.is_some_and(|after| after < 1000.0), "{found:?}");
 }
 
@@ -253,7 +253,7 @@
         let (found, world) = shown(plan(4, 30.0, troubles), seed);
         assert_eq!(found.false_deaths, 0);
         for place in 0..4 {
-            let here = world.core(place).members().filter(|member| member.is_here()).count();
+            let here = world.core(place).members().filter(|member| member.is_present()).count();
             assert_eq!(here, 3, "seed {seed}: p{place}");
         }
     }
--- a/crates/pearfront-membership/src/core.rs
+++ b/crates/pearfront-membership/src/core.rs
@@ -8,15 +8,15 @@
 mod sending;
 mod view;
 
-pub use self::interface::{Change, Counts, Identity, Out, State, To};
+pub use self::interface::{Action, Change, Counts, Destination, Identity, State};
 
 use crate::deafness::Deafness;
-use crate::member::{Card, Member, News, Standing};
-use crate::message::{Body, Decoded, Refusal, decode};
+use crate::member::{Card, Member, Status, Update};
+use crate::message::{Body, DecodeError, Decoded, decode};
 use crate::probe::{Probe, Relay, Suspicion};
 use crate::spread::Spread;
 use crate::table::Table;
-use crate::times::{HEALTH_WORST, JOIN_AGAIN, LATE, LONGEST_NAME, LONGEST_ZONE, STOOD_STILL, Times};
+use crate::times::{HEALTH_WORST, JOIN_AGAIN, LATE, MAX_NAME_BYTES, MAX_ZONE_BYTES, STOOD_STILL, Times};
 use rand::prelude::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -66,7 +66,7 @@
     /// Smoothed round trip and its deviation over all others, ms.
     pub(crate) trip: Option<(f64, f64)>,
     pub(crate) chance: ChaCha8Rng,
-    out: Vec<Out>,
+    out: Vec<Action>,
     pub(crate) counts: Counts,
     /// When the next call was due as told last, and when the last came.
     expected: f64,
@@ -85,22 +85,22 @@
         seed: u64,
         now: f64,
     ) -> Result<Self, String> {
-        if who.name.is_empty() || who.name.len() > LONGEST_NAME {
-            return Err(format!("a name has 1 to {LONGEST_NAME} bytes"));
+        if who.name.is_empty() || who.name.len() > MAX_NAME_BYTES {
+            return Err(format!("a name has 1 to {MAX_NAME_BYTES} bytes"));
         }
-        if who.zone.len() > LONGEST_ZONE {
-            return Err(format!("a zone has at most {LONGEST_ZONE} bytes"));
+        if who.zone.len() > MAX_ZONE_BYTES {
+            return Err(format!("a zone has at most {MAX_ZONE_BYTES} bytes"));
         }
-        let Identity { installation, name, zone, address, life, kept } = who;
-        let me = Card { name, zone, address, incarnation: kept + 1, life };
+        let Identity { installation, name, zone, address, life, last_incarnation } = who;
+        let me = Card { name, zone, address, incarnation: last_incarnation + 1, life };
         let seeds: Vec<SocketAddr> = seeds.into_iter().filter(|seed| *seed != address).collect();
         let mut chance = ChaCha8Rng::seed_from_u64(seed);
         // Processes that are started at one time need not ask at one time ever after.
         let mut first = |span: f64| now + chance.random::<f64>() * span;
-        let (next_probe, next_compare) = (first(times.period), first(times.compare));
-        let next_ask_again = first(times.ask_again);
+        let (next_probe, next_compare) = (first(times.probe_period), first(times.sync_interval));
+        let next_ask_again = first(times.reconnect_interval);
         let state = if seeds.is_empty() { State::Member } else { State::Joining };
-        let keep = Out::Keep(me.incarnation);
+        let keep = Action::PersistIncarnation(me.incarnation);
         Ok(Self {
             installation,
             seeds,
@@ -165,23 +165,23 @@
     }
 
     /// How long it waits for an answer, and the shortest time that a suspicion lasts as things are, ms.
-    pub fn weather(&self) -> (f64, f64) {
+    pub fn timeouts(&self) -> (f64, f64) {
         (self.wait(), self.shortest())
     }
 
     /// Since when it has heard nobody, if it is deaf.
-    pub fn deaf_since(&self) -> Option<f64> {
+    pub fn isolated_since(&self) -> Option<f64> {
         self.deafness.since()
     }
 
     /// May it act on its view? Not before it has joined, not after it stood still until another has confirmed its view,
     /// not while it hears nobody.
-    pub fn is_sure(&self) -> bool {
+    pub fn is_view_confirmed(&self) -> bool {
         self.state == State::Member && self.doubt.is_none() && self.deafness.since().is_none()
     }
 
     /// The sum of its view: equal at two processes that agree on who is here.
-    pub fn sum(&self) -> u32 {
+    pub fn view_checksum(&self) -> u32 {
         self.table.sum(&self.me, self.state == State::Member)
     }
 
@@ -207,7 +207,7 @@
     }
 
     /// What has to be done outside now.
-    pub fn take_out(&mut self) -> Vec<Out> {
+    pub fn take_actions(&mut self) -> Vec<Action> {
         // What was due before the last call and is not done yet is no later for that: counted once.
         self.expected = self.due().max(self.called);
         std::mem::take(&mut self.out)
@@ -231,7 +231,7 @@
     ///
     /// # Errors
     /// Why it was dropped; that is counted.
-    pub fn heard(&mut self, bytes: &[u8], now: f64) -> Result<(), Refusal> {
+    pub fn receive_bytes(&mut self, bytes: &[u8], now: f64) -> Result<(), DecodeError> {
         self.notice_standstill(now);
         let decoded = decode(bytes, &self.installation);
         match decoded {
@@ -242,9 +242,9 @@
             }
             Err(refusal) => {
                 *match refusal {
-                    Refusal::Foreign => &mut self.counts.foreign,
-                    Refusal::Garbled => &mut self.counts.garbled,
-                    Refusal::Elsewhere => &mut self.counts.elsewhere,
+                    DecodeError::Foreign => &mut self.counts.foreign,
+                    DecodeError::Garbled => &mut self.counts.garbled,
+                    DecodeError::Elsewhere => &mut self.counts.elsewhere,
                 } += 1;
                 Err(refusal)
             }
@@ -252,19 +252,19 @@
     }
 
     /// The kernel of that life says that nothing listens there any more.
-    pub fn ended(&mut self, name: &str, life: u64, now: f64) {
+    pub fn process_ended(&mut self, name: &str, life: u64, now: f64) {
         self.notice_standstill(now);
-        let fits = |member: &&Member| member.card.life == life && member.standing < Standing::Ended;
+        let fits = |member: &&Member| member.card.life == life && member.status < Status::Ended;
         if self.state == State::Member
             && let Some(member) = self.table.get(name).filter(fits)
         {
-            let news = News::of(&member.card, Standing::Ended);
+            let news = Update::of(&member.card, Status::Ended);
             self.learn(news, None, now);
         }
     }
 
     /// A link brought something fresh from that life; with a round trip, ms, if it was an answer to us.
-    pub fn link_heard(&mut self, name: &str, life: u64, round_trip: Option<f64>, now: f64) {
+    pub fn link_active(&mut self, name: &str, life: u64, round_trip: Option<f64>, now: f64) {
         self.notice_standstill(now);
         let Some(member) = self.table.get_mut(name).filter(|member| member.card.life == life) else { return };
         member.heard = now;
@@ -279,9 +279,9 @@
     pub fn leave(&mut self, now: f64) {
         self.notice_standstill(now);
         if self.state == State::Member {
-            self.spread.put(News::of(&self.me, Standing::Left), self.table.size());
-            for card in self.table.some(&mut self.chance, GOODBYES, Member::is_here) {
-                self.send(&To::card(&card), Body::Bye);
+            self.spread.put(Update::of(&self.me, Status::Left), self.table.size());
+            for card in self.table.some(&mut self.chance, GOODBYES, Member::is_present) {
+                self.send(&Destination::card(&card), Body::Bye);
             }
         }
         self.state = State::Left;
@@ -297,10 +297,10 @@
             self.suspicions.values_mut().for_each(|suspicion| suspicion.put_off(late));
             self.worsen_local_health();
             if self.table.here().next().is_some() {
-                self.out.push(Out::Changed(Change::Doubts { stood: late }));
+                self.out.push(Action::Changed(Change::Doubts { stood: late }));
                 self.doubt = Some(Doubt { question: self.questions + 1, next: now });
             }
-        } else if late > LATE * self.times.period && self.state == State::Member {
+        } else if late > LATE * self.times.probe_period && self.state == State::Member {
             self.worsen_local_health();
         }
         self.expected = f64::INFINITY;
--- a/crates/pearfront-membership/src/core/interface.rs
+++ b/crates/pearfront-membership/src/core/interface.rs
@@ -1,6 +1,6 @@
 //! What the state machine is given at its start, and what it hands out.
 
-use crate::member::{Card, Standing};
+use crate::member::{Card, Status};
 use std::net::SocketAddr;
 
 /// Who this process is, from its file and folder.
@@ -13,7 +13,7 @@
     /// Drawn at this start, from outside: two processes of one name must not draw alike.
     pub life: u64,
     /// The highest incarnation that the folder says was used; 0 if there is none.
-    pub kept: u64,
+    pub last_incarnation: u64,
 }
 
 /// What this process is to the others.
@@ -31,14 +31,14 @@
 
 /// Where something goes. A name may have an address of its own at the sender.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct To {
+pub struct Destination {
     pub name: Option<String>,
     /// The process that is meant, if it is known: two may claim one name.
     pub life: Option<u64>,
     pub address: SocketAddr,
 }
 
-impl To {
+impl Destination {
     pub(crate) fn card(card: &Card) -> Self {
         Self { name: Some(card.name.clone()), life: Some(card.life), address: card.address }
     }
@@ -46,18 +46,18 @@
 
 /// What is to be done outside, in this order.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Out {
+pub enum Action {
     Datagram {
-        to: To,
+        to: Destination,
         bytes: Vec<u8>,
     },
     /// One frame on a stream.
     Frame {
-        to: To,
+        to: Destination,
         bytes: Vec<u8>,
     },
     /// The incarnation that is used from now on, for the folder.
-    Keep(u64),
+    PersistIncarnation(u64),
     Changed(Change),
 }
 
@@ -97,7 +97,7 @@
     },
     /// This process was held to be this, and has said otherwise under a higher incarnation.
     Refuted {
-        was: Standing,
+        was: Status,
         incarnation: u64,
     },
     /// It stood still for so long, ms: what it believes is old.
--- a/crates/pearfront-membership/src/core/joining.rs
+++ b/crates/pearfront-membership/src/core/joining.rs
@@ -1,7 +1,7 @@
 //! Joining by the seeds, admitting others, and names that two processes claim.
 
-use super::{Change, Membership, Out, State, To};
-use crate::member::{Card, News, Standing};
+use super::{Action, Change, Destination, Membership, State};
+use crate::member::{Card, Status, Update};
 use crate::message::Body;
 use crate::times::{JOIN_AGAIN, JOIN_SELDOM};
 use rand::prelude::Rng;
@@ -13,7 +13,7 @@
         self.join_pause = (self.join_pause * 1.5).min(JOIN_SELDOM);
         for address in self.seeds.clone() {
             let question = self.next_question();
-            self.send_frame(&To { name: None, life: None, address }, Body::Join { question });
+            self.send_frame(&Destination { name: None, life: None, address }, Body::Join { question });
         }
     }
 
@@ -23,24 +23,24 @@
         if card.name == self.me.name {
             self.note_claim(&card);
             let by = self.me.clone();
-            return self.send_frame(&To::card(&card), Body::Taken { by });
+            return self.send_frame(&Destination::card(&card), Body::Taken { by });
         }
-        let known = self.table.get(&card.name).map(|member| (member.card.clone(), member.is_here()));
+        let known = self.table.get(&card.name).map(|member| (member.card.clone(), member.is_present()));
         if let Some((holder, here)) = &known
             && holder.life != card.life
         {
             if *here && holder.address != card.address {
-                self.send(&To::card(holder), Body::Claimed { by: card.clone() });
-                return self.send_frame(&To::card(&card), Body::Taken { by: holder.clone() });
+                self.send(&Destination::card(holder), Body::Claimed { by: card.clone() });
+                return self.send_frame(&Destination::card(&card), Body::Taken { by: holder.clone() });
             }
             // What is over must not count more than what is new: it goes on above it.
             let incarnation = card.incarnation.max(holder.incarnation + 1);
-            self.learn(News::of(&Card { incarnation, ..card.clone() }, Standing::Alive), None, now);
+            self.learn(Update::of(&Card { incarnation, ..card.clone() }, Status::Alive), None, now);
         } else {
-            self.learn(News::of(&card, Standing::Alive), None, now);
+            self.learn(Update::of(&card, Status::Alive), None, now);
         }
         self.become_member();
-        self.send_view(&To::card(&card), Some(question), false);
+        self.send_view(&Destination::card(&card), Some(question), false);
     }
 
     /// Now it is a member, and says so.
@@ -48,15 +48,15 @@
         if matches!(self.state, State::Joining | State::Barred { .. }) {
             self.state = State::Member;
             self.join_pause = JOIN_AGAIN;
-            self.out.push(Out::Changed(Change::Joined));
-            self.spread.put(News::of(&self.me, Standing::Alive), self.table.size());
+            self.out.push(Action::Changed(Change::Joined));
+            self.spread.put(Update::of(&self.me, Status::Alive), self.table.size());
         }
     }
 
     /// Another process holds its name: it takes no part, and asks again later.
     pub(super) fn stop_as_barred(&mut self, by: Card, now: f64) {
         if !matches!(&self.state, State::Barred { by: known } if known.life == by.life) {
-            self.out.push(Out::Changed(Change::Barred { by: by.clone() }));
+            self.out.push(Action::Changed(Change::Barred { by: by.clone() }));
             self.join_from = self.questions + 1;
         }
         self.state = State::Barred { by };
@@ -69,7 +69,7 @@
     pub(super) fn note_claim(&mut self, by: &Card) {
         if self.claimed_by != Some(by.life) {
             self.claimed_by = Some(by.life);
-            self.out.push(Out::Changed(Change::Claimed { by: by.clone() }));
+            self.out.push(Action::Changed(Change::Claimed { by: by.clone() }));
         }
     }
 }
--- a/crates/pearfront-membership/src/core/receiving.rs
+++ b/crates/pearfront-membership/src/core/receiving.rs
@@ -1,7 +1,7 @@
 //! Packets that arrive: what the sender says of itself, the news that they carry, and the response.
 
-use super::{Change, Membership, Out, State, To};
-use crate::member::{Card, News, Standing};
+use super::{Action, Change, Destination, Membership, State};
+use crate::member::{Card, Status, Update};
 use crate::message::{Body, Packet};
 
 impl Membership {
@@ -47,17 +47,17 @@
             return true;
         }
         if from.name == self.me.name {
-            self.learn_of_self(News::of(from, Standing::Alive), now);
+            self.learn_of_self(Update::of(from, Status::Alive), now);
             return false;
         }
         if !matches!(body, Body::Bye) {
-            self.learn(News::of(from, Standing::Alive), None, now);
+            self.learn(Update::of(from, Status::Alive), None, now);
         }
         let Some(member) = self.table.get_mut(&from.name) else { return true };
         let held = member.card.clone();
         if held.life != from.life {
             self.counts.outdated += 1;
-            self.send(&To::card(from), Body::Claimed { by: held });
+            self.send(&Destination::card(from), Body::Claimed { by: held });
             return false;
         }
         if number > member.number {
@@ -73,13 +73,13 @@
     /// Something was heard: it is not deaf.
     pub(crate) fn note_heard(&mut self, now: f64) {
         if self.deafness.hears(now) {
-            self.out.push(Out::Changed(Change::Hears));
+            self.out.push(Action::Changed(Change::Hears));
         }
     }
 
     /// Acts on the message of a packet.
     fn respond(&mut self, from: Card, body: Body, now: f64) {
-        let to = To::card(&from);
+        let to = Destination::card(&from);
         match body {
             Body::Ping { question } => self.send_about(&to, Body::Ack { question }, Some(&from.name)),
             Body::Ack { question } => self.acked(&from, question, now),
@@ -87,8 +87,8 @@
             Body::NotYet { question, heard_ago } => self.not_yet(question, heard_ago, now),
             Body::Join { question } => self.admit(from, question, now),
             Body::Taken { .. } => {}
-            Body::Claimed { by } => self.learn_of_self(News::of(&by, Standing::Alive), now),
-            Body::Compare { question, sum } if sum == self.sum() => {
+            Body::Claimed { by } => self.learn_of_self(Update::of(&by, Status::Alive), now),
+            Body::Compare { question, sum } if sum == self.view_checksum() => {
                 self.send_frame(&to, Body::Same { question });
             }
             Body::Compare { question, .. } => self.send_view(&to, Some(question), true),
@@ -111,7 +111,7 @@
                     self.send_view(&to, None, false);
                 }
             }
-            Body::Bye => self.learn(News::of(&from, Standing::Left), None, now),
+            Body::Bye => self.learn(Update::of(&from, Status::Left), None, now),
         }
     }
 }
--- a/crates/pearfront-membership/src/core/sending.rs
+++ b/crates/pearfront-membership/src/core/sending.rs
@@ -1,27 +1,33 @@
 //! Datagrams with news on them, and frames.
 
-use super::{Change, Membership, Out, To};
-use crate::member::{Member, News, Standing};
-use crate::message::{Body, LONGEST_DATAGRAM, LONGEST_FRAME, Packet, size};
+use super::{Action, Change, Destination, Membership};
+use crate::member::{Member, Status, Update};
+use crate::message::{Body, MAX_DATAGRAM_BYTES, MAX_FRAME_BYTES, Packet, size};
 
 impl Membership {
     /// A datagram with as much news as fits.
-    pub(crate) fn send(&mut self, to: &To, body: Body) {
+    pub(crate) fn send(&mut self, to: &Destination, body: Body) {
         self.send_with(to, body, Vec::new(), None);
     }
 
     /// The same, first of all with what is held of the receiver, if that is not that it is alive: nobody else needs to
     /// hear it as soon (Lifeguard's buddy).
-    pub(crate) fn send_about(&mut self, to: &To, body: Body, name: Option<&str>) {
+    pub(crate) fn send_about(&mut self, to: &Destination, body: Body, name: Option<&str>) {
         let held = name.and_then(|name| self.table.get(name));
-        let held = held.filter(|member| member.standing != Standing::Alive).map(Member::news);
+        let held = held.filter(|member| member.status != Status::Alive).map(Member::news);
         self.send_with(to, body, held.into_iter().collect(), name);
     }
 
     /// A datagram with this news first, and as much other news as fits.
-    pub(super) fn send_with(&mut self, to: &To, body: Body, mut first: Vec<News>, name: Option<&str>) {
+    pub(super) fn send_with(
+        &mut self,
+        to: &Destination,
+        body: Body,
+        mut first: Vec<Update>,
+        name: Option<&str>,
+    ) {
         let mut packet = self.packet(body);
-        let room = LONGEST_DATAGRAM.saturating_sub(packet.encode().len() + 2);
+        let room = MAX_DATAGRAM_BYTES.saturating_sub(packet.encode().len() + 2);
         let used: usize = first.iter().map(size).sum();
         let told = first.iter().any(|news| name.is_some_and(|name| news.card.name == name));
         let more = self.spread.take(room.saturating_sub(used));
@@ -30,7 +36,7 @@
         let bytes = packet.encode();
         self.counts.datagrams_out += 1;
         self.counts.bytes_out += bytes.len() as u64;
-        self.out.push(Out::Datagram { to: to.clone(), bytes });
+        self.out.push(Action::Datagram { to: to.clone(), bytes });
     }
 
     /// A packet with the next number, without news so far.
@@ -41,24 +47,24 @@
     }
 
     /// Sends one frame on a stream.
-    pub(crate) fn send_frame(&mut self, to: &To, body: Body) {
+    pub(crate) fn send_frame(&mut self, to: &Destination, body: Body) {
         let bytes = self.packet(body).encode();
         // A view that does not fit is not sent: the bound on members keeps it from being.
-        if bytes.len() <= LONGEST_FRAME {
+        if bytes.len() <= MAX_FRAME_BYTES {
             self.counts.frames_out += 1;
             self.counts.bytes_out += bytes.len() as u64;
-            self.out.push(Out::Frame { to: to.clone(), bytes });
+            self.out.push(Action::Frame { to: to.clone(), bytes });
         }
     }
 
     /// Sends the whole view; `back` asks for the view of the other.
-    pub(crate) fn send_view(&mut self, to: &To, answers: Option<u64>, back: bool) {
-        let members = self.table.view(&self.me, Standing::Alive);
+    pub(crate) fn send_view(&mut self, to: &Destination, answers: Option<u64>, back: bool) {
+        let members = self.table.view(&self.me, Status::Alive);
         self.send_frame(to, Body::View { answers, back, members });
     }
 
     /// Tells the rest of the program of a change.
     pub(crate) fn changed(&mut self, change: Change) {
-        self.out.push(Out::Changed(change));
+        self.out.push(Action::Changed(change));
     }
 }
--- a/crates/pearfront-membership/src/lib.rs
+++ b/crates/pearfront-membership/src/lib.rs
@@ -13,7 +13,7 @@
 mod table;
 mod times;
 
-pub use core::{Change, Counts, Identity, Membership, Out, State, To};
-pub use member::{Card, Member, News, Standing};
-pub use message::{Decoded, LONGEST_DATAGRAM, LONGEST_FRAME, Refusal, decode};
+pub use core::{Action, Change, Counts, Destination, Identity, Membership, State};
+pub use member::{Card, Member, Status, Update};
+pub use message::{DecodeError, Decoded, MAX_DATAGRAM_BYTES, MAX_FRAME_BYTES, decode};
 pub use times::Times;
--- a/crates/pearfront-membership/src/member.rs
+++ b/crates/pearfront-membership/src/member.rs
@@ -5,7 +5,7 @@
 
 /// The ladder that the rest of the program builds on, in the order in which news of one incarnation count.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Standing {
+pub enum Status {
     Alive,
     /// It did not answer; nothing is taken from it for that.
     Suspect,
@@ -17,19 +17,19 @@
     Left,
 }
 
-impl Standing {
+impl Status {
     /// Is it held to be there?
-    pub fn is_here(self) -> bool {
-        matches!(self, Standing::Alive | Standing::Suspect)
+    pub fn is_present(self) -> bool {
+        matches!(self, Status::Alive | Status::Suspect)
     }
 
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Standing::Alive => "alive",
-            Standing::Suspect => "suspect",
-            Standing::Silent => "silent",
-            Standing::Ended => "ended",
-            Standing::Left => "left",
+            Status::Alive => "alive",
+            Status::Suspect => "suspect",
+            Status::Silent => "silent",
+            Status::Ended => "ended",
+            Status::Left => "left",
         }
     }
 }
@@ -47,29 +47,29 @@
 
 /// What is said about a member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct Update {
     pub card: Card,
-    pub standing: Standing,
+    pub status: Status,
     /// Who suspects it, of a suspicion: several who do are more than one that is repeated.
     pub by: Option<String>,
 }
 
-impl News {
-    pub fn of(card: &Card, standing: Standing) -> Self {
-        Self { card: card.clone(), standing, by: None }
+impl Update {
+    pub fn of(card: &Card, status: Status) -> Self {
+        Self { card: card.clone(), status, by: None }
     }
 
     /// Does it count more than what is known? The higher incarnation does; within one life and incarnation the later
     /// word of the ladder. Two lives of one incarnation (a name that was given twice while a cut lay between) are
     /// decided by the smaller number, so that all choose alike.
-    pub fn beats(&self, known: &Card, standing: Standing) -> bool {
+    pub fn beats(&self, known: &Card, status: Status) -> bool {
         if self.card.incarnation != known.incarnation {
             return self.card.incarnation > known.incarnation;
         }
         if self.card.life != known.life {
             return self.card.life < known.life;
         }
-        self.standing > standing
+        self.status > status
     }
 }
 
@@ -77,7 +77,7 @@
 #[derive(Debug, Clone)]
 pub struct Member {
     pub card: Card,
-    pub standing: Standing,
+    pub status: Status,
     /// When it came to stand so, on this process's clock.
     pub since: f64,
     /// When anything fresh was heard from itself, by datagram or link; negative infinity if never.
@@ -96,11 +96,11 @@
 }
 
 impl Member {
-    pub(crate) fn new(card: Card, standing: Standing, now: f64) -> Self {
+    pub(crate) fn new(card: Card, status: Status, now: f64) -> Self {
         let never = f64::NEG_INFINITY;
         Self {
             card,
-            standing,
+            status,
             since: now,
             heard: never,
             vouched: never,
@@ -111,12 +111,12 @@
         }
     }
 
-    pub fn is_here(&self) -> bool {
-        self.standing.is_here()
+    pub fn is_present(&self) -> bool {
+        self.status.is_present()
     }
 
     /// Its news, as it stands.
-    pub fn news(&self) -> News {
-        News::of(&self.card, self.standing)
+    pub fn news(&self) -> Update {
+        Update::of(&self.card, self.status)
     }
 }
--- a/crates/pearfront-membership/src/message.rs
+++ b/crates/pearfront-membership/src/message.rs
@@ -1,13 +1,13 @@
 //! The wire: one packet a datagram or frame. `decode` is the only way in, and takes nothing on trust.
 
-use crate::member::{Card, News};
-use crate::times::{LONGEST_NAME, LONGEST_ZONE};
+use crate::member::{Card, Update};
+use crate::times::{MAX_NAME_BYTES, MAX_ZONE_BYTES};
 use serde::{Deserialize, Serialize};
 
 /// Bytes of a datagram at the most: under what every path carries whole.
-pub const LONGEST_DATAGRAM: usize = 1200;
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
 /// Bytes of a frame on a stream at the most: the whole view of the largest installation, with the longest names.
-pub const LONGEST_FRAME: usize = 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 1024 * 1024;
 /// In front of each packet: what it is, and the version of its form.
 const MARK: [u8; 3] = [b'p', b'm', 1];
 /// Mark, check sum.
@@ -57,7 +57,7 @@
     View {
         answers: Option<u64>,
         back: bool,
-        members: Vec<News>,
+        members: Vec<Update>,
     },
     Bye,
 }
@@ -69,12 +69,12 @@
     /// Rises with each packet of a life.
     pub number: u64,
     pub body: Body,
-    pub news: Vec<News>,
+    pub news: Vec<Update>,
 }
 
 /// Why bytes were dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Refusal {
+pub enum DecodeError {
     /// Not ours, or another version.
     Foreign,
     /// Cut, changed on the way, or no packet.
@@ -90,7 +90,7 @@
 impl Packet {
     /// All cards in it.
     fn cards(&self) -> impl Iterator<Item = &Card> {
-        let body: (&[News], Option<&Card>) = match &self.body {
+        let body: (&[Update], Option<&Card>) = match &self.body {
             Body::View { members, .. } => (members, None),
             Body::Ask { card, .. } => (&[], Some(card)),
             Body::Taken { by } | Body::Claimed { by } => (&[], Some(by)),
@@ -112,32 +112,32 @@
 }
 
 /// Bytes that a piece of news takes in a packet.
-pub(crate) fn size(news: &News) -> usize {
-    postcard::experimental::serialized_size(news).unwrap_or(LONGEST_DATAGRAM)
+pub(crate) fn size(news: &Update) -> usize {
+    postcard::experimental::serialized_size(news).unwrap_or(MAX_DATAGRAM_BYTES)
 }
 
 /// Reads one datagram or frame.
 ///
 /// # Errors
 /// Why it is dropped; nothing of it counts then.
-pub fn decode(bytes: &[u8], installation: &str) -> Result<Decoded, Refusal> {
+pub fn decode(bytes: &[u8], installation: &str) -> Result<Decoded, DecodeError> {
     if bytes.len() < HEAD || bytes[..MARK.len()] != MARK {
-        return Err(Refusal::Foreign);
+        return Err(DecodeError::Foreign);
     }
     let (sum, rest) = bytes[MARK.len()..].split_at(4);
     if crc32c::crc32c(rest).to_le_bytes() != sum {
-        return Err(Refusal::Garbled);
+        return Err(DecodeError::Garbled);
     }
-    let (packet, left): (Packet, _) = postcard::take_from_bytes(rest).map_err(|_| Refusal::Garbled)?;
+    let (packet, left): (Packet, _) = postcard::take_from_bytes(rest).map_err(|_| DecodeError::Garbled)?;
     if !left.is_empty() || !packet.cards().all(fits) {
-        return Err(Refusal::Garbled);
+        return Err(DecodeError::Garbled);
     }
     if packet.installation != installation {
-        return Err(Refusal::Elsewhere);
+        return Err(DecodeError::Elsewhere);
     }
     Ok(Decoded(packet))
 }
 
 fn fits(card: &Card) -> bool {
-    !card.name.is_empty() && card.name.len() <= LONGEST_NAME && card.zone.len() <= LONGEST_ZONE
+    !card.name.is_empty() && card.name.len() <= MAX_NAME_BYTES && card.zone.len() <= MAX_ZONE_BYTES
 }
--- a/crates/pearfront-membership/src/probe.rs
+++ b/crates/pearfront-membership/src/probe.rs
@@ -4,8 +4,8 @@
 //! ask; only those whose own probe failed answer it, and each asks a last time before it does. So a process that stood
 //! still for as long as a suspicion lasts is found out to be there by the last call, not buried by a clock.
 
-use crate::core::{Change, Membership, State, To, smoothed};
-use crate::member::{Card, News, Standing};
+use crate::core::{Change, Destination, Membership, State, smoothed};
+use crate::member::{Card, Status, Update};
 use crate::message::Body;
 use crate::times::{CONFIRMATIONS, HELPERS, UNSHARED};
 use rand::seq::SliceRandom;
@@ -37,7 +37,7 @@
 
 /// A question asked for another.
 pub(crate) struct Relay {
-    asker: To,
+    asker: Destination,
     question: u64,
     until: f64,
 }
@@ -71,17 +71,17 @@
     /// How long an answer is waited for: a usual round trip with room, as TCP has it.
     pub(crate) fn wait(&self) -> f64 {
         let usual = self.trip.map_or(0.0, |(mean, deviation)| mean + 4.0 * deviation);
-        self.times.answer.max(usual)
+        self.times.probe_timeout.max(usual)
     }
 
     /// How long a probe takes at the most.
     fn span(&self) -> f64 {
-        self.times.period.max(2.5 * self.wait()) * (1.0 + f64::from(self.health) / 4.0)
+        self.times.probe_period.max(2.5 * self.wait()) * (1.0 + f64::from(self.health) / 4.0)
     }
 
     /// The shortest time that a suspicion lasts, by the weather and by own health.
     pub(crate) fn shortest(&self) -> f64 {
-        let weather = 4.0 * (self.wait() - self.times.answer);
+        let weather = 4.0 * (self.wait() - self.times.probe_timeout);
         self.times.suspicion * (1.0 + f64::from(self.health) / 8.0) + weather
     }
 
@@ -125,7 +125,7 @@
             }
         }
         if now >= self.next_probe {
-            self.next_probe = now + self.times.period * (1.0 + f64::from(self.health) / 4.0);
+            self.next_probe = now + self.times.probe_period * (1.0 + f64::from(self.health) / 4.0);
             self.begin_probe(now);
         }
     }
@@ -134,7 +134,7 @@
     fn next_target(&mut self) -> Option<Card> {
         for _ in 0..2 {
             while let Some(name) = self.round.pop() {
-                if let Some(member) = self.table.get(&name).filter(|member| member.is_here()) {
+                if let Some(member) = self.table.get(&name).filter(|member| member.is_present()) {
                     return Some(member.card.clone());
                 }
             }
@@ -153,7 +153,7 @@
         let (helpers_at, ends) = (now + self.wait(), now + self.span());
         let name = card.name.clone();
         self.probes.insert(question, Probe { name, began: now, helpers_at, ends, asked: 0, not_yet: 0 });
-        self.send_about(&To::card(&card), Body::Ping { question }, Some(&card.name));
+        self.send_about(&Destination::card(&card), Body::Ping { question }, Some(&card.name));
     }
 
     fn ask_helpers(&mut self, question: u64) {
@@ -167,10 +167,10 @@
 
     fn ask_others(&mut self, name: &str, question: u64) -> usize {
         let Some(card) = self.table.get(name).map(|member| member.card.clone()) else { return 0 };
-        let fits = |member: &crate::Member| member.standing == Standing::Alive && member.card.name != name;
+        let fits = |member: &crate::Member| member.status == Status::Alive && member.card.name != name;
         let helpers = self.table.some(&mut self.chance, HELPERS, fits);
         for helper in &helpers {
-            self.send(&To::card(helper), Body::Ask { question, card: card.clone() });
+            self.send(&Destination::card(helper), Body::Ask { question, card: card.clone() });
         }
         helpers.len()
     }
@@ -220,7 +220,7 @@
     }
 
     /// Tries one for another, and says at once that it was asked and when it last heard that one.
-    pub(crate) fn try_for(&mut self, asker: To, question: u64, card: Card, now: f64) {
+    pub(crate) fn try_for(&mut self, asker: Destination, question: u64, card: Card, now: f64) {
         let heard = self.table.get(&card.name).map_or(f64::NEG_INFINITY, |member| member.heard);
         let ago = (now - heard).clamp(0.0, f64::from(u32::MAX));
         let heard_ago = heard.is_finite().then_some(ago as u32);
@@ -232,7 +232,7 @@
         let own = self.next_question();
         let until = now + RELAY_WAITS * self.span();
         self.relays.insert(own, Relay { asker, question, until });
-        self.send_about(&To::card(&card), Body::Ping { question: own }, Some(&card.name));
+        self.send_about(&Destination::card(&card), Body::Ping { question: own }, Some(&card.name));
     }
 
     /// A helper heard us. If it heard the other a moment ago, so much is known of that one: it can't be silent.
@@ -256,9 +256,9 @@
             return;
         }
         let me = self.me.name.clone();
-        let Some(member) = self.table.get(name).filter(|member| member.is_here()) else { return };
-        let news = News { card: member.card.clone(), standing: Standing::Suspect, by: Some(me.clone()) };
-        if member.standing == Standing::Alive {
+        let Some(member) = self.table.get(name).filter(|member| member.is_present()) else { return };
+        let news = Update { card: member.card.clone(), status: Status::Suspect, by: Some(me.clone()) };
+        if member.status == Status::Alive {
             self.counts.suspicions += 1;
             self.apply(news.clone(), None, now);
         } else if self.suspicions.get(name).is_some_and(|suspicion| !suspicion.accusers.contains(&me)) {
@@ -270,14 +270,14 @@
         }
     }
 
-    pub(crate) fn suspect_told(&mut self, news: &News, now: f64) {
+    pub(crate) fn suspect_told(&mut self, news: &Update, now: f64) {
         let accusers = news.by.iter().cloned().collect();
         let suspicion = Suspicion { began: now, accusers, own: false, call: None };
         self.suspicions.insert(news.card.name.clone(), suspicion);
     }
 
     /// One more who suspects it; passed on, as far as that shortens anything.
-    pub(crate) fn shared(&mut self, news: News) {
+    pub(crate) fn shared(&mut self, news: Update) {
         let (Some(by), Some(suspicion)) = (&news.by, self.suspicions.get_mut(&news.card.name)) else {
             return;
         };
@@ -320,8 +320,8 @@
         if let Some(suspicion) = self.suspicions.get_mut(name) {
             suspicion.call = Some(Call { question, began: now, ends });
         }
-        self.send_about(&To::card(&card), Body::Ping { question }, Some(name));
-        self.send_view(&To::card(&card), None, true);
+        self.send_about(&Destination::card(&card), Body::Ping { question }, Some(name));
+        self.send_view(&Destination::card(&card), None, true);
         self.ask_others(name, question);
     }
 
@@ -337,7 +337,7 @@
             }
             return;
         }
-        self.apply(News::of(&card, Standing::Silent), None, now);
+        self.apply(Update::of(&card, Status::Silent), None, now);
         if self.deafness.since().is_some() {
             // What a deaf process takes from the silence is its own affair.
             self.spread.withdraw(name);
--- a/crates/pearfront-membership/src/spread.rs
+++ b/crates/pearfront-membership/src/spread.rs
@@ -1,13 +1,13 @@
 //! News on their way: what still has to be told, how often it was, and what of it fits a datagram.
 
-use crate::member::News;
+use crate::member::Update;
 use crate::message::size;
 use crate::times::SPREAD;
 use std::collections::BTreeMap;
 
 /// A piece of news that goes out with what is sent anyway.
 struct Waiting {
-    news: News,
+    news: Update,
     size: usize,
     /// How often it was sent, and how often it has to be.
     sent: u32,
@@ -22,12 +22,12 @@
 }
 
 impl Spread {
-    pub fn put(&mut self, news: News, members: usize) {
+    pub fn put(&mut self, news: Update, members: usize) {
         let most = (SPREAD * (members as f64 + 1.0).log2()).ceil().max(3.0) as u32;
         let size = size(&news);
         let about = &news.card;
         let overtaken =
-            |old: &News| news.by.is_none() || old.card.incarnation != about.incarnation || old.by.is_none();
+            |old: &Update| news.by.is_none() || old.card.incarnation != about.incarnation || old.by.is_none();
         self.waiting.retain(|(name, _), old| *name != about.name || !overtaken(&old.news));
         self.waiting.insert((about.name.clone(), news.by.clone()), Waiting { news, size, sent: 0, most });
     }
@@ -38,7 +38,7 @@
     }
 
     /// What goes along with one packet of so many bytes: the least told first.
-    pub fn take(&mut self, mut room: usize) -> Vec<News> {
+    pub fn take(&mut self, mut room: usize) -> Vec<Update> {
         let mut order: Vec<_> =
             self.waiting.iter().map(|(about, waiting)| (waiting.sent, about.clone())).collect();
         order.sort();
--- a/crates/pearfront-membership/src/table.rs
+++ b/crates/pearfront-membership/src/table.rs
@@ -1,6 +1,6 @@
 //! Everyone else that this process knows of, in the order of names, bounded.
 
-use crate::member::{Card, Member, News, Standing};
+use crate::member::{Card, Member, Status, Update};
 use crate::times::MOST_MEMBERS;
 use rand::seq::{IteratorRandom, SliceRandom};
 use rand_chacha::ChaCha8Rng;
@@ -25,7 +25,7 @@
     }
 
     pub fn here(&self) -> impl Iterator<Item = &Member> {
-        self.all().filter(|member| member.is_here())
+        self.all().filter(|member| member.is_present())
     }
 
     /// How many are held to be there, and this process.
@@ -38,7 +38,7 @@
         if self.members.len() < MOST_MEMBERS {
             return true;
         }
-        let gone = self.all().filter(|member| !member.is_here());
+        let gone = self.all().filter(|member| !member.is_present());
         let oldest = gone.min_by(|a, b| a.since.total_cmp(&b.since)).map(|member| member.card.name.clone());
         oldest.is_some_and(|name| self.members.remove(&name).is_some())
     }
@@ -54,7 +54,7 @@
 
     /// Forgets those that have been gone for so long.
     pub fn forget(&mut self, before: f64) {
-        self.members.retain(|_, member| member.is_here() || member.since > before);
+        self.members.retain(|_, member| member.is_present() || member.since > before);
     }
 
     /// Some of those that fit, at random.
@@ -83,8 +83,8 @@
     }
 
     /// All there is to say, with those gone: the other may still hold them to be there.
-    pub fn view(&self, me: &Card, standing: Standing) -> Vec<News> {
-        let own = News::of(me, standing);
+    pub fn view(&self, me: &Card, status: Status) -> Vec<Update> {
+        let own = Update::of(me, status);
         std::iter::once(own).chain(self.all().map(Member::news)).collect()
     }
 }
--- a/crates/pearfront-membership/src/times.rs
+++ b/crates/pearfront-membership/src/times.rs
@@ -4,29 +4,29 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Times {
     /// Each process probes one other in this time: 5 probes and 5 answers a second bear the cost at any size.
-    pub period: f64,
+    pub probe_period: f64,
     /// Shortest wait for an answer before others are asked to try: far above a round trip inside a site.
-    pub answer: f64,
+    pub probe_timeout: f64,
     /// Shortest time from suspicion to the last call, where enough others agree: a pause of 3 s is borne, less the
     /// period in which the first probe failed.
     pub suspicion: f64,
     /// Time between two comparisons of the whole view with another process: what news missed is found so.
-    pub compare: f64,
+    pub sync_interval: f64,
     /// Time between two questions to one that is held to be gone: heals a cut in some of these.
-    pub ask_again: f64,
+    pub reconnect_interval: f64,
     /// How long those that are gone are remembered, so that old news can't bring them back: an hour.
-    pub remember: f64,
+    pub retention: f64,
 }
 
 impl Default for Times {
     fn default() -> Self {
         Self {
-            period: 200.0,
-            answer: 80.0,
+            probe_period: 200.0,
+            probe_timeout: 80.0,
             suspicion: 2800.0,
-            compare: 5000.0,
-            ask_again: 1000.0,
-            remember: 3_600_000.0,
+            sync_interval: 5000.0,
+            reconnect_interval: 1000.0,
+            retention: 3_600_000.0,
         }
     }
 }
@@ -56,5 +56,5 @@
 /// Members, with those gone, that are held at the most; further new ones are refused and counted.
 pub const MOST_MEMBERS: usize = 4096;
 /// Texts in a card, bytes: a name and a zone must leave room for news in a datagram.
-pub const LONGEST_NAME: usize = 64;
-pub const LONGEST_ZONE: usize = 32;
+pub const MAX_NAME_BYTES: usize = 64;
+pub const MAX_ZONE_BYTES: usize = 32;
--- a/crates/pearfront-membership/tests/wire.rs
+++ b/crates/pearfront-membership/tests/wire.rs
@@ -1,7 +1,7 @@
 //! What comes by the wire is taken on trust by nobody: cut, changed, foreign, old and doubled packets.
 
 use pearfront_membership::{
-    Identity, LONGEST_DATAGRAM, Membership, Out, Refusal, Standing, State, Times, decode,
+    Action, DecodeError, Identity, MAX_DATAGRAM_BYTES, Membership, State, Status, Times, decode,
 };
 use proptest::prelude::*;
 use std::net::SocketAddr;
@@ -17,14 +17,14 @@
         zone: "z".into(),
         address: address(number),
         life: u64::from(number) + 100,
-        kept: 0,
+        last_incarnation: 0,
     };
     Membership::new(identity, seeds, Times::default(), u64::from(number), 0.0).expect("a name that fits")
 }
 
-fn bytes(out: Vec<Out>) -> Vec<Vec<u8>> {
+fn bytes(out: Vec<Action>) -> Vec<Vec<u8>> {
     let sent = |out| match out {
-        Out::Datagram { bytes, .. } | Out::Frame { bytes, .. } => Some(bytes),
+        Action::Datagram { bytes, .. } | Action::Frame { bytes, .. } => Some(bytes),
         _ => None,
     };
     out.into_iter().filter_map(sent).collect()
@@ -34,36 +34,36 @@
 fn pair() -> (Membership, Membership, Vec<u8>) {
     let (mut one, mut other) = (core(1, "shop", vec![]), core(2, "shop", vec![address(1)]));
     other.tick(0.0);
-    for join in bytes(other.take_out()) {
-        one.heard(&join, 1.0).expect("a join");
+    for join in bytes(other.take_actions()) {
+        one.receive_bytes(&join, 1.0).expect("a join");
     }
-    for view in bytes(one.take_out()) {
-        other.heard(&view, 2.0).expect("a view");
+    for view in bytes(one.take_actions()) {
+        other.receive_bytes(&view, 2.0).expect("a view");
     }
     assert_eq!((one.state(), other.state()), (&State::Member, &State::Member));
     other.tick(300.0);
-    let ping = bytes(other.take_out()).into_iter().find(|bytes| bytes.len() < LONGEST_DATAGRAM);
+    let ping = bytes(other.take_actions()).into_iter().find(|bytes| bytes.len() < MAX_DATAGRAM_BYTES);
     (one, other, ping.expect("a ping"))
 }
 
 #[test]
 fn a_packet_of_another_installation_is_dropped_and_counted() {
     let (mut one, _, ping) = pair();
-    assert_eq!(decode(&ping, "other").err(), Some(Refusal::Elsewhere));
+    assert_eq!(decode(&ping, "other").err(), Some(DecodeError::Elsewhere));
     let mut stranger = core(3, "other", vec![address(1)]);
     stranger.tick(0.0);
-    let join = bytes(stranger.take_out()).remove(0);
-    assert_eq!(one.heard(&join, 10.0), Err(Refusal::Elsewhere));
+    let join = bytes(stranger.take_actions()).remove(0);
+    assert_eq!(one.receive_bytes(&join, 10.0), Err(DecodeError::Elsewhere));
     assert_eq!((one.counts().elsewhere, one.members().count()), (1, 1));
 }
 
 #[test]
 fn a_copy_of_a_datagram_is_no_sign_of_life() {
     let (mut one, _, ping) = pair();
-    one.heard(&ping, 300.0).expect("whole");
+    one.receive_bytes(&ping, 300.0).expect("whole");
     let heard = one.member("n2").expect("known").heard;
     for again in 1..50 {
-        one.heard(&ping, 300.0 + 100.0 * f64::from(again)).expect("whole");
+        one.receive_bytes(&ping, 300.0 + 100.0 * f64::from(again)).expect("whole");
     }
     assert_eq!(one.member("n2").expect("known").heard, heard);
     assert!(one.counts().outdated >= 49);
@@ -72,14 +72,14 @@
 #[test]
 fn a_datagram_of_a_life_that_is_over_brings_nobody_back() {
     let (mut one, _, ping) = pair();
-    one.ended("n2", 102, 400.0);
-    assert_eq!(one.member("n2").expect("known").standing, Standing::Ended);
-    one.heard(&ping, 500.0).expect("whole");
-    assert_eq!(one.member("n2").expect("known").standing, Standing::Ended);
+    one.process_ended("n2", 102, 400.0);
+    assert_eq!(one.member("n2").expect("known").status, Status::Ended);
+    one.receive_bytes(&ping, 500.0).expect("whole");
+    assert_eq!(one.member("n2").expect("known").status, Status::Ended);
     // Nor does proof of another life end this one.
     let (mut one, ..) = pair();
-    one.ended("n2", 999, 400.0);
-    assert_eq!(one.member("n2").expect("known").standing, Standing::Alive);
+    one.process_ended("n2", 999, 400.0);
+    assert_eq!(one.member("n2").expect("known").status, Status::Alive);
 }
 
 // Its own address may be among the seeds, also as another one that leads back to it.
@@ -87,10 +87,10 @@
 fn one_that_asks_itself_to_be_taken_in_goes_on_asking() {
     let mut one = core(1, "shop", vec![address(9)]);
     one.tick(0.0);
-    let join = bytes(one.take_out()).remove(0);
-    one.heard(&join, 1.0).expect("its own join");
+    let join = bytes(one.take_actions()).remove(0);
+    one.receive_bytes(&join, 1.0).expect("its own join");
     assert_eq!((one.state(), one.members().count()), (&State::Joining, 0));
-    assert!(bytes(one.take_out()).is_empty());
+    assert!(bytes(one.take_actions()).is_empty());
 }
 
 proptest! {
@@ -113,8 +113,8 @@
         } else {
             changed[at % ping.len()] ^= 1 << bit;
         }
-        let before = one.sum();
-        prop_assert!(one.heard(&changed, 300.0).is_err());
-        prop_assert_eq!(one.sum(), before);
+        let before = one.view_checksum();
+        prop_assert!(one.receive_bytes(&changed, 300.0).is_err());
+        prop_assert_eq!(one.view_checksum(), before);
     }
 }
--- a/crates/pearfront-node/src/admin.rs
+++ b/crates/pearfront-node/src/admin.rs
@@ -191,7 +191,7 @@
                 message::encode_conflict("that command does not want it")
             }
         }
-        AdminCall::Move { duty, to } => match cluster.order(&duty, to.as_deref()).await {
+        AdminCall::Move { duty, to } => match cluster.move_duty(&duty, to.as_deref()).await {
             Ok(told) => message::encode_view(&told),
             Err(problem) => message::encode_conflict(&problem),
         },
--- a/crates/pearfront-node/src/config.rs
+++ b/crates/pearfront-node/src/config.rs
@@ -89,7 +89,7 @@
     };
     let kept = if admin.is_some() { crate::admin::DESCRIPTORS } else { 0 };
     let cluster = top.maybe("cluster").map(|_| cluster(&json["cluster"])).transpose()?;
-    let kept = kept + if cluster.is_some() { Cluster::descriptors() } else { 0 };
+    let kept = kept + if cluster.is_some() { Cluster::max_descriptors() } else { 0 };
     let settings = top.needed("settings")?;
     let around = Surroundings::decode(&settings)?;
     let known = message::decode_known(&top.needed("known")?, &around)?;
