--- a/crates/pearfront-scale/src/measure/duties.rs
+++ b/crates/pearfront-scale/src/measure/duties.rs
@@ -3,8 +3,11 @@
 
 use crate::Point;
 use crate::clock::{Meter, memory_mb};
-use pearfront_consensus::{Kept, Message, Out, Times, Voter};
-use pearfront_duties::{Agent, AgentOut, Ask, Desk, DeskOut, Duties, Standing, Told, Want, Who, encode};
+use pearfront_consensus::{Action, Message, PersistentState, Times, Voter};
+use pearfront_duties::{
+    Agent, AgentAction, Duties, LeaseManager, LeaseRequest, LeaseResponse, ManagerAction, ProcessId, Rank,
+    Want, encode,
+};
 use std::collections::VecDeque;
 
 const VOTERS: usize = 3;
@@ -16,13 +19,13 @@
 
 enum Word {
     Log(Message),
-    Ask(Ask),
-    Told(Told),
+    Ask(LeaseRequest),
+    Told(LeaseResponse),
 }
 
 struct Seat {
     voter: Voter,
-    desk: Desk,
+    desk: LeaseManager,
     duties: Duties,
 }
 
@@ -50,12 +53,19 @@
     pub fn new(duties: usize, processes: usize) -> Self {
         let names: Vec<String> = (0..VOTERS).map(|place| format!("v{place}")).collect();
         let seat = |place: usize| Seat {
-            voter: Voter::new(&names[place], &names, Kept::default(), Times::default(), place as u64, 0.0),
-            desk: Desk::new(&names[place], pearfront_duties::Times::default()),
+            voter: Voter::new(
+                &names[place],
+                &names,
+                PersistentState::default(),
+                Times::default(),
+                place as u64,
+                0.0,
+            ),
+            desk: LeaseManager::new(&names[place], pearfront_duties::Times::default()),
             duties: Duties::default(),
         };
         let agent = |place: usize| {
-            let me = Who { name: format!("n{place}"), life: place as u64 };
+            let me = ProcessId { name: format!("n{place}"), life: place as u64 };
             Agent::new(me, &names, pearfront_duties::Times::default())
         };
         let mut world = Self {
@@ -68,10 +78,16 @@
         };
         for duty in 0..duties {
             for next in 0..WANT.min(processes) {
-                let standing = Standing { zone: next as u8, load: 0, wish: 0 };
+                let standing = Rank { zone: next as u8, load: 0, preference: 0 };
                 let name = format!("duty{duty}");
-                let want =
-                    Want { duty: name, most: 1, lease: LEASE, outlives: false, once_per: 0.0, standing };
+                let want = Want {
+                    duty: name,
+                    max_holders: 1,
+                    lease: LEASE,
+                    outlives_process: false,
+                    min_interval: 0.0,
+                    rank: standing,
+                };
                 // Not all at one instant.
                 world.agents[(duty + next) % processes].want(want, (duty % 97) as f64);
             }
@@ -81,7 +97,7 @@
 
     /// One voter's turn: what it wants done is done, and the time is the leader's if it leads.
     fn turn(&mut self, place: usize, call: impl FnOnce(&mut Seat, f64)) {
-        let (now, leads) = (self.now, self.seats[place].desk.leading());
+        let (now, leads) = (self.now, self.seats[place].desk.is_leading());
         let (seat, counts) = (&mut self.seats[place], &mut self.counts);
         let work = || {
             call(seat, now);
@@ -116,14 +132,14 @@
         let agent = &mut self.agents[place];
         call(agent, self.now);
         agent.tick(self.now);
-        for out in agent.take_out() {
+        for out in agent.take_actions() {
             match out {
-                AgentOut::Send { to, ask } => {
+                AgentAction::Send { to, request: ask } => {
                     let voter = to[1..].parse().unwrap_or(0);
                     self.send(Word::Ask(ask.clone()));
                     self.words.push_back((voter, Word::Ask(ask)));
                 }
-                AgentOut::Leave { duty, .. } => self.agents[place].give_up(&duty, false, self.now),
+                AgentAction::Leave { duty, .. } => self.agents[place].give_up(&duty, false, self.now),
                 _ => {}
             }
         }
@@ -133,11 +149,11 @@
         while self.now < end {
             while let Some((to, word)) = self.words.pop_front() {
                 match word {
-                    Word::Log(message) => self.turn(to, |seat, now| seat.voter.heard(message, now)),
+                    Word::Log(message) => self.turn(to, |seat, now| seat.voter.receive(message, now)),
                     Word::Ask(ask) => {
-                        self.turn(to, |seat, now| seat.desk.asked(ask, seat.voter.leader(), now))
+                        self.turn(to, |seat, now| seat.desk.receive(ask, seat.voter.leader(), now))
                     }
-                    Word::Told(told) => self.agent(to, |agent, now| agent.heard(told, now)),
+                    Word::Told(told) => self.agent(to, |agent, now| agent.receive(told, now)),
                 }
             }
             let seats = self.seats.iter().map(|seat| seat.voter.due().min(seat.desk.due()));
@@ -170,32 +186,34 @@
 fn settle(seat: &mut Seat, counts: &mut Counts, now: f64) -> Vec<Word> {
     let (mut sent, mut quiet) = (Vec::new(), false);
     while !quiet {
-        let out = seat.voter.take_out();
+        let out = seat.voter.take_actions();
         quiet = out.is_empty();
         for out in out {
             match out {
-                Out::Store { number, .. } => {
+                Action::Store { number, .. } => {
                     counts.syncs += 1;
-                    seat.voter.stored(number, now);
+                    seat.voter.on_stored(number, now);
                 }
-                Out::Send(message) => sent.push(Word::Log(message)),
-                Out::Commit(entry) => {
+                Action::Send(message) => sent.push(Word::Log(message)),
+                Action::Commit(entry) => {
                     let changes = seat.duties.apply(&entry.bytes);
                     seat.desk.applied(changes, &seat.duties, now);
                 }
-                Out::Read { read, .. } => seat.desk.read(read, true, &seat.duties, now),
-                Out::NoRead { read } => seat.desk.read(read, false, &seat.duties, now),
-                Out::Restore { .. } => {}
+                Action::ReadReady { read_id: read, .. } => {
+                    seat.desk.read_result(read, true, &seat.duties, now)
+                }
+                Action::ReadFailed { read_id: read } => seat.desk.read_result(read, false, &seat.duties, now),
+                Action::Restore { .. } => {}
             }
         }
-        let term = seat.voter.settled().then(|| seat.voter.term());
-        seat.desk.leads(term, &seat.duties, now);
-        for out in seat.desk.take_out() {
+        let term = seat.voter.has_committed_in_term().then(|| seat.voter.term());
+        seat.desk.set_leadership(term, &seat.duties, now);
+        for out in seat.desk.take_actions() {
             quiet = false;
             match out {
-                DeskOut::Propose(bytes) => drop(seat.voter.propose(bytes, now)),
-                DeskOut::Read(read) => seat.voter.read(read, now),
-                DeskOut::Tell(told) => sent.push(Word::Told(told)),
+                ManagerAction::Propose(bytes) => drop(seat.voter.propose(bytes, now)),
+                ManagerAction::Read(read) => seat.voter.request_read(read, now),
+                ManagerAction::Respond(told) => sent.push(Word::Told(told)),
             }
         }
     }
--- a/crates/pearfront-scale/src/measure/membership.rs
+++ b/crates/pearfront-scale/src/measure/membership.rs
@@ -4,7 +4,7 @@
 use crate::Point;
 use crate::clock::{Meter, memory_mb};
 use pearfront_emulator::agenda::Agenda;
-use pearfront_membership::{Identity, Membership, Out, Times, To};
+use pearfront_membership::{Action, Destination, Identity, Membership, Times};
 use rand::prelude::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeSet;
@@ -119,7 +119,7 @@
             zone: format!("z{}", place % ZONES),
             address: address(place),
             life: self.chance.random(),
-            kept,
+            last_incarnation: kept,
         };
         let seeds = vec![address(0), address(1)];
         match Membership::new(who, seeds, Times::default(), self.chance.random(), self.now) {
@@ -133,7 +133,7 @@
         let process = &mut self.processes[place];
         let work = |core: &mut Membership| {
             call(core, now);
-            (core.take_out(), core.due().max(now))
+            (core.take_actions(), core.due().max(now))
         };
         let (out, due) = if process.metered {
             self.meter.take(|| work(&mut process.core))
@@ -146,15 +146,15 @@
         }
         for out in out {
             match out {
-                Out::Datagram { to, bytes } => self.send(place, &to, bytes, 1.0),
+                Action::Datagram { to, bytes } => self.send(place, &to, bytes, 1.0),
                 // A stream stands first.
-                Out::Frame { to, bytes } => self.send(place, &to, bytes, 3.0),
-                Out::Keep(_) | Out::Changed(_) => {}
+                Action::Frame { to, bytes } => self.send(place, &to, bytes, 3.0),
+                Action::PersistIncarnation(_) | Action::Changed(_) => {}
             }
         }
     }
 
-    fn send(&mut self, from: usize, to: &To, bytes: Vec<u8>, trips: f64) {
+    fn send(&mut self, from: usize, to: &Destination, bytes: Vec<u8>, trips: f64) {
         self.sent += bytes.len() as u64;
         self.second.1 += bytes.len() as u64;
         let Some(to) = place(to.address).filter(|to| *to < self.processes.len()) else { return };
@@ -172,7 +172,7 @@
                 Event::Deliver { to, bytes } if self.processes[to].running => {
                     self.act(to, |core, now| {
                         // What is refused is counted by the core.
-                        let _ = core.heard(&bytes, now);
+                        let _ = core.receive_bytes(&bytes, now);
                     });
                 }
                 Event::Wake { who, due } => {
@@ -203,11 +203,11 @@
 
     fn agreed(&self) -> bool {
         let running = || self.processes.iter().filter(|process| process.running);
-        let here = |process: &Process| process.core.members().filter(|one| one.is_here()).count() + 1;
+        let here = |process: &Process| process.core.members().filter(|one| one.is_present()).count() + 1;
         let count = self.running();
         // Sums walk all names: only once the counts agree.
         running().all(|process| here(process) == count)
-            && running().map(|process| process.core.sum()).collect::<BTreeSet<u32>>().len() == 1
+            && running().map(|process| process.core.view_checksum()).collect::<BTreeSet<u32>>().len() == 1
     }
 
     /// What a span of so many ms costs.
--- a/crates/pearfront-scale/src/measure/voters.rs
+++ b/crates/pearfront-scale/src/measure/voters.rs
@@ -4,7 +4,7 @@
 use crate::Point;
 use crate::clock::{Meter, memory_mb};
 use hdrhistogram::Histogram;
-use pearfront_consensus::{Kept, Message, Out, Times, Voter};
+use pearfront_consensus::{Action, Message, PersistentState, Times, Voter};
 use pearfront_emulator::agenda::Agenda;
 use rand::prelude::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -64,13 +64,15 @@
     fn new(round_trip: f64, rate: f64, seed: u64) -> Result<Self, String> {
         let names: Vec<String> = (0..REGIONS.len()).map(|place| format!("v{place}")).collect();
         // Waits have to be above the way between regions: what an operator would set there.
-        let times =
-            Times { beat: Times::default().beat.max(round_trip), election: (round_trip * 5.0).max(500.0) };
+        let times = Times {
+            heartbeat: Times::default().heartbeat.max(round_trip),
+            election: (round_trip * 5.0).max(500.0),
+        };
         let seat = |place: usize| Seat {
             voter: Voter::new(
                 &names[place],
                 &names,
-                Kept::default(),
+                PersistentState::default(),
                 times,
                 seed.wrapping_add(place as u64),
                 0.0,
@@ -106,10 +108,10 @@
 
     fn turn<T>(&mut self, place: usize, call: impl FnOnce(&mut Voter, f64) -> T) -> T {
         let (now, seat) = (self.now, &mut self.seats[place]);
-        let leads = seat.voter.settled();
+        let leads = seat.voter.has_committed_in_term();
         let work = || {
             let value = call(&mut seat.voter, now);
-            (value, seat.voter.take_out(), seat.voter.due().max(now))
+            (value, seat.voter.take_actions(), seat.voter.due().max(now))
         };
         let (value, out, due) = if leads { self.meter.take(work) } else { work() };
         let seat = &mut self.seats[place];
@@ -121,20 +123,20 @@
         value
     }
 
-    fn carry(&mut self, from: usize, out: Out) {
+    fn carry(&mut self, from: usize, out: Action) {
         match out {
-            Out::Store { number, .. } => {
+            Action::Store { number, .. } => {
                 self.events.put(self.now + SYNC, Event::Stored { at: from, number });
             }
-            Out::Send(message) => {
+            Action::Send(message) => {
                 self.bytes += message.encode().len() as u64;
                 let to = self.place(&message.to);
                 let delay = self.delay(from, to);
                 self.events.put(self.now + delay, Event::Deliver(message));
             }
-            Out::Commit(entry) => {
+            Action::Commit(entry) => {
                 let seat = &mut self.seats[from];
-                if seat.voter.settled()
+                if seat.voter.has_committed_in_term()
                     && let Some(at) = self.proposed.remove(&entry.index)
                 {
                     self.took.saturating_record(((self.now - at) * 1000.0) as u64);
@@ -142,10 +144,10 @@
                 }
                 if entry.index >= seat.snapshot_at + SNAPSHOT {
                     seat.snapshot_at = entry.index;
-                    seat.voter.snapshot(entry.index, vec![0; CHANGE]);
+                    seat.voter.compact(entry.index, vec![0; CHANGE]);
                 }
             }
-            Out::Restore { .. } | Out::Read { .. } | Out::NoRead { .. } => {}
+            Action::Restore { .. } | Action::ReadReady { .. } | Action::ReadFailed { .. } => {}
         }
     }
 
@@ -154,7 +156,7 @@
     }
 
     fn leader(&self) -> Option<usize> {
-        let leads = |seat: &Seat| seat.running && seat.voter.settled();
+        let leads = |seat: &Seat| seat.running && seat.voter.has_committed_in_term();
         self.seats.iter().position(leads)
     }
 
@@ -165,10 +167,10 @@
                 Event::Deliver(message) => {
                     let to = self.place(&message.to);
                     if self.seats[to].running {
-                        self.turn(to, |voter, now| voter.heard(message, now));
+                        self.turn(to, |voter, now| voter.receive(message, now));
                     }
                 }
-                Event::Stored { at, number } => self.turn(at, |voter, now| voter.stored(number, now)),
+                Event::Stored { at, number } => self.turn(at, |voter, now| voter.on_stored(number, now)),
                 Event::Wake { who, due } => {
                     let seat = &mut self.seats[who];
                     if seat.woken == due {
--- a/crates/pearfront-store/src/disk.rs
+++ b/crates/pearfront-store/src/disk.rs
@@ -21,7 +21,7 @@
     ///
     /// # Errors
     /// It may have been cut or not.
-    fn cut(&mut self, name: &str, length: usize) -> Result<()>;
+    fn truncate(&mut self, name: &str, length: usize) -> Result<()>;
     /// Begins the file anew, with this in it.
     ///
     /// # Errors
@@ -69,7 +69,7 @@
     }
 
     /// To look at what is there, also while a process holds it.
-    pub fn look(path: &Path) -> Self {
+    pub fn open_read_only(path: &Path) -> Self {
         Self { path: path.into(), open: None, _lock: None }
     }
 
@@ -96,7 +96,7 @@
         self.appended(name)?.write_all(bytes)
     }
 
-    fn cut(&mut self, name: &str, length: usize) -> Result<()> {
+    fn truncate(&mut self, name: &str, length: usize) -> Result<()> {
         self.appended(name)?.set_len(length as u64)
     }
 
--- a/crates/pearfront-store/src/lib.rs
+++ b/crates/pearfront-store/src/lib.rs
@@ -10,6 +10,6 @@
 mod store;
 
 pub use disk::{Disk, Folder};
-pub use log::{Entry, Found, LONGEST_RECORD};
+pub use log::{Entry, LogEnd, MAX_RECORD_BYTES};
 pub use sim::{Fault, SimDisk};
 pub use store::{Recovered, Store, StoreError, check};
--- a/crates/pearfront-store/src/log.rs
+++ b/crates/pearfront-store/src/log.rs
@@ -4,7 +4,7 @@
 //! what was being written and lose its beginning, so whole records behind a spoilt one prove nothing by themselves.
 
 /// Bytes of one record at the most.
-pub const LONGEST_RECORD: usize = 1024 * 1024;
+pub const MAX_RECORD_BYTES: usize = 1024 * 1024;
 /// In front of each record.
 const MARK: [u8; 4] = *b"pfr1";
 /// Mark, length, index, synced, own sum, chain.
@@ -19,7 +19,7 @@
 
 /// Where a log's text ends to make sense, and why.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Found {
+pub enum LogEnd {
     /// To its end.
     Whole,
     /// What follows was being written when everything stopped: nobody was told that it stands.
@@ -75,7 +75,7 @@
         own: u32::from_le_bytes(number(text, at + 24)?),
         chain: u32::from_le_bytes(number(text, at + 28)?),
     };
-    let bytes = text.get(at + HEAD..at + HEAD + head.length).filter(|_| head.length <= LONGEST_RECORD)?;
+    let bytes = text.get(at + HEAD..at + HEAD + head.length).filter(|_| head.length <= MAX_RECORD_BYTES)?;
     (own_sum(head.index, head.synced, bytes) == head.own).then_some((head, bytes))
 }
 
@@ -85,7 +85,7 @@
 }
 
 /// Reads a log that goes on behind `index` and `chain`: its records, the chain value at their end, and how it ends.
-pub(crate) fn read(text: &[u8], index: u64, chain: u32) -> (Vec<Entry>, u32, Found) {
+pub(crate) fn read(text: &[u8], index: u64, chain: u32) -> (Vec<Entry>, u32, LogEnd) {
     let (mut at, mut index, mut chain) = (0, index, chain);
     let mut entries = Vec::new();
     while at < text.len() {
@@ -102,8 +102,8 @@
         // Written when this one was synced already: then it is damage, not a torn end.
         let knows = |place| whole_at(text, place).is_some_and(|(head, _)| head.synced > index);
         let torn = what == "a record whose sum is wrong" && !(at + 1..text.len()).any(knows);
-        let found = if torn { Found::Torn { at } } else { Found::Damaged { at, index: index + 1, what } };
+        let found = if torn { LogEnd::Torn { at } } else { LogEnd::Damaged { at, index: index + 1, what } };
         return (entries, chain, found);
     }
-    (entries, chain, Found::Whole)
+    (entries, chain, LogEnd::Whole)
 }
--- a/crates/pearfront-store/src/sim.rs
+++ b/crates/pearfront-store/src/sim.rs
@@ -18,7 +18,7 @@
     /// The next sync fails, and what was to be synced is dropped, as kernels do.
     SyncFails,
     /// Syncs say that all is well and do nothing, until the fault is taken away.
-    SyncLies,
+    SyncIgnored,
     /// No more than so many bytes in all.
     Full(usize),
 }
@@ -62,12 +62,12 @@
         }
     }
 
-    pub fn set(&mut self, fault: Fault) {
+    pub fn inject(&mut self, fault: Fault) {
         self.faults.push(fault);
     }
 
     /// Takes away all faults that last.
-    pub fn mend(&mut self) {
+    pub fn clear_faults(&mut self) {
         self.faults.clear();
     }
 
@@ -126,7 +126,7 @@
     }
 
     /// Turns one bit of what is kept under that name; false if there is none.
-    pub fn turn_bit(&mut self, name: &str) -> bool {
+    pub fn flip_bit(&mut self, name: &str) -> bool {
         let Some(kept) = self.live.get(name).and_then(|content| self.files.get_mut(content)) else {
             return false;
         };
@@ -179,7 +179,7 @@
         self.write(name, bytes)
     }
 
-    fn cut(&mut self, name: &str, length: usize) -> Result<()> {
+    fn truncate(&mut self, name: &str, length: usize) -> Result<()> {
         self.called();
         self.kept(name).seen.truncate(length);
         Ok(())
@@ -194,7 +194,7 @@
     fn sync(&mut self, name: &str) -> Result<()> {
         self.called();
         self.syncs += 1;
-        if self.faults.contains(&Fault::SyncLies) {
+        if self.faults.contains(&Fault::SyncIgnored) {
             return Ok(());
         }
         let fails = self.takes(Fault::SyncFails);
@@ -224,7 +224,7 @@
 
     fn sync_folder(&mut self) -> Result<()> {
         self.called();
-        if !self.faults.contains(&Fault::SyncLies) {
+        if !self.faults.contains(&Fault::SyncIgnored) {
             self.names.clone_from(&self.live);
         }
         Ok(())
--- a/crates/pearfront-store/src/store.rs
+++ b/crates/pearfront-store/src/store.rs
@@ -3,7 +3,7 @@
 //! for those to see who remember how much that was.
 
 use crate::disk::Disk;
-use crate::log::{self, Entry, Found, LONGEST_RECORD};
+use crate::log::{self, Entry, LogEnd, MAX_RECORD_BYTES};
 use std::io::ErrorKind;
 
 const LOG: &str = "log";
@@ -24,7 +24,7 @@
     TooLong(usize),
     /// A write or a sync failed. What is on the disk now nobody knows, and a sync that is tried again would say yes to what
     /// the kernel has dropped: this store takes nothing more until it is opened anew.
-    Dead(String),
+    Failed(String),
 }
 
 impl std::fmt::Display for StoreError {
@@ -35,8 +35,8 @@
             }
             Self::Unreadable(what) => write!(to, "can't be read: {what}"),
             Self::Full => write!(to, "no room is left"),
-            Self::TooLong(length) => write!(to, "a record of {length} bytes, more than {LONGEST_RECORD}"),
-            Self::Dead(what) => write!(to, "takes nothing more since {what}"),
+            Self::TooLong(length) => write!(to, "a record of {length} bytes, more than {MAX_RECORD_BYTES}"),
+            Self::Failed(what) => write!(to, "takes nothing more since {what}"),
         }
     }
 }
@@ -51,12 +51,12 @@
     /// Records behind it.
     pub entries: Vec<Entry>,
     /// Bytes at the end that were being written when everything stopped, cut off.
-    pub torn: usize,
+    pub torn_bytes: usize,
 }
 
 impl Recovered {
     /// Index of the last record; 0 if there is none.
-    pub fn last(&self) -> u64 {
+    pub fn last_index(&self) -> u64 {
         let snapshot = self.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
         self.entries.last().map_or(snapshot, |entry| entry.index)
     }
@@ -81,9 +81,9 @@
     let (offset, start) = log_start(&text, base)?;
     let (entries, chain, found) = log::read(&text[offset..], start.0, start.1);
     let length = match found {
-        Found::Whole => text.len(),
-        Found::Torn { at } => offset + at,
-        Found::Damaged { at, index, what } => {
+        LogEnd::Whole => text.len(),
+        LogEnd::Torn { at } => offset + at,
+        LogEnd::Damaged { at, index, what } => {
             return Err(StoreError::Damaged { file: LOG, at: offset + at, index, what });
         }
     };
@@ -91,7 +91,7 @@
     // Everything up to the snapshot is in it, however far the log came.
     let (last, chain) = if last < base.0 { base } else { (last, chain) };
     let entries = entries.into_iter().filter(|entry| entry.index > base.0).collect();
-    let recovered = Recovered { snapshot, entries, torn: text.len() - length };
+    let recovered = Recovered { snapshot, entries, torn_bytes: text.len() - length };
     Ok(Read { recovered, start: start.0, base, last, chain, length })
 }
 
@@ -113,7 +113,7 @@
     let spoilt = |what| StoreError::Damaged { file: SNAPSHOT, at: 0, index: 0, what };
     let index = log::index_at(text).ok_or(spoilt("it is cut short"))?;
     match log::read(text, index - 1, 0) {
-        (mut entries, _, Found::Whole) if entries.len() == 1 => {
+        (mut entries, _, LogEnd::Whole) if entries.len() == 1 => {
             let snapshot = entries.pop();
             let base = snapshot.as_ref().map_or((0, 0), |entry| (entry.index, behind(&entry.bytes)));
             Ok((snapshot, base))
@@ -180,7 +180,7 @@
     since: Vec<Entry>,
     /// The snapshot's index, and the chain value behind it.
     base: (u64, u32),
-    dead: Option<String>,
+    failure: Option<String>,
 }
 
 impl<D: Disk> Store<D> {
@@ -191,11 +191,11 @@
     pub fn open(mut disk: D) -> Result<(Self, Recovered), StoreError> {
         let read = read(&mut disk)?;
         let Read { recovered, start, base, last, chain, length } = read;
-        let (since, dead) = (recovered.entries.clone(), None);
-        let mut store = Self { disk, last, chain, synced: last, length, since, base, dead };
+        let (since, failure) = (recovered.entries.clone(), None);
+        let mut store = Self { disk, last, chain, synced: last, length, since, base, failure };
         let unreadable = |error: std::io::Error| StoreError::Unreadable(error.to_string());
-        if recovered.torn > 0 {
-            let cut = store.disk.cut(LOG, length).and_then(|()| store.disk.sync(LOG));
+        if recovered.torn_bytes > 0 {
+            let cut = store.disk.truncate(LOG, length).and_then(|()| store.disk.sync(LOG));
             cut.map_err(unreadable)?;
         }
         // The log begins before the snapshot: everything had stopped between the two.
@@ -206,12 +206,12 @@
     }
 
     /// Index of the last record that was appended.
-    pub fn last(&self) -> u64 {
+    pub fn last_index(&self) -> u64 {
         self.last
     }
 
     /// Index of the last record that is acknowledged.
-    pub fn synced(&self) -> u64 {
+    pub fn synced_index(&self) -> u64 {
         self.synced
     }
 
@@ -221,8 +221,8 @@
     }
 
     /// Why it takes nothing more, if so.
-    pub fn dead(&self) -> Option<&str> {
-        self.dead.as_deref()
+    pub fn failure(&self) -> Option<&str> {
+        self.failure.as_deref()
     }
 
     /// The disk below, for whoever has to tell what it went through.
@@ -231,13 +231,13 @@
     }
 
     fn alive(&self) -> Result<(), StoreError> {
-        self.dead.as_ref().map_or(Ok(()), |why| Err(StoreError::Dead(why.clone())))
+        self.failure.as_ref().map_or(Ok(()), |why| Err(StoreError::Failed(why.clone())))
     }
 
     fn die(&mut self, what: &str, error: &std::io::Error) -> StoreError {
         let why = format!("{what} failed: {error}");
-        self.dead = Some(why.clone());
-        StoreError::Dead(why)
+        self.failure = Some(why.clone());
+        StoreError::Failed(why)
     }
 
     /// Appends a group of records; the index of the last. Not acknowledged before `sync`.
@@ -246,7 +246,7 @@
     /// Too long or no room: nothing was taken, and it goes on. Any other: it is dead.
     pub fn append(&mut self, records: &[&[u8]]) -> Result<u64, StoreError> {
         self.alive()?;
-        if let Some(long) = records.iter().find(|record| record.len() > LONGEST_RECORD) {
+        if let Some(long) = records.iter().find(|record| record.len() > MAX_RECORD_BYTES) {
             return Err(StoreError::TooLong(long.len()));
         }
         let (mut text, mut chain) = (Vec::new(), self.chain);
@@ -271,7 +271,7 @@
         if !full {
             return self.die("a write", error);
         }
-        match self.disk.cut(LOG, self.length) {
+        match self.disk.truncate(LOG, self.length) {
             Ok(()) => StoreError::Full,
             Err(error) => self.die("cutting what did not fit", &error),
         }
--- a/crates/pearfront-store/tests/faults.rs
+++ b/crates/pearfront-store/tests/faults.rs
@@ -57,47 +57,47 @@
         if let Some(what) = wrong(&recovered) {
             return Err(what);
         }
-        if recovered.last() < acknowledged {
-            return Err(format!("{acknowledged} was acknowledged, {} is there", recovered.last()));
+        if recovered.last_index() < acknowledged {
+            return Err(format!("{acknowledged} was acknowledged, {} is there", recovered.last_index()));
         }
         for _ in 0..chance.random_range(0..20) {
             match (trouble, chance.random_range(0..12)) {
-                (Trouble::Fails, 0) => store.disk().set(Fault::WriteFails),
-                (Trouble::Fails, 1) => store.disk().set(Fault::SyncFails),
-                (Trouble::Full, 0) => store.disk().set(Fault::Full(chance.random_range(0..8000))),
-                (Trouble::Full, 1) => store.disk().mend(),
-                (Trouble::Lies, 0) => store.disk().set(Fault::SyncLies),
+                (Trouble::Fails, 0) => store.disk().inject(Fault::WriteFails),
+                (Trouble::Fails, 1) => store.disk().inject(Fault::SyncFails),
+                (Trouble::Full, 0) => store.disk().inject(Fault::Full(chance.random_range(0..8000))),
+                (Trouble::Full, 1) => store.disk().clear_faults(),
+                (Trouble::Lies, 0) => store.disk().inject(Fault::SyncIgnored),
                 _ => {}
             }
             let group: Vec<Vec<u8>> =
-                (1..=chance.random_range(1..4)).map(|step| record(store.last() + step)).collect();
+                (1..=chance.random_range(1..4)).map(|step| record(store.last_index() + step)).collect();
             let group: Vec<&[u8]> = group.iter().map(Vec::as_slice).collect();
-            let before = store.last();
+            let before = store.last_index();
             match store.append(&group) {
                 Ok(last) if last == before + group.len() as u64 => {}
-                Err(StoreError::Full) if trouble == Trouble::Full && store.last() == before => {}
-                Err(StoreError::Dead(_)) if trouble == Trouble::Fails => break,
+                Err(StoreError::Full) if trouble == Trouble::Full && store.last_index() == before => {}
+                Err(StoreError::Failed(_)) if trouble == Trouble::Fails => break,
                 other => return Err(format!("an append came to {other:?}")),
             }
             if chance.random::<f64>() < 0.6 {
                 match store.sync() {
                     Ok(synced) => acknowledged = synced,
-                    Err(StoreError::Dead(_)) if trouble == Trouble::Fails => break,
+                    Err(StoreError::Failed(_)) if trouble == Trouble::Fails => break,
                     Err(error) => return Err(error.to_string()),
                 }
             }
             if chance.random::<f64>() < 0.15 {
-                let index = store.synced();
+                let index = store.synced_index();
                 match store.snapshot(index, &summed(1, index).to_le_bytes()) {
                     Ok(()) => {}
                     Err(StoreError::Full) if trouble == Trouble::Full => {}
-                    Err(StoreError::Dead(_)) if [Trouble::Fails, Trouble::Full].contains(&trouble) => break,
+                    Err(StoreError::Failed(_)) if [Trouble::Fails, Trouble::Full].contains(&trouble) => break,
                     Err(error) => return Err(error.to_string()),
                 }
             }
         }
         disk = store.disk().clone();
-        disk.mend();
+        disk.clear_faults();
         disk.crash();
     }
     Ok(())
@@ -142,11 +142,15 @@
     for seed in 0..1000 {
         let file = if seed % 4 == 0 { "snapshot" } else { "log" };
         let mut disk = filled(seed);
-        assert!(disk.turn_bit(file));
+        assert!(disk.flip_bit(file));
         match check(&mut disk) {
             Ok(recovered) => {
                 assert_eq!(wrong(&recovered), None, "seed {seed}");
-                assert_eq!((file, recovered.last()), ("log", 19), "seed {seed}: more than the last is gone");
+                assert_eq!(
+                    (file, recovered.last_index()),
+                    ("log", 19),
+                    "seed {seed}: more than the last is gone"
+                );
                 shorter += 1;
             }
             Err(StoreError::Damaged { file: told, .. }) => {
@@ -163,11 +167,11 @@
 fn a_sync_that_failed_is_not_tried_again() {
     let (mut store, _) = Store::open(SimDisk::new(1)).unwrap();
     store.append(&[b"one"]).unwrap();
-    store.disk().set(Fault::SyncFails);
-    assert!(matches!(store.sync(), Err(StoreError::Dead(_))));
+    store.disk().inject(Fault::SyncFails);
+    assert!(matches!(store.sync(), Err(StoreError::Failed(_))));
     let syncs = store.disk().syncs;
-    assert!(matches!(store.sync(), Err(StoreError::Dead(_))) && store.append(&[b"two"]).is_err());
-    assert_eq!((store.disk().syncs, store.synced()), (syncs, 0));
+    assert!(matches!(store.sync(), Err(StoreError::Failed(_))) && store.append(&[b"two"]).is_err());
+    assert_eq!((store.disk().syncs, store.synced_index()), (syncs, 0));
 }
 
 // What an older copy of the folder has is whole, and less: only others can know that.
@@ -177,7 +181,10 @@
     let (mut store, _) = Store::open(older.clone()).unwrap();
     store.append(&[&record(21)]).unwrap();
     store.sync().unwrap();
-    assert_eq!((check(&mut older).unwrap().last(), check(store.disk()).unwrap().last()), (20, 21));
+    assert_eq!(
+        (check(&mut older).unwrap().last_index(), check(store.disk()).unwrap().last_index()),
+        (20, 21)
+    );
 }
 
 #[test]
@@ -205,7 +212,7 @@
     let whole = std::fs::read(path.join("log")).unwrap();
     std::fs::write(path.join("log"), [whole.as_slice(), b"pfr1\x40"].concat()).unwrap();
     let (_, recovered) = Store::open(Folder::open(&path).unwrap()).unwrap();
-    assert_eq!((wrong(&recovered), recovered.last(), recovered.torn), (None, 11, 5));
+    assert_eq!((wrong(&recovered), recovered.last_index(), recovered.torn_bytes), (None, 11, 5));
     assert_eq!(std::fs::read(path.join("log")).unwrap(), whole);
     std::fs::remove_dir_all(&path).unwrap();
 }
