--- a/crates/pearfront-drill/src/wire.rs
+++ b/crates/pearfront-drill/src/wire.rs
@@ -1,6 +1,6 @@
 //! Frames of the bench's wire; its names, codes and units end here.
 
-use pearfront::interface::{Address, AttemptOutcome, DecisionWriter, ServerEntry, ServerState};
+use pearfront::interface::{Address, AttemptOutcome, DecisionWriter, ListedServer, ServerState};
 use pearfront::policy::Balancer;
 use std::io::Read;
 use std::ops::Range;
@@ -204,10 +204,10 @@
     }
 }
 
-fn listing(line: &[u8], started: u64) -> ServerEntry {
+fn listing(line: &[u8], started: u64) -> ListedServer {
     let since = int::<8>(line, 16);
     let share = f64::from(f32::from_le_bytes(std::array::from_fn(|byte| line[byte])));
-    ServerEntry {
+    ListedServer {
         address: address(line, 4),
         state: standing(line[10]).unwrap_or(ServerState::Gone),
         cell: int::<2>(line, 11) as u16,
--- a/crates/pearfront-emulator/src/decide.rs
+++ b/crates/pearfront-emulator/src/decide.rs
@@ -2,7 +2,7 @@
 //! the same acts; only `sees-all` is shown what no node can see.
 
 use pearfront::interface::{
-    Address, AttemptOutcome, DecisionWriter, Effect, Profile, ServerEntry, ServerState, Settings,
+    Address, AttemptOutcome, DecisionWriter, Effect, ListedServer, Profile, ServerState, Settings,
 };
 use pearfront::policy::Balancer;
 use rand::prelude::{Rng, SeedableRng};
@@ -23,7 +23,7 @@
     AttemptEnded { id: u32, attempt: usize, ending: AttemptOutcome, took: f64, done: bool },
     ProbeAnswered { server: Address, good: bool, report: Vec<f64>, took: f64 },
     Left { id: u32 },
-    Listed { whole: bool, cached: bool, lines: Vec<ServerEntry> },
+    Listed { whole: bool, cached: bool, lines: Vec<ListedServer> },
     ListFailed,
     Closing { at: f64 },
 }
@@ -182,7 +182,7 @@
     fault: Option<Fault>,
     settings: Settings,
     chance: ChaCha8Rng,
-    servers: BTreeMap<Address, ServerEntry>,
+    servers: BTreeMap<Address, ListedServer>,
     held: BTreeMap<Address, u32>,
     jobs: BTreeMap<u32, PlainJob>,
     /// Limits, in bits so that they order as times do, and jobs.
@@ -258,7 +258,7 @@
         }
     }
 
-    fn list(&mut self, line: ServerEntry) {
+    fn list(&mut self, line: ListedServer) {
         if line.state == ServerState::Ready {
             self.servers.insert(line.address, line);
         } else if self.fault != Some(Fault::SendsToDrained) {
--- a/crates/pearfront-emulator/src/list.rs
+++ b/crates/pearfront-emulator/src/list.rs
@@ -2,7 +2,7 @@
 
 use crate::platform::lifecycle;
 use crate::scenario::Scenario;
-use pearfront::interface::{Address, ServerEntry, ServerState};
+use pearfront::interface::{Address, ListedServer, ServerState};
 use serde_json::{Value, json};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -22,8 +22,8 @@
 
 impl Line {
     /// As a node takes it whose time began at `from`.
-    pub fn listing(&self, from: f64) -> ServerEntry {
-        ServerEntry {
+    pub fn listing(&self, from: f64) -> ListedServer {
+        ListedServer {
             address: self.address,
             state: self.standing,
             cell: self.cell,
--- a/crates/pearfront-emulator/src/model/nodes.rs
+++ b/crates/pearfront-emulator/src/model/nodes.rs
@@ -7,7 +7,7 @@
 use crate::list::Line;
 use crate::record::{Answer, Job, NodeEnd, NodeLife, Told};
 use crate::struck::State;
-use pearfront::interface::{Address, AttemptOutcome, ServerEntry, ServerState};
+use pearfront::interface::{Address, AttemptOutcome, ListedServer, ServerState};
 use rand::prelude::Rng;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -503,7 +503,7 @@
             return;
         }
         let mut known = node.known.borrow_mut();
-        let mut out: Vec<ServerEntry> = Vec::new();
+        let mut out: Vec<ListedServer> = Vec::new();
         if whole {
             // Who the whole list lacks is gone, as far as this node is told.
             let listed: BTreeSet<usize> = lines.iter().map(|line| line.life).collect();
@@ -533,7 +533,7 @@
             let listing = line.listing(node.started);
             if newcomer {
                 // Whoever comes to another's address is told of after that one has gone.
-                out.push(ServerEntry { state: ServerState::Gone, ..listing });
+                out.push(ListedServer { state: ServerState::Gone, ..listing });
             }
             if line.standing == ServerState::Gone {
                 known.remove(&line.address);
--- a/crates/pearfront-node/src/client_service.rs
+++ b/crates/pearfront-node/src/client_service.rs
@@ -3,16 +3,16 @@
 
 use crate::capacity::{Capacity, RequestReservation};
 use crate::client_connection::ClientConnection;
+use crate::connection_pool::{BUFFER_BYTES, ConnectionPool};
 use crate::counters::Counters;
 use crate::deadline::Deadline;
 use crate::dispatcher::{Dispatcher, OpenRequest};
 use crate::late_answers::{Answered, LateAnswers};
 use crate::lifecycle::Lifecycle;
-use crate::logger::{Limited, Seldom};
+use crate::logger::{InfoLimiter, WarnLimiter};
 use crate::message::{self, Answer, Body, ClientCall, ClientRequest, RequestBody};
-use crate::send::{BUFFER, Senders};
+use crate::runtime_settings::SharedSettings;
 use crate::streaming::{BodyError, BodyStart, MAX_BUFFERED_BYTES};
-use crate::terms::InForce;
 use crate::tracked_stream::{HyperIo, TrackedStream};
 use crate::upload::{self, Upload};
 use http_body_util::Either;
@@ -57,36 +57,36 @@
 pub struct ClientService {
     pub dispatcher: Rc<Dispatcher>,
     pub capacity: Rc<Capacity>,
-    senders: Rc<Senders>,
-    terms: Rc<InForce>,
+    pool: Rc<ConnectionPool>,
+    settings: Rc<SharedSettings>,
     pub book: Rc<Counters>,
-    pub life: Rc<Lifecycle>,
+    pub lifecycle: Rc<Lifecycle>,
     overdue: LateAnswers,
-    malformed: Seldom,
-    crowded: Seldom,
-    broken_off: Limited,
+    malformed: WarnLimiter,
+    crowded: WarnLimiter,
+    broken_off: InfoLimiter,
 }
 
 impl ClientService {
     pub fn new(
         dispatcher: Rc<Dispatcher>,
         capacity: Rc<Capacity>,
-        senders: Rc<Senders>,
-        terms: Rc<InForce>,
+        pool: Rc<ConnectionPool>,
+        settings: Rc<SharedSettings>,
         book: Rc<Counters>,
-        life: Rc<Lifecycle>,
+        lifecycle: Rc<Lifecycle>,
     ) -> Rc<Self> {
         Rc::new(Self {
             dispatcher,
             capacity,
-            senders,
-            terms,
+            pool,
+            settings,
             overdue: LateAnswers::new(book.clone()),
             book,
-            life,
-            malformed: Seldom::default(),
-            crowded: Seldom::default(),
-            broken_off: Limited::new(LINES),
+            lifecycle,
+            malformed: WarnLimiter::default(),
+            crowded: WarnLimiter::default(),
+            broken_off: InfoLimiter::new(LINES),
         })
     }
 
@@ -99,7 +99,7 @@
 
     /// Is there a place for one more connection? If need be idle ones are closed for it.
     pub fn make_place(&self) -> bool {
-        self.senders.make_caller_place()
+        self.pool.make_room_for_client()
     }
 
     async fn serve(self: Rc<Self>, wire: Rc<TrackedStream>) {
@@ -109,7 +109,7 @@
             self.answer(&caller, request)
         });
         let mut connection =
-            pin!(Builder::new().max_buf_size(BUFFER).serve_connection(HyperIo(wire.clone()), service));
+            pin!(Builder::new().max_buf_size(BUFFER_BYTES).serve_connection(HyperIo(wire.clone()), service));
         let mut closing = None;
         // Right before the end of the sending: whoever chose this connection to be closed looked earlier, and many were
         // chosen at once. What has come since is a request, and is answered first.
@@ -168,7 +168,7 @@
             self.book.flows_broken.add();
             self.broken_off.info(|| "an answer ends in its middle: one behind it is due".into());
         } else if ended != Ended::Stalled {
-            self.dispatcher.guard.close(&caller, &format!("{ended:?}"));
+            self.dispatcher.guard.check_close(&caller, &format!("{ended:?}"));
             if !wire.has_ended() {
                 self.overdue.never(caller.unanswered(), &format!("their connection ended: {ended:?}"));
             }
@@ -207,7 +207,7 @@
             _ => caller.end(),
         }
         // Only the last of the requests that have come may say that it is.
-        if self.life.keeps_alive() && !caller.stream.is_ending() || caller.stream.has_more() {
+        if self.lifecycle.keeps_alive() && !caller.stream.is_ending() || caller.stream.has_more() {
             return answer;
         }
         caller.stream.end_reading();
@@ -221,9 +221,9 @@
     ) -> Result<Response<Body>, BodyError> {
         let (head, body) = request.into_parts();
         let has_length = caller.stream.hand_out().has_length;
-        let call = message::decode_client_call(head, &self.terms.now(), has_length);
+        let call = message::decode_client_call(head, &self.settings.current(), has_length);
         let problem = match call {
-            Ok(ClientCall::Up) => return Ok(message::encode_up(self.life.is_ready())),
+            Ok(ClientCall::Up) => return Ok(message::encode_up(self.lifecycle.is_ready())),
             Ok(ClientCall::Request(job)) => match self.job(caller, *job, body).await {
                 Ok(answer) => return Ok(answer),
                 Err(Problem::Gone) => return Err(BodyError::Cut),
@@ -366,10 +366,10 @@
     /// Closes idle callers whenever clients are let go, as long as the node runs.
     pub async fn close_in_drain(self: Rc<Self>) {
         loop {
-            if let Some(pause) = self.life.spares_for() {
+            if let Some(pause) = self.lifecycle.idle_close_after() {
                 self.capacity.close_all_idle(pause);
             }
-            if !self.life.reads_requests() {
+            if !self.lifecycle.reads_requests() {
                 self.capacity.end_reading();
             }
             sleep(LOOK).await;
--- a/crates/pearfront-node/src/message/servers.rs
+++ b/crates/pearfront-node/src/message/servers.rs
@@ -2,7 +2,7 @@
 
 use super::body::{Body, get, whole};
 use super::headers::{NEVER_RAN, REPORT, end_to_end, text};
-use crate::send::ConnectionEnd;
+use crate::connection_pool::ConnectionEnd;
 use crate::streaming::{BodyStart, StreamedBody};
 use http_body_util::Either;
 use hyper::header::{self, HeaderMap};
--- a/crates/pearfront-scale/src/measure/caller.rs
+++ b/crates/pearfront-scale/src/measure/caller.rs
@@ -2,7 +2,7 @@
 //! drawn by chance. Rounds come as a node has them: once something came in or a wake is due, no two closer than `ROUND`.
 
 use pearfront::interface::{
-    Address, AttemptOutcome, DecisionWriter, DedupScope, Effect, Profile, ReportField, ServerEntry,
+    Address, AttemptOutcome, DecisionWriter, DedupScope, Effect, ListedServer, Profile, ReportField,
     ServerState, Settings,
 };
 use pearfront::policy::Balancer;
@@ -58,9 +58,9 @@
     }
 }
 
-pub fn server(number: usize) -> ServerEntry {
+pub fn server(number: usize) -> ListedServer {
     let [_, high, middle, low] = (number as u32).to_be_bytes();
-    ServerEntry {
+    ListedServer {
         address: [10, high, middle, low, 0x1f, 0x90],
         state: ServerState::Ready,
         cell: 0,
@@ -157,14 +157,14 @@
             counts: Counts::default(),
             chance,
         };
-        let lines: Vec<ServerEntry> = (0..servers).map(server).collect();
+        let lines: Vec<ListedServer> = (0..servers).map(server).collect();
         caller.listed(true, &lines);
         caller.next();
         caller
     }
 
     /// Lines of the list, in a round of their own.
-    pub fn listed(&mut self, whole: bool, lines: &[ServerEntry]) {
+    pub fn listed(&mut self, whole: bool, lines: &[ListedServer]) {
         let mut wanted = Wanted::default();
         let feed = |module: &mut Balancer| {
             module.list_received(whole, false, lines.iter().copied());
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -122,7 +122,7 @@
 
 /// One entry of the server list.
 #[derive(Debug, Default, Clone, Copy)]
-pub struct ServerEntry {
+pub struct ListedServer {
     pub address: Address,
     pub state: ServerState,
     pub cell: u16,
@@ -135,7 +135,7 @@
     pub started_at: f64,
 }
 
-impl ServerEntry {
+impl ListedServer {
     /// The entry of the same server once it is no longer in the list.
     pub fn gone(self) -> Self {
         Self { state: ServerState::Gone, ..self }
--- a/src/policy/servers.rs
+++ b/src/policy/servers.rs
@@ -1,7 +1,7 @@
 //! The server list, and the subset of it that this node's traffic goes to.
 
 use super::Balancer;
-use crate::interface::{ReportField, ServerEntry, ServerState};
+use crate::interface::{ListedServer, ReportField, ServerState};
 use crate::sliding_window::DEFAULT_SPAN_MS;
 use crate::state::Server;
 use rand::prelude::Rng;
@@ -21,9 +21,9 @@
 impl Balancer {
     /// Takes in entries of the server list; servers that a `whole` list lacks are gone. `cached`: the list is the one
     /// that the node starts with, not the current one.
-    pub fn list_received(&mut self, whole: bool, cached: bool, entries: impl Iterator<Item = ServerEntry>) {
+    pub fn list_received(&mut self, whole: bool, cached: bool, entries: impl Iterator<Item = ListedServer>) {
         if whole {
-            self.servers.values().for_each(|server| server.entry.update(ServerEntry::gone));
+            self.servers.values().for_each(|server| server.entry.update(ListedServer::gone));
         }
         self.apply_entries(entries);
         if cached {
@@ -36,12 +36,12 @@
 
     /// Changes servers' states although no list says so, since the current list has become too old to go by: servers
     /// that must not be sent to for now (draining), or may be again.
-    pub fn states_overridden(&mut self, entries: impl Iterator<Item = ServerEntry>) {
+    pub fn states_overridden(&mut self, entries: impl Iterator<Item = ListedServer>) {
         self.apply_entries(entries);
     }
 
     /// Takes in these entries, and drops servers that are no longer ready or listed.
-    fn apply_entries(&mut self, entries: impl Iterator<Item = ServerEntry>) {
+    fn apply_entries(&mut self, entries: impl Iterator<Item = ListedServer>) {
         entries.for_each(|entry| self.apply_entry(entry));
         self.ready_servers.retain(|server| server.entry.get().state == ServerState::Ready);
         self.servers.retain(|_, server| server.entry.get().state != ServerState::Gone);
@@ -58,14 +58,14 @@
     }
 
     /// Takes in one entry of the list.
-    fn apply_entry(&mut self, entry: ServerEntry) {
+    fn apply_entry(&mut self, entry: ListedServer) {
         if entry.state == ServerState::Gone {
             // A new server at the same address has nothing in common with this one.
             return self
                 .servers
                 .remove(&entry.address)
                 .iter()
-                .for_each(|old| old.entry.update(ServerEntry::gone));
+                .for_each(|old| old.entry.update(ListedServer::gone));
         }
         let (order_key, health_count) =
             (self.rng.0.random(), if self.probes_per_draw > 0 { self.profile_names.len() } else { 1 });
@@ -76,7 +76,7 @@
         }
         server
             .entry
-            .set(ServerEntry { weight: if self.settings.weighted { entry.weight } else { 1.0 }, ..entry });
+            .set(ListedServer { weight: if self.settings.weighted { entry.weight } else { 1.0 }, ..entry });
         let present = self.ready_servers.iter().any(|other| Rc::ptr_eq(other, server));
         if entry.state == ServerState::Ready && !present {
             let at = self.ready_servers.partition_point(|other| other.order_key < server.order_key);
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,7 +1,7 @@
 //! State that a node keeps of servers and requests. Only `policy.rs` and its modules read and change it; this file
 //! holds the data and the simplest questions about it.
 
-use crate::interface::{AttemptOutcome, ServerEntry, Settings};
+use crate::interface::{AttemptOutcome, ListedServer, Settings};
 use crate::sliding_window::SlidingWindow;
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
@@ -16,7 +16,7 @@
 #[derive(Default)]
 pub(crate) struct Server {
     /// Its latest entry in the server list.
-    pub(crate) entry: Cell<ServerEntry>,
+    pub(crate) entry: Cell<ListedServer>,
     /// Random key by which the ready servers are ordered; a node sends to the first ones only, its subset.
     pub(crate) order_key: f64,
     pub(crate) started_at: Cell<f64>,
@@ -155,7 +155,7 @@
 }
 
 impl Server {
-    pub(crate) fn new(entry: ServerEntry, order_key: f64, profiles: usize) -> Self {
+    pub(crate) fn new(entry: ListedServer, order_key: f64, profiles: usize) -> Self {
         Self {
             entry: Cell::new(entry),
             order_key,
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,7 +1,7 @@
 //! Plays the text files in `scenarios/`; the notation is told in `scenarios/README.md`.
 
 use pearfront::interface::{
-    Address, AttemptOutcome, DecisionWriter, DedupScope, Effect, Profile, ReportField, ServerEntry,
+    Address, AttemptOutcome, DecisionWriter, DedupScope, Effect, ListedServer, Profile, ReportField,
     ServerState, Settings,
 };
 use pearfront::policy::Balancer;
@@ -79,10 +79,10 @@
 }
 
 /// `a`, `a/zone/cell` or `a/zone/cell/start`.
-fn listing(word: &str, standing: ServerState) -> ServerEntry {
+fn listing(word: &str, standing: ServerState) -> ListedServer {
     let parts: Vec<&str> = word.split('/').collect();
     let part = |place: usize| parts.get(place).map(|word| number(word));
-    ServerEntry {
+    ListedServer {
         address: address(parts[0]),
         state: standing,
         zone: part(1).unwrap_or(0.0) as u16,
