--- a/crates/pearfront-drill/src/main.rs
+++ b/crates/pearfront-drill/src/main.rs
@@ -16,10 +16,10 @@
 }
 
 fn run(input: &mut impl Read, output: &mut impl Write) -> Result<(), String> {
-    let mut drill = wire::Drill::default();
+    let mut adapter = wire::Adapter::default();
     let mut frame = Vec::new();
     while wire::read_frame(input, &mut frame)? {
-        let reply = drill.answer(&frame)?;
+        let reply = adapter.answer(&frame)?;
         output.write_all(reply).and_then(|()| output.flush()).map_err(|error| format!("reply: {error}"))?;
     }
     Ok(())
--- a/crates/pearfront-drill/src/wire.rs
+++ b/crates/pearfront-drill/src/wire.rs
@@ -5,26 +5,26 @@
 use std::io::Read;
 use std::ops::Range;
 
-const EVENT: usize = 48;
-const ACTION: usize = 24;
-const ENTRY: usize = 24;
-const BATCH_HEAD: usize = 12;
+const EVENT_BYTES: usize = 48;
+const ACTION_BYTES: usize = 24;
+const ENTRY_BYTES: usize = 24;
+const BATCH_HEAD_BYTES: usize = 12;
 const NS_PER_MS: f64 = 1e6;
 /// Longest time the wire's timer takes, ms (71 minutes).
-const LONGEST_WAKE: f64 = 71.0 * 60_000.0;
+const LONGEST_WAKE_MS: f64 = 71.0 * 60_000.0;
 
 /// Reads one frame's body; false at the end of input.
 pub fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>) -> Result<bool, String> {
     let mut size = [0; 4];
-    let mut got = 0;
-    while got < size.len() {
-        match input.read(&mut size[got..]).map_err(|error| format!("input: {error}"))? {
-            0 if got == 0 => return Ok(false),
+    let mut received = 0;
+    while received < size.len() {
+        match input.read(&mut size[received..]).map_err(|error| format!("input: {error}"))? {
+            0 if received == 0 => return Ok(false),
             0 => return Err("input ends within a frame's length".into()),
-            more => got += more,
+            read => received += read,
         }
     }
-    let length = BATCH_HEAD + u32::from_le_bytes(size) as usize;
+    let length = BATCH_HEAD_BYTES + u32::from_le_bytes(size) as usize;
     frame.clear();
     let read = input.take(length as u64).read_to_end(frame).map_err(|error| format!("input: {error}"))?;
     if read < length {
@@ -33,17 +33,17 @@
     Ok(true)
 }
 
-fn int<const N: usize>(bytes: &[u8], at: usize) -> u64 {
-    let mut wide = [0; 8];
-    wide[..N].copy_from_slice(&bytes[at..at + N]);
-    u64::from_le_bytes(wide)
+fn integer<const N: usize>(bytes: &[u8], at: usize) -> u64 {
+    let mut padded = [0; 8];
+    padded[..N].copy_from_slice(&bytes[at..at + N]);
+    u64::from_le_bytes(padded)
 }
 
 fn address(bytes: &[u8], at: usize) -> Address {
     std::array::from_fn(|byte| bytes[at + byte])
 }
 
-fn ending(code: u8, at: usize) -> Result<AttemptOutcome, String> {
+fn outcome(code: u8, at: usize) -> Result<AttemptOutcome, String> {
     Ok(match code {
         10 => AttemptOutcome::Served,
         20 => AttemptOutcome::Error,
@@ -72,7 +72,7 @@
 
 /// All instances of this process, and the buffers that replies are built in.
 #[derive(Default)]
-pub struct Drill {
+pub struct Adapter {
     instances: Vec<Option<Instance>>,
     tables: [Vec<u8>; 16],
     reply: Reply,
@@ -87,56 +87,60 @@
 
 impl<'a> Batch<'a> {
     fn parse(frame: &'a [u8]) -> Result<Self, String> {
-        let count = int::<4>(frame, 8) as usize;
-        let body = &frame[BATCH_HEAD..];
-        let size = count.checked_mul(EVENT).filter(|size| *size <= body.len());
+        let count = integer::<4>(frame, 8) as usize;
+        let body = &frame[BATCH_HEAD_BYTES..];
+        let size = count.checked_mul(EVENT_BYTES).filter(|size| *size <= body.len());
         let size =
             size.ok_or_else(|| format!("frame: {count} records do not fit in {} bytes", body.len()))?;
         let (records, tail) = body.split_at(size);
-        Ok(Self { clock: int::<8>(frame, 0), records, tail })
+        Ok(Self { clock: integer::<8>(frame, 0), records, tail })
     }
 
     fn len(&self) -> usize {
-        self.records.len() / EVENT
+        self.records.len() / EVENT_BYTES
     }
 
     fn record(&self, at: usize) -> &'a [u8] {
-        &self.records[at * EVENT..(at + 1) * EVENT]
+        &self.records[at * EVENT_BYTES..(at + 1) * EVENT_BYTES]
     }
 
     fn code(&self, at: usize) -> u64 {
-        int::<2>(self.record(at), 0)
+        integer::<2>(self.record(at), 0)
     }
 
     /// The tail's part that the field at `place` of record `at` names, in units of `unit` bytes.
-    fn tail(&self, at: usize, place: usize, unit: usize) -> Result<&'a [u8], String> {
+    fn tail(&self, at: usize, field: usize, unit: usize) -> Result<&'a [u8], String> {
         let record = self.record(at);
-        let from = int::<4>(record, place) as usize;
-        let range: Range<usize> = from..from + int::<4>(record, place + 4) as usize * unit;
+        let from = integer::<4>(record, field) as usize;
+        let range: Range<usize> = from..from + integer::<4>(record, field + 4) as usize * unit;
         let shown = format!("event {at}: tail bytes {range:?} of {}", self.tail.len());
         self.tail.get(range).ok_or(shown)
     }
 }
 
-impl Drill {
+impl Adapter {
     /// Plays one frame and returns the reply to it.
     pub fn answer(&mut self, frame: &[u8]) -> Result<&[u8], String> {
         let batch = Batch::parse(frame)?;
         self.reply.clear();
-        let mut node = None;
+        let mut instance_number = None;
         let mut at = 0;
         while at < batch.len() {
             match batch.code(at) {
-                12 => node = Some(int::<2>(batch.record(at), 2) as usize),
-                11 => keep_table(&mut self.tables, &batch, at)?,
-                1 => self.boot(&batch, at, node)?,
+                12 => instance_number = Some(integer::<2>(batch.record(at), 2) as usize),
+                11 => store_table(&mut self.tables, &batch, at)?,
+                1 => self.start_instance(&batch, at, instance_number)?,
                 10 => {
-                    let node = node.ok_or_else(|| format!("event {at}: no instance named"))?;
-                    let place = self.instances.get_mut(node).filter(|place| place.is_some());
-                    *place.ok_or_else(|| format!("event {at}: instance {node} was never started"))? = None;
+                    let instance_number =
+                        instance_number.ok_or_else(|| format!("event {at}: no instance named"))?;
+                    let instance =
+                        self.instances.get_mut(instance_number).filter(|instance| instance.is_some());
+                    *instance.ok_or_else(|| {
+                        format!("event {at}: instance {instance_number} was never started")
+                    })? = None;
                 }
                 _ => {
-                    at = self.play(&batch, at, node)?;
+                    at = self.play_round(&batch, at, instance_number)?;
                     continue;
                 }
             }
@@ -145,23 +149,34 @@
         Ok(self.reply.finish())
     }
 
-    fn boot(&mut self, batch: &Batch, at: usize, node: Option<usize>) -> Result<(), String> {
-        let node = node.ok_or_else(|| format!("event {at}: no instance named"))?;
+    fn start_instance(
+        &mut self,
+        batch: &Batch,
+        at: usize,
+        instance_number: Option<usize>,
+    ) -> Result<(), String> {
+        let instance_number = instance_number.ok_or_else(|| format!("event {at}: no instance named"))?;
         let settings = pearfront_settings::parse(batch.tail(at, 10, 1)?)?;
-        if self.instances.len() <= node {
-            self.instances.resize_with(node + 1, || None);
+        if self.instances.len() <= instance_number {
+            self.instances.resize_with(instance_number + 1, || None);
         }
         let profiles = settings.profiles.len();
-        let balancer = Balancer::new(settings, int::<8>(batch.record(at), 2));
-        self.instances[node] = Some(Instance { balancer, started: batch.clock, profiles });
+        let balancer = Balancer::new(settings, integer::<8>(batch.record(at), 2));
+        self.instances[instance_number] = Some(Instance { balancer, started: batch.clock, profiles });
         Ok(())
     }
 
     /// One round of an instance: all its records up to the next instance, start or stop.
-    fn play(&mut self, batch: &Batch, from: usize, node: Option<usize>) -> Result<usize, String> {
-        let node = node.ok_or_else(|| format!("event {from}: no instance named"))?;
-        let instance = self.instances.get_mut(node).and_then(Option::as_mut);
-        let instance = instance.ok_or_else(|| format!("event {from}: instance {node} was never started"))?;
+    fn play_round(
+        &mut self,
+        batch: &Batch,
+        from: usize,
+        instance_number: Option<usize>,
+    ) -> Result<usize, String> {
+        let instance_number = instance_number.ok_or_else(|| format!("event {from}: no instance named"))?;
+        let instance = self.instances.get_mut(instance_number).and_then(Option::as_mut);
+        let instance =
+            instance.ok_or_else(|| format!("event {from}: instance {instance_number} was never started"))?;
         let now = instance.ms(batch.clock);
         let (started, profiles) = (instance.started, instance.profiles);
         let tables = &mut self.tables;
@@ -169,33 +184,33 @@
         let feed = |balancer: &mut Balancer| {
             while at < batch.len() && !matches!(batch.code(at), 1 | 10 | 12) {
                 if batch.code(at) == 11 {
-                    keep_table(tables, batch, at)?;
+                    store_table(tables, batch, at)?;
                 } else {
-                    hand_in(balancer, batch, at, started, profiles, tables)?;
+                    pass_to_module(balancer, batch, at, started, profiles, tables)?;
                 }
                 at += 1;
             }
             Ok::<(), String>(())
         };
-        self.reply.node = node as u16;
+        self.reply.instance_number = instance_number as u16;
         instance.balancer.round(now, feed, &mut self.reply)?;
         Ok(at)
     }
 }
 
-fn keep_table(tables: &mut [Vec<u8>; 16], batch: &Batch, at: usize) -> Result<(), String> {
-    let number = int::<4>(batch.record(at), 2) as usize;
-    let entries = batch.tail(at, 6, ENTRY)?;
+fn store_table(tables: &mut [Vec<u8>; 16], batch: &Batch, at: usize) -> Result<(), String> {
+    let number = integer::<4>(batch.record(at), 2) as usize;
+    let entries = batch.tail(at, 6, ENTRY_BYTES)?;
     let table = tables.get_mut(number).ok_or_else(|| format!("event {at}: no table {number}"))?;
     table.clear();
     table.extend_from_slice(entries);
-    for line in entries.chunks_exact(ENTRY) {
-        standing(line[10]).ok_or_else(|| format!("event {at}: unknown status {}", line[10]))?;
+    for line in entries.chunks_exact(ENTRY_BYTES) {
+        server_state(line[10]).ok_or_else(|| format!("event {at}: unknown status {}", line[10]))?;
     }
     Ok(())
 }
 
-fn standing(code: u8) -> Option<ServerState> {
+fn server_state(code: u8) -> Option<ServerState> {
     match code {
         0 => Some(ServerState::Ready),
         1 => Some(ServerState::Gone),
@@ -204,25 +219,25 @@
     }
 }
 
-fn listing(line: &[u8], started: u64) -> ListedServer {
-    let since = int::<8>(line, 16);
-    let share = f64::from(f32::from_le_bytes(std::array::from_fn(|byte| line[byte])));
+fn listed_server(line: &[u8], started: u64) -> ListedServer {
+    let started_at = integer::<8>(line, 16);
+    let weight = f64::from(f32::from_le_bytes(std::array::from_fn(|byte| line[byte])));
     ListedServer {
         address: address(line, 4),
-        state: standing(line[10]).unwrap_or(ServerState::Gone),
-        cell: int::<2>(line, 11) as u16,
+        state: server_state(line[10]).unwrap_or(ServerState::Gone),
+        cell: integer::<2>(line, 11) as u16,
         machine_type: usize::from(line[13]),
-        zone: int::<2>(line, 14) as u16,
-        weight: Some(share).filter(|share| share.is_normal() && *share > 0.0).unwrap_or(1.0),
-        started_at: match since {
+        zone: integer::<2>(line, 14) as u16,
+        weight: Some(weight).filter(|weight| weight.is_normal() && *weight > 0.0).unwrap_or(1.0),
+        started_at: match started_at {
             0 => f64::NEG_INFINITY,
-            since => since.wrapping_sub(started) as i64 as f64 / NS_PER_MS,
+            started_at => started_at.wrapping_sub(started) as i64 as f64 / NS_PER_MS,
         },
     }
 }
 
 /// Calls the module for one record.
-fn hand_in(
+fn pass_to_module(
     balancer: &mut Balancer,
     batch: &Batch,
     at: usize,
@@ -231,17 +246,17 @@
     tables: &[Vec<u8>; 16],
 ) -> Result<(), String> {
     let record = batch.record(at);
-    let id = int::<4>(record, 2) as u32;
+    let id = integer::<4>(record, 2) as u32;
     match batch.code(at) {
         2 => {
             let kind = record[2];
-            let number = int::<4>(record, 7) as usize;
+            let number = integer::<4>(record, 7) as usize;
             if kind == 3 {
                 balancer.list_failed();
                 return Ok(());
             }
             let table = tables.get(number).ok_or_else(|| format!("event {at}: no table {number}"))?;
-            let lines = table.chunks_exact(ENTRY).map(|line| listing(line, started));
+            let lines = table.chunks_exact(ENTRY_BYTES).map(|line| listed_server(line, started));
             match kind {
                 0 => balancer.list_received(false, false, lines),
                 1 => balancer.list_received(true, false, lines),
@@ -250,26 +265,27 @@
             }
         }
         3 => {
-            let limit = int::<8>(record, 24).wrapping_sub(started) as i64 as f64 / NS_PER_MS;
-            let (profile, customer) = (record[23] as usize, int::<2>(record, 32) as usize);
+            let deadline = integer::<8>(record, 24).wrapping_sub(started) as i64 as f64 / NS_PER_MS;
+            let (profile, customer) = (record[23] as usize, integer::<2>(record, 32) as usize);
             if profile >= profiles {
                 return Err(format!("event {at}: unknown class {profile}"));
             }
-            balancer.request_received(id, profile, customer, limit);
+            balancer.request_received(id, profile, customer, deadline);
         }
         5 => {
-            let (attempt, took) = (int::<2>(record, 6) as usize, int::<8>(record, 15) as f64 / NS_PER_MS);
-            balancer.attempt_ended(id, attempt, ending(record[14], at)?, took, record[23] != 0);
+            let (attempt, took) =
+                (integer::<2>(record, 6) as usize, integer::<8>(record, 15) as f64 / NS_PER_MS);
+            balancer.attempt_ended(id, attempt, outcome(record[14], at)?, took, record[23] != 0);
         }
         6 => balancer.client_left(id),
         8 => {
-            let good = ending(record[16], at)? == AttemptOutcome::Served;
+            let succeeded = outcome(record[16], at)? == AttemptOutcome::Served;
             let count = usize::from(record[17]).min(4);
             let value =
-                |place: usize| f32::from_le_bytes(std::array::from_fn(|b| record[18 + place * 4 + b]));
-            let report: [f64; 4] = std::array::from_fn(|place| f64::from(value(place)));
-            let took = int::<8>(record, 8) as f64 / NS_PER_MS;
-            balancer.probe_answered(address(record, 2), good, &report[..count], took);
+                |field: usize| f32::from_le_bytes(std::array::from_fn(|b| record[18 + field * 4 + b]));
+            let report: [f64; 4] = std::array::from_fn(|field| f64::from(value(field)));
+            let took = integer::<8>(record, 8) as f64 / NS_PER_MS;
+            balancer.probe_answered(address(record, 2), succeeded, &report[..count], took);
         }
         // Started streams, due timers and peers' words change nothing here: the round itself is what counts.
         4 | 7 | 9 => {}
@@ -281,7 +297,7 @@
 /// The reply being built; the module writes its decisions into it.
 #[derive(Default)]
 struct Reply {
-    node: u16,
+    instance_number: u16,
     written: Option<u16>,
     records: Vec<u8>,
     tail: Vec<u8>,
@@ -296,7 +312,7 @@
     }
 
     fn finish(&mut self) -> &[u8] {
-        let count = (self.records.len() / ACTION) as u32;
+        let count = (self.records.len() / ACTION_BYTES) as u32;
         self.frame.clear();
         self.frame.extend(((self.records.len() + self.tail.len()) as u32).to_le_bytes());
         self.frame.extend(count.to_le_bytes());
@@ -306,16 +322,16 @@
     }
 
     fn action(&mut self, code: u16, fields: &[&[u8]]) {
-        if self.written != Some(self.node) {
-            self.written = Some(self.node);
-            let node = self.node;
-            self.record(13, &[&node.to_le_bytes()]);
+        if self.written != Some(self.instance_number) {
+            self.written = Some(self.instance_number);
+            let instance_number = self.instance_number;
+            self.record(13, &[&instance_number.to_le_bytes()]);
         }
         self.record(code, fields);
     }
 
     fn record(&mut self, code: u16, fields: &[&[u8]]) {
-        let end = self.records.len() + ACTION;
+        let end = self.records.len() + ACTION_BYTES;
         self.records.extend(code.to_le_bytes());
         fields.iter().for_each(|field| self.records.extend(*field));
         self.records.resize(end, 0);
@@ -323,21 +339,21 @@
 }
 
 impl DecisionWriter for Reply {
-    fn attempt(&mut self, job: u32, server: Address, limit: f64) {
-        let limit = ((limit * NS_PER_MS).floor() as u64).max(1);
-        self.action(1, &[&job.to_le_bytes(), &server, &limit.to_le_bytes()]);
+    fn attempt(&mut self, request: u32, server: Address, timeout: f64) {
+        let timeout = ((timeout * NS_PER_MS).floor() as u64).max(1);
+        self.action(1, &[&request.to_le_bytes(), &server, &timeout.to_le_bytes()]);
     }
 
-    fn cancel(&mut self, job: u32, attempt: u16) {
-        self.action(4, &[&job.to_le_bytes(), &attempt.to_le_bytes()]);
+    fn cancel(&mut self, request: u32, attempt: u16) {
+        self.action(4, &[&request.to_le_bytes(), &attempt.to_le_bytes()]);
     }
 
-    fn reject(&mut self, job: u32, wait: f64) {
-        self.action(2, &[&job.to_le_bytes(), &((wait * NS_PER_MS) as u64).to_le_bytes()]);
+    fn reject(&mut self, request: u32, retry_after: f64) {
+        self.action(2, &[&request.to_le_bytes(), &((retry_after * NS_PER_MS) as u64).to_le_bytes()]);
     }
 
-    fn fail(&mut self, job: u32) {
-        self.action(3, &[&job.to_le_bytes()]);
+    fn fail(&mut self, request: u32) {
+        self.action(3, &[&request.to_le_bytes()]);
     }
 
     fn probe(&mut self, server: Address) {
@@ -345,7 +361,7 @@
     }
 
     fn wake_after(&mut self, delay: f64) {
-        let delay = (delay.min(LONGEST_WAKE) * NS_PER_MS).ceil() as u64;
+        let delay = (delay.min(LONGEST_WAKE_MS) * NS_PER_MS).ceil() as u64;
         self.action(5, &[&delay.to_le_bytes(), &0u64.to_le_bytes()]);
     }
 
--- a/crates/pearfront-settings/src/lib.rs
+++ b/crates/pearfront-settings/src/lib.rs
@@ -8,11 +8,11 @@
 
 const NS_PER_MS: f64 = 1e6;
 /// Time, ms, for a connection to come up where the settings name none: a few round trips across a country.
-const CONNECT_TIMEOUT: f64 = 500.0;
+const CONNECT_TIMEOUT_MS: f64 = 500.0;
 /// Time, ms, after which a server closes an idle connection where the settings name none.
-const CONN_IDLE: f64 = 10_000.0;
+const IDLE_TIMEOUT_MS: f64 = 10_000.0;
 /// Grace of drains where the settings don't tell it, ms: the least that any deployment gives.
-const DRAIN_GRACE: f64 = 300.0;
+const DRAIN_GRACE_MS: f64 = 300.0;
 
 /// A place in a JSON document, and its name for messages.
 pub struct JsonField<'a> {
@@ -61,16 +61,16 @@
 
     pub fn list(&self) -> Result<Vec<JsonField<'a>>, String> {
         let list = self.value.as_array().ok_or_else(|| format!("{} is no list", self.path))?;
-        let place = |(at, value)| JsonField { value, path: format!("{}[{at}]", self.path) };
-        Ok(list.iter().enumerate().map(place).collect())
+        let item = |(index, value)| JsonField { value, path: format!("{}[{index}]", self.path) };
+        Ok(list.iter().enumerate().map(item).collect())
     }
 
     pub fn number_or(&self, key: &str, default: f64) -> Result<f64, String> {
-        self.optional(key).map_or(Ok(default), |at| at.number())
+        self.optional(key).map_or(Ok(default), |field| field.number())
     }
 
     fn ms_or(&self, key: &str, default: f64) -> Result<f64, String> {
-        self.optional(key).map_or(Ok(default), |at| at.ms())
+        self.optional(key).map_or(Ok(default), |field| field.ms())
     }
 
     pub fn boolean(&self) -> Result<bool, String> {
@@ -78,19 +78,19 @@
     }
 
     fn boolean_or_false(&self, key: &str) -> Result<bool, String> {
-        self.optional(key).map_or(Ok(false), |at| at.boolean())
+        self.optional(key).map_or(Ok(false), |field| field.boolean())
     }
 
     fn list_or_none(&self, key: &str) -> Result<Vec<JsonField<'a>>, String> {
-        self.optional(key).map_or(Ok(Vec::new()), |at| at.list())
+        self.optional(key).map_or(Ok(Vec::new()), |field| field.list())
     }
 
     fn texts(&self, key: &str) -> Result<Vec<String>, String> {
-        self.list_or_none(key)?.iter().map(|at| at.string().map(str::to_string)).collect()
+        self.list_or_none(key)?.iter().map(|field| field.string().map(str::to_string)).collect()
     }
 
     fn names(&self, key: &str) -> Result<Vec<String>, String> {
-        let name = |at: &JsonField| at.required("name")?.string().map(str::to_string);
+        let name = |field: &JsonField| field.required("name")?.string().map(str::to_string);
         self.list_or_none(key)?.iter().map(name).collect()
     }
 }
@@ -112,9 +112,9 @@
             let rest: Vec<_> = items.collect();
             let keys = first.keys().filter(|key| rest.iter().all(|item| item.contains_key(*key)));
             let keys: Vec<_> = keys.collect();
-            now.iter().enumerate().find_map(|(at, item)| {
+            now.iter().enumerate().find_map(|(index, item)| {
                 let missing = keys.iter().find(|key| item.get(key).is_none())?;
-                Some(format!("{path}[{at}].{missing}"))
+                Some(format!("{path}[{index}].{missing}"))
             })
         }
         _ => None,
@@ -127,35 +127,35 @@
     decode(&JsonField::root(&json, "settings"))
 }
 
-pub fn decode(top: &JsonField) -> Result<Settings, String> {
-    let limits = top.required("limits")?;
-    let rules = top.required("rules")?;
-    let prices = top.required("deductions")?;
-    check_goal(top)?;
-    let on_request = top.required("discovery")?.string()? == "on_request";
+pub fn decode(root: &JsonField) -> Result<Settings, String> {
+    let limits = root.required("limits")?;
+    let rules = root.required("rules")?;
+    let deductions = root.required("deductions")?;
+    check_goal(root)?;
+    let on_request = root.required("discovery")?.string()? == "on_request";
     let quota = |customer: &JsonField| customer.required("quota_per_s")?.number();
-    let tier = top.number_or("tier", 0.0)? as usize;
-    let layers = top.texts("layers")?.len();
+    let tier = root.number_or("tier", 0.0)? as usize;
+    let layers = root.texts("layers")?.len();
     if layers > 0 && tier >= layers {
-        return top.required("tier")?.error(format!("is none of the {layers} layers"));
+        return root.required("tier")?.error(format!("is none of the {layers} layers"));
     }
     // One of the two is enough to state a budget: without a number that is free it is a share alone.
-    let rationed = rules.optional("budget_free").or(rules.optional("extra_ratio")).is_some();
+    let has_retry_budget = rules.optional("budget_free").or(rules.optional("extra_ratio")).is_some();
     Ok(Settings {
-        node_count: top.required("siblings")?.number()?.max(1.0),
+        node_count: root.required("siblings")?.number()?.max(1.0),
         tier,
         last_tier: layers == tier + 1,
-        weighted: sized(top)?,
-        zone: top.number_or("locality", 0.0)? as u16,
-        round_interval: top.required("round")?.ms()?,
+        weighted: weighted(root)?,
+        zone: root.number_or("locality", 0.0)? as u16,
+        round_interval: root.required("round")?.ms()?,
         discovery_on_request: on_request,
         list_request_deadline: if on_request { rules.required("ask_within")?.ms()? } else { 0.0 },
-        profiles: top.required("profiles")?.list()?.iter().map(profile).collect::<Result<_, _>>()?,
-        quotas: top.list_or_none("customers")?.iter().map(quota).collect::<Result<_, _>>()?,
-        over_quota_gain: top.number_or("excess_gain", 1.0)?,
-        gain_per_work: top.optional("gain_basis").map_or(Ok(""), |at| at.string())? == "work",
-        cross_zone_price: prices.number_or("cross_zone", 0.0)?,
-        probe_price: prices.number_or("probe", 0.0)?,
+        profiles: root.required("profiles")?.list()?.iter().map(profile).collect::<Result<_, _>>()?,
+        quotas: root.list_or_none("customers")?.iter().map(quota).collect::<Result<_, _>>()?,
+        over_quota_gain: root.number_or("excess_gain", 1.0)?,
+        gain_per_work: root.optional("gain_basis").map_or(Ok(""), |field| field.string())? == "work",
+        cross_zone_price: deductions.number_or("cross_zone", 0.0)?,
+        probe_price: deductions.number_or("probe", 0.0)?,
         max_attempts: limits.required("most_shots")?.positive_number()?.ceil() as usize,
         may_hedge: limits.boolean_or_false("parallel_tries")?,
         may_cancel: limits.boolean_or_false("cancel")?,
@@ -170,20 +170,21 @@
         overload_multiple: rules.required("tip_multiple")?.number()?,
         overload_window: rules.required("overload_for")?.ms()?,
         may_send_to_removed: rules.boolean_or_false("removal_not_binding")?,
-        retry_budget_free: rules.number_or("budget_free", if rationed { 0.0 } else { f64::INFINITY })?,
+        retry_budget_free: rules
+            .number_or("budget_free", if has_retry_budget { 0.0 } else { f64::INFINITY })?,
         retry_budget_ratio: rules.number_or("extra_ratio", 0.0)?,
-        retry_budget_span: if rationed {
+        retry_budget_span: if has_retry_budget {
             rules.required("resend_span")?.positive_number()? / NS_PER_MS
         } else {
             0.0
         },
-        report: top.required("report")?.texts("fields")?.iter().map(|name| report_field(name)).collect(),
+        report: root.required("report")?.texts("fields")?.iter().map(|name| report_field(name)).collect(),
     })
 }
 
 /// What the parts of the goal weigh decides nothing; they must be figures all the same.
-fn check_goal(top: &JsonField) -> Result<(), String> {
-    let goal = top.required("objective_mix")?;
+fn check_goal(root: &JsonField) -> Result<(), String> {
+    let goal = root.required("objective_mix")?;
     for key in ["whole", "worst_class", "worst_tenant", "tail_part"] {
         goal.number_or(key, 0.0)?;
     }
@@ -192,8 +193,8 @@
 }
 
 /// Does the list say what servers bear? Weights that follow load would count it twice.
-fn sized(top: &JsonField) -> Result<bool, String> {
-    let Some(weights) = top.optional("weights") else { return Ok(false) };
+fn weighted(root: &JsonField) -> Result<bool, String> {
+    let Some(weights) = root.optional("weights") else { return Ok(false) };
     match weights.string()? {
         "nominal" | "rough" => Ok(true),
         "none" | "live" => Ok(false),
@@ -201,15 +202,15 @@
     }
 }
 
-fn profile(at: &JsonField) -> Result<Profile, String> {
-    let kind = at.required("effect")?;
-    let effect = match kind.string()? {
+fn profile(field: &JsonField) -> Result<Profile, String> {
+    let effect_field = field.required("effect")?;
+    let effect = match effect_field.string()? {
         "safe" => Effect::Idempotent,
         "keyed" => Effect::Keyed,
         "unsafe" => Effect::NonIdempotent,
-        other => return kind.error(format!("{other:?} is unknown")),
+        other => return effect_field.error(format!("{other:?} is unknown")),
     };
-    let group = match at.optional("group") {
+    let dedup_scope = match field.optional("group") {
         None => DedupScope::All,
         Some(group) => match group.string()? {
             "zone" => DedupScope::Zone,
@@ -219,12 +220,12 @@
         },
     };
     Ok(Profile {
-        name: at.optional("name").map_or(Ok(at.path.as_str()), |at| at.string())?.to_string(),
+        name: field.optional("name").map_or(Ok(field.path.as_str()), |field| field.string())?.to_string(),
         effect,
-        dedup_scope: group,
-        dedup_window: at.ms_or("window", 0.0)?,
-        latency_target: at.required("contract_time")?.positive_number()? / NS_PER_MS,
-        gain: at.required("gain")?.number()?,
+        dedup_scope,
+        dedup_window: field.ms_or("window", 0.0)?,
+        latency_target: field.required("contract_time")?.positive_number()? / NS_PER_MS,
+        gain: field.required("gain")?.number()?,
     })
 }
 
@@ -257,27 +258,27 @@
 }
 
 impl NodeSettings {
-    pub fn decode(top: &JsonField) -> Result<Self, String> {
-        let limits = top.required("limits")?;
-        let report = top.required("report")?;
-        let via = report.optional("via").map_or(Ok("none"), |at| at.string())?;
+    pub fn decode(root: &JsonField) -> Result<Self, String> {
+        let limits = root.required("limits")?;
+        let report = root.required("report")?;
+        let via = report.optional("via").map_or(Ok("none"), |field| field.string())?;
         if limits.number_or("streams_per_conn", 1.0)? < 1.0 {
             return limits.required("streams_per_conn")?.error("is below 1");
         }
-        let deadline = |at: &JsonField| Ok(at.required("outer_limit")?.positive_number()? / NS_PER_MS);
+        let deadline = |field: &JsonField| Ok(field.required("outer_limit")?.positive_number()? / NS_PER_MS);
         let deadlines: Vec<f64> =
-            top.required("profiles")?.list()?.iter().map(deadline).collect::<Result<_, String>>()?;
+            root.required("profiles")?.list()?.iter().map(deadline).collect::<Result<_, String>>()?;
         Ok(Self {
-            profiles: top.names("profiles")?,
-            customers: top.names("customers")?,
-            zones: top.texts("azs")?,
-            machine_types: top.texts("host_types")?,
+            profiles: root.names("profiles")?,
+            customers: root.names("customers")?,
+            zones: root.texts("azs")?,
+            machine_types: root.texts("host_types")?,
             report: report.texts("fields")?,
             load_reports: via != "none",
             load_reports_in_responses: via == "answers",
-            connect_timeout: limits.ms_or("connect_timeout", CONNECT_TIMEOUT)?,
-            idle_timeout: limits.ms_or("conn_idle", CONN_IDLE)?,
-            drain_grace: top.required("rules")?.ms_or("drain_grace", DRAIN_GRACE)?,
+            connect_timeout: limits.ms_or("connect_timeout", CONNECT_TIMEOUT_MS)?,
+            idle_timeout: limits.ms_or("conn_idle", IDLE_TIMEOUT_MS)?,
+            drain_grace: root.required("rules")?.ms_or("drain_grace", DRAIN_GRACE_MS)?,
             max_deadline: deadlines.into_iter().fold(0.0, f64::max),
         })
     }
--- a/crates/pearfront-settings/src/sidecar.rs
+++ b/crates/pearfront-settings/src/sidecar.rs
@@ -139,16 +139,16 @@
 
 pub fn to_sidecar(old: &Value, target: &SidecarTarget) -> Result<SidecarConfig, String> {
     known_keys(old, "")?;
-    let top = JsonField::root(old, "config");
-    let settings = top.required("settings")?;
-    let around = NodeSettings::decode(&settings)?;
-    let read = decode(&settings)?;
-    top.required("seed")?.string()?;
-    let instances = top.required("known")?.required("instances")?.list()?;
-    if !read.discovery_on_request {
+    let root = JsonField::root(old, "config");
+    let settings = root.required("settings")?;
+    let node_settings = NodeSettings::decode(&settings)?;
+    let decoded = decode(&settings)?;
+    root.required("seed")?.string()?;
+    let instances = root.required("known")?.required("instances")?.list()?;
+    if !decoded.discovery_on_request {
         return settings.required("discovery")?.error("is \"pushed\": the file has been moved already");
     }
-    if read.tier > 0 {
+    if decoded.tier > 0 {
         return settings.required("tier")?.error("is not 0: only nodes that clients call move");
     }
     let zone = target.zones.iter().position(|zone| *zone == target.zone);
@@ -161,18 +161,18 @@
     for key in ["name", "listen", "admin", "peer_listen", "peers", "peers_all"] {
         drop_key(&mut file, key, &mut not_carried_over, "belongs to the old node");
     }
-    let mut kept = Vec::new();
-    for (at, value) in instances.iter().zip(old["known"]["instances"].as_array().into_iter().flatten()) {
-        match at.optional("zone").map(|zone| zone.string()).transpose()? {
-            Some(name) if target.zones.iter().any(|zone| zone == name) => kept.push(value.clone()),
+    let mut kept_instances = Vec::new();
+    for (field, value) in instances.iter().zip(old["known"]["instances"].as_array().into_iter().flatten()) {
+        match field.optional("zone").map(|zone| zone.string()).transpose()? {
+            Some(name) if target.zones.iter().any(|zone| zone == name) => kept_instances.push(value.clone()),
             other => not_carried_over.push(format!(
                 "{}: zone {} is none of the new ones",
-                at.path,
+                field.path,
                 other.unwrap_or("none")
             )),
         }
     }
-    file["known"]["instances"] = Value::Array(kept);
+    file["known"]["instances"] = Value::Array(kept_instances);
     let new = &mut file["settings"];
     new["discovery"] = json!("pushed");
     new["siblings"] = json!(target.nodes);
@@ -180,22 +180,22 @@
     new["locality"] = json!(zone);
     new["limits"]["parallel_tries"] = json!(false);
     new["limits"]["streams_per_conn"] = json!(target.streams);
-    if read.may_hedge {
+    if decoded.may_hedge {
         not_carried_over.push("settings.limits.parallel_tries: no second copies".into());
     }
     drop_key(new, "me", &mut not_carried_over, "is the old node's number");
     drop_key(&mut new["rules"], "ask_within", &mut not_carried_over, "the list comes unasked");
-    if around.zones != target.zones {
+    if node_settings.zones != target.zones {
         not_carried_over.push(format!(
             "settings.azs: {} became {}",
-            around.zones.join(", "),
+            node_settings.zones.join(", "),
             target.zones.join(", ")
         ));
     }
     for (key, what) in
         [("probe", "with it a draw asks first or not"), ("cross_zone", "it keeps jobs at home")]
     {
-        let price = settings.optional("deductions").map_or(Ok(0.0), |at| at.number_or(key, 0.0))?;
+        let price = settings.optional("deductions").map_or(Ok(0.0), |field| field.number_or(key, 0.0))?;
         not_carried_over.push(format!("settings.deductions.{key}: stays {price}, the old price; {what}"));
     }
     // What is written must be what a node takes.
--- a/crates/pearfront-settings/src/tests.rs
+++ b/crates/pearfront-settings/src/tests.rs
@@ -11,7 +11,7 @@
         "rules": {"ask_within": 1e10, "cold": 9e9, "cold_from": 0.3, "tip_multiple": 4.0, "overload_for": 2e9}}"#;
 
 #[test]
-fn times_are_milliseconds_and_absent_keys_have_defaults() {
+fn times_are_milliseconds_and_missing_keys_have_defaults() {
     let json: Value = serde_json::from_str(SETTINGS).unwrap();
     let settings = decode(&JsonField::root(&json, "settings")).unwrap();
     assert_eq!(
@@ -20,35 +20,38 @@
     );
     assert_eq!((settings.probe_price, settings.over_quota_gain, settings.tier), (0.0, 1.0, 0));
     assert_eq!(settings.profiles[0].dedup_scope, DedupScope::Cell);
-    let around = NodeSettings::decode(&JsonField::root(&json, "settings")).unwrap();
-    assert_eq!((around.idle_timeout, around.connect_timeout), (30_000.0, CONNECT_TIMEOUT));
-    assert_eq!((around.max_deadline, around.load_reports_in_responses), (3000.0, false));
-    assert_eq!(around.customers, ["inns"]);
+    let node_settings = NodeSettings::decode(&JsonField::root(&json, "settings")).unwrap();
+    assert_eq!((node_settings.idle_timeout, node_settings.connect_timeout), (30_000.0, CONNECT_TIMEOUT_MS));
+    assert_eq!((node_settings.max_deadline, node_settings.load_reports_in_responses), (3000.0, false));
+    assert_eq!(node_settings.customers, ["inns"]);
 }
 
 #[test]
 fn last_tier_and_weights_are_read_and_off_by_default() {
-    let old = parse(SETTINGS.as_bytes()).unwrap();
-    assert!(!old.last_tier && !old.weighted && !old.may_hedge);
+    let defaults = parse(SETTINGS.as_bytes()).unwrap();
+    assert!(!defaults.last_tier && !defaults.weighted && !defaults.may_hedge);
     let named =
         SETTINGS.replace("\"siblings\": 2", "\"siblings\": 2, \"layers\": [\"a\"], \"weights\": \"rough\"");
-    let new = parse(named.as_bytes()).unwrap();
-    assert!(new.last_tier && new.weighted);
+    let given = parse(named.as_bytes()).unwrap();
+    assert!(given.last_tier && given.weighted);
 }
 
 #[test]
-fn a_budget_of_further_attempts_and_what_else_binds_are_read_and_bind_nothing_where_they_are_not_named() {
-    let old = parse(SETTINGS.as_bytes()).unwrap();
-    assert!(old.retry_budget_free.is_infinite() && !old.may_send_to_removed);
+fn retry_budget_and_removal_rule_are_read_and_off_by_default() {
+    let defaults = parse(SETTINGS.as_bytes()).unwrap();
+    assert!(defaults.retry_budget_free.is_infinite() && !defaults.may_send_to_removed);
     let named = SETTINGS.replace(
         "\"rules\": {",
         "\"rules\": {\"budget_free\": 3, \"extra_ratio\": 0.03, \
         \"resend_span\": 5e9, \"removal_not_binding\": true, ",
     );
     let named = named.replace("\"whole\": 1.0", "\"whole\": 0.8, \"tail_part\": 0.2, \"tail_slack\": 0.02");
-    let new = parse(named.as_bytes()).unwrap();
-    assert_eq!((new.retry_budget_free, new.retry_budget_ratio, new.retry_budget_span), (3.0, 0.03, 5000.0));
-    assert!(new.may_send_to_removed);
+    let given = parse(named.as_bytes()).unwrap();
+    assert_eq!(
+        (given.retry_budget_free, given.retry_budget_ratio, given.retry_budget_span),
+        (3.0, 0.03, 5000.0)
+    );
+    assert!(given.may_send_to_removed);
     let share_alone =
         SETTINGS.replace("\"rules\": {", "\"rules\": {\"extra_ratio\": 0.1, \"resend_span\": 1e9, ");
     assert_eq!(parse(share_alone.as_bytes()).unwrap().retry_budget_free, 0.0);
