--- a/crates/pearfront-node/src/discovery.rs
+++ b/crates/pearfront-node/src/discovery.rs
@@ -17,9 +17,9 @@
 use crate::stall_monitor::StallMonitor;
 use crate::wall_clock::{self, WallClock};
 use crate::watch::{self, Backoff, CallReport, DiscoveryService, Failure};
-use pearfront::chance::Chance;
-use pearfront::interface::{Address, Listing, Standing};
-use pearfront_settings::At;
+use pearfront::interface::{Address, ListedServer, ServerState};
+use pearfront::rng::SeededRng;
+use pearfront_settings::JsonField;
 use roster::Roster;
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
@@ -64,21 +64,21 @@
 fn lease_rules(settings: &SharedSettings) -> LeaseRules {
     let settings = settings.current();
     LeaseRules {
-        pushed: !settings.policy_settings.listed_on_request,
+        pushed: !settings.policy_settings.discovery_on_request,
         drain_grace_ms: settings.node_settings.drain_grace,
     }
 }
 
 /// A line in the module's terms; `start` gives its start in the node's time.
-pub fn listing(entry: &ServerEntry, start: impl Fn(f64) -> f64) -> Listing {
-    Listing {
-        server: encode_address(entry.address),
-        standing: entry.standing,
+pub fn listing(entry: &ServerEntry, start: impl Fn(f64) -> f64) -> ListedServer {
+    ListedServer {
+        address: encode_address(entry.address),
+        state: entry.standing,
         cell: entry.cell,
         zone: entry.zone,
-        make: entry.machine_type,
-        size: entry.weight,
-        started: entry.started.map_or(f64::NEG_INFINITY, start),
+        machine_type: entry.machine_type,
+        weight: entry.weight,
+        started_at: entry.started.map_or(f64::NEG_INFINITY, start),
     }
 }
 
@@ -118,7 +118,7 @@
     /// The watch's connection between its calls.
     watch_connection: RefCell<Option<HttpConnection>>,
     /// What spreads the watch's pauses, until it begins.
-    jitter: Cell<Option<Chance>>,
+    jitter: Cell<Option<SeededRng>>,
     /// Rung when a list has come from the service.
     list_received: Notify,
     invalid_entries: WarnLimiter,
@@ -148,7 +148,7 @@
             roster: RefCell::default(),
             list_version: Cell::new(0),
             watch_connection: RefCell::default(),
-            jitter: Cell::new(Some(Chance::default())),
+            jitter: Cell::new(Some(SeededRng::default())),
             list_received: Notify::new(),
             invalid_entries: WarnLimiter::default(),
             failure_log: WarnLimiter::default(),
@@ -205,11 +205,11 @@
     }
 
     /// The servers that the list has as ready, in the module's terms.
-    pub fn ready(&self) -> Vec<Listing> {
+    pub fn ready(&self) -> Vec<ListedServer> {
         self.roster.borrow().ready().map(|entry| self.listing(entry)).collect()
     }
 
-    fn listing(&self, entry: &ServerEntry) -> Listing {
+    fn listing(&self, entry: &ServerEntry) -> ListedServer {
         let (now, absent_at) = (self.clock.now(), self.last_list_at.get());
         listing(entry, |unix| self.wall.start_of(&entry.id, unix, now, absent_at))
     }
@@ -232,7 +232,7 @@
         let mut left = self.left_at.borrow_mut();
         left.retain(|_, at| now - *at < LEFT_RETENTION_MS);
         for entry in &entries {
-            if entry.standing == Standing::Ready {
+            if entry.standing == ServerState::Ready {
                 left.remove(&entry.address.into());
                 continue;
             }
@@ -244,8 +244,8 @@
             self.leases.forget(server);
         }
         self.wall.observe(wall_clock::unix_now(), now);
-        let entries: Vec<Listing> = entries.iter().map(|entry| self.listing(entry)).collect();
-        if entries.iter().any(|entry| entry.standing == Standing::Gone) {
+        let entries: Vec<ListedServer> = entries.iter().map(|entry| self.listing(entry)).collect();
+        if entries.iter().any(|entry| entry.state == ServerState::Gone) {
             self.wall.retain_servers(|server| self.roster.borrow().entries.contains_key(server));
         }
         if !may_be_old {
@@ -253,7 +253,7 @@
             self.list_received.notify_waiters();
         }
         self.inbox.push(move |balancer| {
-            balancer.listed(false, may_be_old, entries.into_iter());
+            balancer.list_received(false, may_be_old, entries.into_iter());
         });
     }
 
@@ -265,7 +265,10 @@
 
     /// Another process of this node has this list; what this one has been told since may be newer.
     pub fn apply_peer_list(&self, list: &Value) -> Result<(), String> {
-        let list = message::decode_list_json(&At::top(list, "list"), &self.settings.current().node_settings)?;
+        let list = message::decode_list_json(
+            &JsonField::root(list, "list"),
+            &self.settings.current().node_settings,
+        )?;
         if list.version > self.list_version.get() {
             self.apply_list(list, true);
         }
@@ -278,7 +281,7 @@
     }
 
     /// The watch's pauses are spread by this chance, if it has not begun.
-    pub fn set_jitter(&self, jitter: Chance) {
+    pub fn set_jitter(&self, jitter: SeededRng) {
         if self.jitter.take().is_some() {
             self.jitter.set(Some(jitter));
         }
@@ -378,10 +381,10 @@
 
     fn backoff(&self) -> Backoff {
         let settings = self.settings.current();
-        if settings.policy_settings.listed_on_request {
+        if settings.policy_settings.discovery_on_request {
             Backoff {
                 first_ms: POLL_FIRST_PAUSE_MS,
-                longest_ms: settings.policy_settings.ask_within * POLL_LONGEST_PAUSE_SHARE,
+                longest_ms: settings.policy_settings.list_request_deadline * POLL_LONGEST_PAUSE_SHARE,
             }
         } else {
             Backoff {
--- a/crates/pearfront-node/src/main.rs
+++ b/crates/pearfront-node/src/main.rs
@@ -55,8 +55,8 @@
 use lease_monitor::LeaseMonitor;
 use lifecycle::Lifecycle;
 use logger::{InfoLimiter, WarnLimiter};
-use pearfront::chance::Chance;
 use pearfront::policy::Balancer;
+use pearfront::rng::SeededRng;
 use pearfront_cluster::Cluster;
 use probe::Prober;
 use runtime_settings::{RuntimeSettings, SharedSettings};
@@ -169,7 +169,7 @@
         {
             log::warn!("ends without a permit: {problem}");
         }
-        let longest = settings.current().node_settings.longest_deadline.min(LONGEST_COUNTED) + AFTER_LIMIT;
+        let longest = settings.current().node_settings.max_deadline.min(LONGEST_COUNTED) + AFTER_LIMIT;
         last.set(clock.now() + longest);
         let answered = last.get() - LAST_ANSWERS;
         lifecycle.end(
@@ -177,7 +177,7 @@
                 .instant_at(answered - client_service::CLOSING_PERIOD_MS)
                 .saturating_duration_since(Instant::now()),
         );
-        take_in.dispatcher.inbox.push(move |balancer| balancer.closing(answered));
+        take_in.dispatcher.inbox.push(move |balancer| balancer.shutdown_at(answered));
         answered
     };
     Acceptor::new(listener, shared, take_in.clone()).run(ended).await;
@@ -290,7 +290,7 @@
 fn retune(in_force: &SharedSettings, settings: RuntimeSettings, take_in: &ClientService) {
     let settings = Rc::new(settings);
     in_force.replace(settings.clone());
-    take_in.dispatcher.inbox.push(move |balancer| balancer.retune(settings.policy_settings.clone()));
+    take_in.dispatcher.inbox.push(move |balancer| balancer.update_settings(settings.policy_settings.clone()));
 }
 
 /// Puts the stages together and starts what runs by itself.
@@ -319,7 +319,7 @@
     );
     // The module's seed, and other streams of it.
     let stream = |number| {
-        let mut chance = Chance::seeded(config.seed);
+        let mut chance = SeededRng::from_seed(config.seed);
         chance.0.set_stream(number);
         chance
     };
@@ -341,7 +341,7 @@
         LeaseMonitor::new(discovery.clone(), prober.clone(), inbox.clone(), settings.clone(), clock);
     let route = Dispatcher::new(clock, inbox, pool.clone(), discovery.clone(), prober, book.clone(), peers);
     discovery.apply_list(config.known, true);
-    if !policy_settings.listed_on_request {
+    if !policy_settings.discovery_on_request {
         discovery.start_watch();
     }
     spawn_local(pool.clone().sweep());
--- a/crates/pearfront-node/src/message/discovery/tests.rs
+++ b/crates/pearfront-node/src/message/discovery/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use serde_json::json;
 
-fn node_settings() -> Surroundings {
+fn node_settings() -> NodeSettings {
     let names = |names: &[&str]| names.iter().map(|name| name.to_string()).collect();
-    Surroundings { zones: names(&["a", "b"]), makes: names(&["m1", "m2"]), ..Surroundings::default() }
+    NodeSettings { zones: names(&["a", "b"]), machine_types: names(&["m1", "m2"]), ..NodeSettings::default() }
 }
 
 // What one process tells the next must be what it knows.
@@ -19,9 +19,9 @@
         weight: 0.5,
         started,
     };
-    let entries = [entry("a", Standing::Ready, Some(1500.5)), entry("b", Standing::Draining, None)];
+    let entries = [entry("a", ServerState::Ready, Some(1500.5)), entry("b", ServerState::Draining, None)];
     let list = encode_list(41, entries.iter(), &node_settings());
-    let list = decode_list_json(&At::top(&list, "list"), &node_settings()).unwrap();
+    let list = decode_list_json(&JsonField::root(&list, "list"), &node_settings()).unwrap();
     assert_eq!((list.version, list.is_full, list.entries.as_slice()), (41, true, entries.as_slice()));
 }
 
@@ -36,7 +36,7 @@
     assert_eq!((list.version, list.is_full), (41, true));
     let address = "10.1.0.18:8443".parse().unwrap();
     // A machine type that the settings lack is one more.
-    let (standing, started) = (Standing::Ready, Some(5.0));
+    let (standing, started) = (ServerState::Ready, Some(5.0));
     assert_eq!(
         list.entries,
         [ServerEntry {
--- a/crates/pearfront-node/src/message/load_report.rs
+++ b/crates/pearfront-node/src/message/load_report.rs
@@ -2,21 +2,21 @@
 
 use super::headers::REPORT;
 use hyper::http::response;
-use pearfront_settings::Surroundings;
+use pearfront_settings::NodeSettings;
 
 /// The load report that came with an answer, where the deployment has them there; an error if it can't be read.
 pub fn decode_report_of(
     head: &response::Parts,
-    node_settings: &Surroundings,
+    node_settings: &NodeSettings,
 ) -> Option<Result<Vec<f64>, String>> {
-    let value = head.headers.get(REPORT).filter(|_| node_settings.reports_in_answers)?;
+    let value = head.headers.get(REPORT).filter(|_| node_settings.load_reports_in_responses)?;
     Some(
         value.to_str().map_err(|error| error.to_string()).and_then(|text| decode_report(text, node_settings)),
     )
 }
 
 /// A load report's values in the order of the settings; none where a server that has just started has none yet.
-pub fn decode_report(text: &str, node_settings: &Surroundings) -> Result<Vec<f64>, String> {
+pub fn decode_report(text: &str, node_settings: &NodeSettings) -> Result<Vec<f64>, String> {
     if text.trim().is_empty() {
         return Ok(Vec::new());
     }
--- a/crates/pearfront-node/src/probe.rs
+++ b/crates/pearfront-node/src/probe.rs
@@ -106,14 +106,14 @@
             self.pool.keep_link(server, link);
             return Err(Failure::Refused);
         }
-        let call = message::encode_probe(server, self.settings.current().node_settings.reports);
+        let call = message::encode_probe(server, self.settings.current().node_settings.load_reports);
         let (head, body) = link.ask(call, MAX_REPORT_BYTES).await.map_err(|()| Failure::Broken)?;
         self.pool.keep_link(server, link);
         let report = || {
             message::decode_report(&String::from_utf8_lossy(&body), &self.settings.current().node_settings)
         };
         match head.status {
-            hyper::StatusCode::OK if self.settings.current().node_settings.reports => Ok(report()),
+            hyper::StatusCode::OK if self.settings.current().node_settings.load_reports => Ok(report()),
             hyper::StatusCode::OK => Ok(Ok(Vec::new())),
             status => Err(Failure::Status(status)),
         }
--- a/crates/pearfront-node/src/test_support.rs
+++ b/crates/pearfront-node/src/test_support.rs
@@ -12,8 +12,8 @@
 use crate::message::{ServerEntry, ServerList};
 use crate::probe::{LOGGED_FAILURES_PER_S, Prober};
 use crate::runtime_settings::{RuntimeSettings, SharedSettings};
-use pearfront::interface::Standing;
-use pearfront_settings::Surroundings;
+use pearfront::interface::ServerState;
+use pearfront_settings::NodeSettings;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -28,11 +28,11 @@
 impl Stages {
     /// Stages whose discovery service has this address; only within `run`.
     pub fn new(service: SocketAddr) -> Self {
-        let node_settings = Surroundings {
+        let node_settings = NodeSettings {
             connect_timeout: 1000.0,
-            conn_idle: 1000.0,
+            idle_timeout: 1000.0,
             drain_grace: 400.0,
-            ..Surroundings::default()
+            ..NodeSettings::default()
         };
         let settings = SharedSettings::new(RuntimeSettings { node_settings, ..RuntimeSettings::default() });
         let (clock, inbox) = (Clock::start(), Rc::new(EventQueue::default()));
@@ -65,7 +65,7 @@
     }
 
     /// Tells the stages that a list of this version has the server so.
-    pub fn list(&self, version: u64, server: SocketAddr, standing: Standing) {
+    pub fn list(&self, version: u64, server: SocketAddr, standing: ServerState) {
         let SocketAddr::V4(address) = server else { panic!("no such addresses here") };
         let entry = ServerEntry {
             id: "s0".into(),
--- a/crates/pearfront-node/src/watch.rs
+++ b/crates/pearfront-node/src/watch.rs
@@ -5,7 +5,7 @@
 
 use crate::clock::ms;
 use crate::lease::{ASSUMED_DELIVERY_AFTER_MOVE_MS, ASSUMED_DELIVERY_MS};
-use pearfront::chance::Chance;
+use pearfront::rng::SeededRng;
 use rand::Rng;
 use std::pin::pin;
 use tokio::time::{Instant, sleep, timeout};
@@ -158,7 +158,7 @@
         now: f64,
         problem: &Failure,
         backoff: Backoff,
-        chance: &mut Chance,
+        chance: &mut SeededRng,
     ) -> f64 {
         let was_stable =
             self.connected_since.take().is_some_and(|connected_since| now - connected_since > STABLE_MS);
@@ -184,7 +184,7 @@
 }
 
 /// Calls the service again and again, for good.
-pub async fn run(service: &impl DiscoveryService, mut chance: Chance) -> ! {
+pub async fn run(service: &impl DiscoveryService, mut chance: SeededRng) -> ! {
     let started = Instant::now();
     let now = || started.elapsed().as_secs_f64() * 1000.0;
     let mut deadline = Deadline::new(now());
--- a/crates/pearfront-node/src/watch/tests.rs
+++ b/crates/pearfront-node/src/watch/tests.rs
@@ -164,7 +164,7 @@
         (came - second_list, allowed_ms)
     };
     tokio::select! {
-        never = run(&service, Chance::seeded(seed)) => never,
+        never = run(&service, SeededRng::from_seed(seed)) => never,
         result = test => result,
     }
 }
@@ -234,7 +234,7 @@
             service.next_list().await - back
         };
         let took_ms = tokio::select! {
-            never = run(&service, Chance::seeded(seed)) => never,
+            never = run(&service, SeededRng::from_seed(seed)) => never,
             took_ms = test => took_ms,
         };
         assert!(took_ms <= ASSUMED_DELIVERY_MS, "{down:?} for {away:.0} ms, seed {seed}: {took_ms:.0} ms");
@@ -257,7 +257,7 @@
         let service = FakeService::new(POLLED);
         service.down.set(Some((AWAY, fault)));
         tokio::select! {
-            never = run(&service, Chance::seeded(seed)) => never,
+            never = run(&service, SeededRng::from_seed(seed)) => never,
             _ = service.next_list() => {}
         }
         all += service.call_starts.borrow().len();
@@ -279,7 +279,7 @@
 async fn a_healthy_service_is_called_once_in_three_seconds() {
     let service = FakeService::new(POLLED);
     tokio::select! {
-        never = run(&service, Chance::seeded(1)) => never,
+        never = run(&service, SeededRng::from_seed(1)) => never,
         () = sleep(Duration::from_secs(300)) => {}
     }
     let calls = service.call_starts.borrow().len();
