--- a/crates/pearfront-drill/src/main.rs
+++ b/crates/pearfront-drill/src/main.rs
@@ -1,4 +1,4 @@
-//! Plays the decision module on the bench's wire: frames in on standard input, replies out on standard output.
+//! Runs the decision module on the simulator: frames come in on standard input, replies go out on standard output.
 
 mod wire;
 
--- a/crates/pearfront-drill/src/wire.rs
+++ b/crates/pearfront-drill/src/wire.rs
@@ -1,19 +1,22 @@
-//! Frames of the bench's wire; its names, codes and units end here.
+//! Frames of the simulator's protocol. Its numeric codes, offsets and units appear in this file only; the rest of
+//! the project does not know them.
 
 use pearfront::interface::{Address, AttemptOutcome, DecisionWriter, ListedServer, ServerState};
 use pearfront::policy::Balancer;
 use std::io::Read;
 use std::ops::Range;
 
+/// Sizes of an event record, of an action record, of an entry in a table of servers, and of a frame's head after its
+/// length.
 const EVENT_BYTES: usize = 48;
 const ACTION_BYTES: usize = 24;
 const ENTRY_BYTES: usize = 24;
 const BATCH_HEAD_BYTES: usize = 12;
 const NS_PER_MS: f64 = 1e6;
-/// Longest time the wire's timer takes, ms (71 minutes).
+/// Longest delay that the simulator's timer takes (71 minutes).
 const LONGEST_WAKE_MS: f64 = 71.0 * 60_000.0;
 
-/// Reads one frame's body; false at the end of input.
+/// Reads the body of one frame; false at the end of the input.
 pub fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>) -> Result<bool, String> {
     let mut size = [0; 4];
     let mut received = 0;
@@ -33,6 +36,7 @@
     Ok(true)
 }
 
+/// The little-endian integer of `N` bytes at that offset.
 fn integer<const N: usize>(bytes: &[u8], at: usize) -> u64 {
     let mut padded = [0; 8];
     padded[..N].copy_from_slice(&bytes[at..at + N]);
@@ -57,20 +61,23 @@
     })
 }
 
+/// One running instance of the module.
 struct Instance {
     balancer: Balancer,
+    /// Clock of the simulator, ns, at its start.
     started: u64,
-    /// How many profiles its settings have.
+    /// Number of profiles in its settings.
     profiles: usize,
 }
 
 impl Instance {
+    /// The instance's own time, ms.
     fn ms(&self, clock: u64) -> f64 {
         clock.wrapping_sub(self.started) as i64 as f64 / NS_PER_MS
     }
 }
 
-/// All instances of this process, and the buffers that replies are built in.
+/// All instances of this process, their tables of servers, and the buffers that replies are built in.
 #[derive(Default)]
 pub struct Adapter {
     instances: Vec<Option<Instance>>,
@@ -78,7 +85,7 @@
     reply: Reply,
 }
 
-/// One frame, taken apart.
+/// One frame, split into its parts.
 struct Batch<'a> {
     clock: u64,
     records: &'a [u8],
@@ -108,7 +115,7 @@
         integer::<2>(self.record(at), 0)
     }
 
-    /// The tail's part that the field at `place` of record `at` names, in units of `unit` bytes.
+    /// The part of the tail that the field at offset `field` of record `at` names, in units of `unit` bytes.
     fn tail(&self, at: usize, field: usize, unit: usize) -> Result<&'a [u8], String> {
         let record = self.record(at);
         let from = integer::<4>(record, field) as usize;
@@ -149,6 +156,7 @@
         Ok(self.reply.finish())
     }
 
+    /// Starts an instance with the settings in the tail.
     fn start_instance(
         &mut self,
         batch: &Batch,
@@ -198,6 +206,7 @@
     }
 }
 
+/// Stores a table of servers, which later records refer to by its number.
 fn store_table(tables: &mut [Vec<u8>; 16], batch: &Batch, at: usize) -> Result<(), String> {
     let number = integer::<4>(batch.record(at), 2) as usize;
     let entries = batch.tail(at, 6, ENTRY_BYTES)?;
@@ -287,7 +296,8 @@
             let took = integer::<8>(record, 8) as f64 / NS_PER_MS;
             balancer.probe_answered(address(record, 2), succeeded, &report[..count], took);
         }
-        // Started streams, due timers and peers' words change nothing here: the round itself is what counts.
+        // Started streams, timers that are due and messages of peers change nothing here: it is the round itself that
+        // counts.
         4 | 7 | 9 => {}
         code => return Err(format!("event {at}: unknown code {code}")),
     }
@@ -297,6 +307,7 @@
 /// The reply being built; the module writes its decisions into it.
 #[derive(Default)]
 struct Reply {
+    /// The instance that the next actions belong to, and the one that was last written.
     instance_number: u16,
     written: Option<u16>,
     records: Vec<u8>,
@@ -321,6 +332,7 @@
         &self.frame
     }
 
+    /// Adds an action, after a record that names its instance where that has changed.
     fn action(&mut self, code: u16, fields: &[&[u8]]) {
         if self.written != Some(self.instance_number) {
             self.written = Some(self.instance_number);
--- a/crates/pearfront-settings/src/lib.rs
+++ b/crates/pearfront-settings/src/lib.rs
@@ -1,5 +1,6 @@
-//! The one decoding of the settings that an instance is given: checks them, gives defaults and names the faulty
-//! key. `decode` reads what the module decides by, `Surroundings` what a node on sockets needs beside it.
+//! Decodes and checks the settings that an instance is given: fills in defaults, and names the faulty key. `decode`
+//! reads what the decision module needs, `NodeSettings` what a node on sockets needs besides. Used by the node, the
+//! simulator's adapter, the emulator and the command line.
 
 pub mod sidecar;
 
@@ -7,64 +8,71 @@
 use serde_json::Value;
 
 const NS_PER_MS: f64 = 1e6;
-/// Time, ms, for a connection to come up where the settings name none: a few round trips across a country.
+/// Time-out of connecting to a server where the settings state none: a few round trips across a country.
 const CONNECT_TIMEOUT_MS: f64 = 500.0;
-/// Time, ms, after which a server closes an idle connection where the settings name none.
+/// Time after which a server closes an idle connection where the settings state none.
 const IDLE_TIMEOUT_MS: f64 = 10_000.0;
-/// Grace of drains where the settings don't tell it, ms: the least that any deployment gives.
+/// Grace period of drains where the settings state none: the least that any deployment gives.
 const DRAIN_GRACE_MS: f64 = 300.0;
 
-/// A place in a JSON document, and its name for messages.
+/// A value in a JSON document, with its path for error messages.
 pub struct JsonField<'a> {
     value: &'a Value,
     path: String,
 }
 
 impl<'a> JsonField<'a> {
+    /// The whole document, under this name.
     pub fn root(value: &'a Value, name: &str) -> Self {
         Self { value, path: name.into() }
     }
 
+    /// The value of a key that must be there.
     pub fn required(&self, key: &str) -> Result<JsonField<'a>, String> {
         self.optional(key).ok_or_else(|| format!("{}.{key} is missing", self.path))
     }
 
-    /// What is absent or null is not there.
+    /// The value of a key, none if it is absent or null.
     pub fn optional(&self, key: &str) -> Option<JsonField<'a>> {
         let value = self.value.get(key).filter(|value| !value.is_null())?;
         Some(JsonField { value, path: format!("{}.{key}", self.path) })
     }
 
+    /// An error that begins with the value's path.
     pub fn error<T>(&self, what: impl std::fmt::Display) -> Result<T, String> {
         Err(format!("{} {what}", self.path))
     }
 
-    /// A number of at least 0; no figure of the settings is below.
+    /// A number of at least 0; no number in the settings is negative.
     pub fn number(&self) -> Result<f64, String> {
         let number = self.value.as_f64().filter(|number| *number >= 0.0);
         number.ok_or_else(|| format!("{} is no number of at least 0", self.path))
     }
 
-    /// Where 0 would leave no room for anything.
+    /// A number above 0, for values where 0 would leave no room for anything.
     pub fn positive_number(&self) -> Result<f64, String> {
         let number = self.number()?;
         if number > 0.0 { Ok(number) } else { self.error("is not above 0") }
     }
 
+    /// A duration given in nanoseconds, in ms.
     pub fn ms(&self) -> Result<f64, String> {
         Ok(self.number()? / NS_PER_MS)
     }
 
+    /// A string.
     pub fn string(&self) -> Result<&'a str, String> {
         self.value.as_str().ok_or_else(|| format!("{} is no text", self.path))
     }
 
+    /// The items of a list.
     pub fn list(&self) -> Result<Vec<JsonField<'a>>, String> {
         let list = self.value.as_array().ok_or_else(|| format!("{} is no list", self.path))?;
         let item = |(index, value)| JsonField { value, path: format!("{}[{index}]", self.path) };
         Ok(list.iter().enumerate().map(item).collect())
     }
 
+    /// The number under `key`, or the default where it is absent.
     pub fn number_or(&self, key: &str, default: f64) -> Result<f64, String> {
         self.optional(key).map_or(Ok(default), |field| field.number())
     }
@@ -73,6 +81,7 @@
         self.optional(key).map_or(Ok(default), |field| field.ms())
     }
 
+    /// True or false.
     pub fn boolean(&self) -> Result<bool, String> {
         self.value.as_bool().ok_or_else(|| format!("{} is neither true nor false", self.path))
     }
@@ -95,8 +104,9 @@
     }
 }
 
-/// The first key that `now` lacks and `before` had. What has a default is no longer optional once it was named: a
-/// file cut short in the right place would change it without a word. Of a list's items each is held to what all had.
+/// The first key that `before` has and `now` lacks. A key that has a default is required once it was given: otherwise
+/// a file that was cut short in the right place would change it without notice. Each item of a list must have the keys
+/// that all its items had before.
 pub fn missing_key(before: &Value, now: &Value, path: &str) -> Option<String> {
     match (before, now) {
         (Value::Object(before), Value::Object(now)) => before.iter().find_map(|(key, value)| {
@@ -121,12 +131,13 @@
     }
 }
 
-/// Settings as text, as the bench's wire has them.
+/// Decodes settings from JSON text, as the simulator sends them.
 pub fn parse(text: &[u8]) -> Result<Settings, String> {
     let json: Value = serde_json::from_slice(text).map_err(|error| format!("settings: {error}"))?;
     decode(&JsonField::root(&json, "settings"))
 }
 
+/// Decodes the settings of the decision module.
 pub fn decode(root: &JsonField) -> Result<Settings, String> {
     let limits = root.required("limits")?;
     let rules = root.required("rules")?;
@@ -139,7 +150,7 @@
     if layers > 0 && tier >= layers {
         return root.required("tier")?.error(format!("is none of the {layers} layers"));
     }
-    // One of the two is enough to state a budget: without a number that is free it is a share alone.
+    // Either key alone states a budget: without a free number it is a share only.
     let has_retry_budget = rules.optional("budget_free").or(rules.optional("extra_ratio")).is_some();
     Ok(Settings {
         node_count: root.required("siblings")?.number()?.max(1.0),
@@ -182,7 +193,7 @@
     })
 }
 
-/// What the parts of the goal weigh decides nothing; they must be figures all the same.
+/// Checks the weights of the goal's parts. No decision depends on them, but they must be numbers all the same.
 fn check_goal(root: &JsonField) -> Result<(), String> {
     let goal = root.required("objective_mix")?;
     for key in ["whole", "worst_class", "worst_tenant", "tail_part"] {
@@ -192,7 +203,8 @@
     if slack <= 1.0 { Ok(()) } else { goal.required("tail_slack")?.error("is above 1") }
 }
 
-/// Does the list say what servers bear? Weights that follow load would count it twice.
+/// Whether the list's weights state the servers' capacity. Weights that follow load are not used: load would count
+/// twice.
 fn weighted(root: &JsonField) -> Result<bool, String> {
     let Some(weights) = root.optional("weights") else { return Ok(false) };
     match weights.string()? {
@@ -238,8 +250,8 @@
     }
 }
 
-/// What the settings say beside what the module decides by: names as they stand in messages, and limits of
-/// connections. Lists are in the settings' order.
+/// Settings that a node on sockets needs and the decision module does not: names that messages use, and limits of
+/// connections. Lists are in the order of the settings.
 #[derive(Debug, Clone, Default)]
 pub struct NodeSettings {
     pub profiles: Vec<String>,
@@ -247,13 +259,15 @@
     pub zones: Vec<String>,
     pub machine_types: Vec<String>,
     pub report: Vec<String>,
+    /// Servers report their load at all, and in their responses to requests.
     pub load_reports: bool,
     pub load_reports_in_responses: bool,
+    /// Times in ms.
     pub connect_timeout: f64,
     pub idle_timeout: f64,
-    /// How long after its drain was told a server may still be sent something new, ms.
+    /// How long after its drain was announced a server may still be sent something new, ms.
     pub drain_grace: f64,
-    /// The longest that any profile's client waits.
+    /// The longest deadline of any profile's clients, ms.
     pub max_deadline: f64,
 }
 
--- a/crates/pearfront-settings/src/sidecar.rs
+++ b/crates/pearfront-settings/src/sidecar.rs
@@ -1,10 +1,11 @@
-//! An operator's file for a node of a pool, turned into one for a node beside a single caller's process. Pure: the
-//! command line reads and writes the files. What can't be carried over is told by key, never dropped in silence.
+//! Converts the configuration file of a node in a pool into that of a sidecar, a node beside a single client
+//! process. It does no input or output: the command line reads and writes the files. What cannot be carried over is
+//! listed by key, never dropped silently.
 
 use crate::{JsonField, NodeSettings, decode};
 use serde_json::{Map, Value, json};
 
-/// Keys that a file may have, by the object they stand in; `*` stands for any object of a list.
+/// Keys that a file may have, by the object that they are in; `*` stands for any object of a list.
 const KEYS: &[(&str, &[&str])] = &[
     (
         "",
@@ -118,25 +119,28 @@
     ("settings.specifics", &["passes_deadline", "warm_keys"]),
 ];
 
-/// What the old file can't know of the new place.
+/// What the old file cannot state about the new place.
 pub struct SidecarTarget {
-    /// Nodes in all, one for each client process.
+    /// Total number of nodes, one for each client process.
     pub nodes: u32,
+    /// All zones, in the order of the new settings.
     pub zones: Vec<String>,
-    /// Where this node stands.
+    /// The zone of this node.
     pub zone: String,
-    /// Jobs that a connection carries at once.
+    /// Requests that a connection carries at the same time.
     pub streams: u32,
-    /// This node's own, hexadecimal: nodes of one seed would all draw alike.
+    /// This node's own seed, hexadecimal: nodes with the same seed would all draw alike.
     pub seed: String,
 }
 
+/// The new file, and what is different in it.
 pub struct SidecarConfig {
     pub file: Value,
-    /// One line for each key that could not be carried over, or that the new place makes another thing of.
+    /// One line for each key that could not be carried over, or that means something else for the new node.
     pub not_carried_over: Vec<String>,
 }
 
+/// Converts a file; the error names the faulty key.
 pub fn to_sidecar(old: &Value, target: &SidecarTarget) -> Result<SidecarConfig, String> {
     known_keys(old, "")?;
     let root = JsonField::root(old, "config");
@@ -198,17 +202,19 @@
         let price = settings.optional("deductions").map_or(Ok(0.0), |field| field.number_or(key, 0.0))?;
         not_carried_over.push(format!("settings.deductions.{key}: stays {price}, the old price; {what}"));
     }
-    // What is written must be what a node takes.
+    // The new settings must be valid.
     decode(&JsonField::root(&file["settings"], "config.settings"))?;
     Ok(SidecarConfig { file, not_carried_over })
 }
 
+/// Removes a key, and lists it where it was there.
 fn drop_key(object: &mut Value, key: &str, not_carried_over: &mut Vec<String>, why: &str) {
     if object.as_object_mut().and_then(|object| object.remove(key)).is_some() {
         not_carried_over.push(format!("{key}: {why}"));
     }
 }
 
+/// Checks that the file has known keys only.
 fn known_keys(value: &Value, path: &str) -> Result<(), String> {
     let below = |key: &str| if path.is_empty() { key.to_string() } else { format!("{path}.{key}") };
     let checked = |object: &Map<String, Value>, keys: &[&str]| {
