--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -11,12 +11,12 @@
 use test_case::test_case;
 
 /// Milliseconds between two rounds.
-const ROUND: f64 = 5.0;
+const ROUND_MS: f64 = 5.0;
 /// How long, ms, an attempt takes that a line ends.
-const QUICK: f64 = 20.0;
+const QUICK_MS: f64 = 20.0;
 
 #[derive(Default)]
-struct Written(Vec<String>);
+struct RecordedDecisions(Vec<String>);
 
 fn name(server: Address) -> char {
     char::from(server[0])
@@ -26,21 +26,21 @@
     [name.as_bytes()[0], 0, 0, 0, 0, 0]
 }
 
-impl DecisionWriter for Written {
-    fn attempt(&mut self, job: u32, server: Address, _: f64) {
-        self.0.push(format!("attempt {job} {}", name(server)));
+impl DecisionWriter for RecordedDecisions {
+    fn attempt(&mut self, request: u32, server: Address, _: f64) {
+        self.0.push(format!("attempt {request} {}", name(server)));
     }
-    fn cancel(&mut self, job: u32, attempt: u16) {
-        self.0.push(format!("call-off {job} {attempt}"));
+    fn cancel(&mut self, request: u32, attempt: u16) {
+        self.0.push(format!("call-off {request} {attempt}"));
     }
-    fn reject(&mut self, job: u32, wait: f64) {
+    fn reject(&mut self, request: u32, wait: f64) {
         if wait > 0.0 {
             self.0.push(format!("advice {wait}"));
         }
-        self.0.push(format!("reject {job}"));
+        self.0.push(format!("reject {request}"));
     }
-    fn fail(&mut self, job: u32) {
-        self.0.push(format!("fail {job}"));
+    fn fail(&mut self, request: u32) {
+        self.0.push(format!("fail {request}"));
     }
     fn probe(&mut self, server: Address) {
         self.0.push(format!("probe {}", name(server)));
@@ -54,11 +54,11 @@
     fn log(&mut self, _: &str) {}
 }
 
-struct Scene {
+struct Scenario {
     settings: Settings,
     balancer: Option<Balancer>,
     now: f64,
-    written: Written,
+    written: RecordedDecisions,
     /// How often each line was written, from the start.
     counts: BTreeMap<String, usize>,
 }
@@ -67,24 +67,24 @@
     word.parse().unwrap_or_else(|_| panic!("{word:?} is no number"))
 }
 
-fn ending(word: &str) -> AttemptOutcome {
+fn outcome(word: &str) -> AttemptOutcome {
     match word {
         "served" | "slow" => AttemptOutcome::Served,
         "error" => AttemptOutcome::Error,
         "full" => AttemptOutcome::Full,
         "timed-out" => AttemptOutcome::TimedOut,
         "unconnected" => AttemptOutcome::ConnectFailed,
-        other => panic!("no ending {other:?}"),
+        other => panic!("no outcome {other:?}"),
     }
 }
 
 /// `a`, `a/zone/cell` or `a/zone/cell/start`.
-fn listing(word: &str, standing: ServerState) -> ListedServer {
+fn listed_server(word: &str, state: ServerState) -> ListedServer {
     let parts: Vec<&str> = word.split('/').collect();
     let part = |place: usize| parts.get(place).map(|word| number(word));
     ListedServer {
         address: address(parts[0]),
-        state: standing,
+        state,
         zone: part(1).unwrap_or(0.0) as u16,
         cell: part(2).unwrap_or(0.0) as u16,
         machine_type: 0,
@@ -93,9 +93,9 @@
     }
 }
 
-impl Scene {
+impl Scenario {
     fn new() -> Self {
-        let (written, counts) = (Written::default(), BTreeMap::new());
+        let (written, counts) = (RecordedDecisions::default(), BTreeMap::new());
         Self { settings: settings(), balancer: None, now: 0.0, written, counts }
     }
 
@@ -143,37 +143,39 @@
         let settings = &self.settings;
         let balancer = self.balancer.get_or_insert_with(|| Balancer::new(settings.clone(), 7));
         let before = self.written.0.len();
-        let fed = |balancer: &mut Balancer| {
+        let feed_all = |balancer: &mut Balancer| {
             feed(balancer);
             Ok::<(), Infallible>(())
         };
-        balancer.round(self.now, fed, &mut self.written).unwrap();
+        balancer.round(self.now, feed_all, &mut self.written).unwrap();
         for line in &self.written.0[before..] {
             *self.counts.entry(line.clone()).or_default() += 1;
         }
     }
 
     fn advance(&mut self, to: f64) {
-        while self.now + ROUND < to {
-            self.now += ROUND;
+        while self.now + ROUND_MS < to {
+            self.now += ROUND_MS;
             self.round(|_| {});
         }
         self.now = to;
     }
 
-    fn jobs(&mut self, ids: [&str; 2], profile: &str, limit: f64) {
+    fn send_requests(&mut self, ids: [&str; 2], profile: &str, deadline: f64) {
         let ([first, last], profile) = (ids.map(|id| number(id) as u32), number(profile) as usize);
-        self.round(|balancer| (first..=last).for_each(|id| balancer.request_received(id, profile, 0, limit)));
+        self.round(|balancer| {
+            (first..=last).for_each(|id| balancer.request_received(id, profile, 0, deadline))
+        });
     }
 
     /// Sends jobs of profile 0 one after the other, each served at once, and counts the servers drawn.
-    fn draw(&mut self, jobs: u32, every: f64) {
+    fn draw(&mut self, jobs: u32, interval: f64) {
         for id in 1_000_000..1_000_000 + jobs {
-            self.advance(self.now + every);
-            let limit = self.now + 10_000.0;
-            let took = self.settings.profiles[0].latency_target * 0.2;
-            self.round(|balancer| balancer.request_received(id, 0, 0, limit));
-            self.round(|balancer| balancer.attempt_ended(id, 0, AttemptOutcome::Served, took, true));
+            self.advance(self.now + interval);
+            let deadline = self.now + 10_000.0;
+            let duration = self.settings.profiles[0].latency_target * 0.2;
+            self.round(|balancer| balancer.request_received(id, 0, 0, deadline));
+            self.round(|balancer| balancer.attempt_ended(id, 0, AttemptOutcome::Served, duration, true));
         }
         self.written.0.clear();
     }
@@ -182,24 +184,26 @@
         let of = |server: Option<&str>| -> f64 {
             let lines =
                 self.counts.iter().filter(|(line, _)| line.starts_with("attempt 1") && line.len() > 11);
-            let mine = lines.filter(|(line, _)| server.is_none_or(|server| line.ends_with(server)));
-            mine.map(|(_, count)| *count as f64).sum()
+            let own = lines.filter(|(line, _)| server.is_none_or(|server| line.ends_with(server)));
+            own.map(|(_, count)| *count as f64).sum()
         };
         of(Some(server)) / of(None)
     }
 
     /// All that was written for jobs since the last such line, in order; `?` stands for any server.
-    fn expect(&mut self, wanted: &str, at: &str) {
+    fn expect(&mut self, expected: &str, at: &str) {
         let mut written = std::mem::take(&mut self.written.0);
         written
             .retain(|line| !["probe", "watch", "wake", "advice"].iter().any(|other| line.starts_with(other)));
-        let wanted: Vec<&str> = wanted.split(',').map(str::trim).filter(|line| !line.is_empty()).collect();
-        let same = |(line, wanted): (&String, &&str)| match wanted.strip_suffix('?') {
+        let expected: Vec<&str> =
+            expected.split(',').map(str::trim).filter(|line| !line.is_empty()).collect();
+        let same = |(line, expected): (&String, &&str)| match expected.strip_suffix('?') {
             Some(start) => line.starts_with(start),
-            None => line == wanted,
+            None => line == expected,
         };
-        let fits = wanted == ["*"] || written.len() == wanted.len() && written.iter().zip(&wanted).all(same);
-        assert!(fits, "{at}: wrote {written:?}, wanted {wanted:?}");
+        let fits =
+            expected == ["*"] || written.len() == expected.len() && written.iter().zip(&expected).all(same);
+        assert!(fits, "{at}: wrote {written:?}, expected {expected:?}");
     }
 
     fn play(&mut self, line: &str, at: &str) {
@@ -209,10 +213,10 @@
             ["profile", ..] => self.profile(&words[1..]),
             ["=", ..] => self.expect(&line[1..], at),
             ["draw", jobs] => self.draw(number(jobs) as u32, 0.0),
-            ["draw", jobs, every] => self.draw(number(jobs) as u32, number(every)),
-            ["share", server, wanted, within] => {
+            ["draw", jobs, interval] => self.draw(number(jobs) as u32, number(interval)),
+            ["share", server, expected, within] => {
                 let share = self.share(server);
-                assert!((share - number(wanted)).abs() <= number(within), "{at}: {server} had {share:.3}");
+                assert!((share - number(expected)).abs() <= number(within), "{at}: {server} had {share:.3}");
             }
             ["used", least, most] => {
                 let names = self
@@ -235,35 +239,37 @@
             }
             [time, ref event @ ..] => {
                 self.advance(number(time));
-                let limit = |after: &str| number(time) + number(after);
+                let deadline = |after: &str| number(time) + number(after);
                 match *event {
                     [] => self.round(|_| {}),
                     ["list", ..] | ["lines", ..] => {
                         let whole = event[0] == "list";
                         let cached = whole && self.balancer.is_none();
-                        let lines = event[1..].iter().map(|word| listing(word, ServerState::Ready));
+                        let lines = event[1..].iter().map(|word| listed_server(word, ServerState::Ready));
                         self.round(|balancer| balancer.list_received(whole, cached, lines));
                     }
-                    [how @ ("drain" | "gone"), word] => {
-                        let standing = if how == "gone" { ServerState::Gone } else { ServerState::Draining };
-                        let lines = std::iter::once(listing(word, standing));
+                    [change @ ("drain" | "gone"), word] => {
+                        let state = if change == "gone" { ServerState::Gone } else { ServerState::Draining };
+                        let lines = std::iter::once(listed_server(word, state));
                         self.round(|balancer| balancer.list_received(false, false, lines));
                     }
                     ["list-failed"] => self.round(Balancer::list_failed),
-                    ["job", id, profile, after] => self.jobs([id, id], profile, limit(after)),
+                    ["job", id, profile, after] => self.send_requests([id, id], profile, deadline(after)),
                     ["jobs", first, last, after, ref profile @ ..] => {
-                        self.jobs([first, last], profile.first().unwrap_or(&"0"), limit(after));
+                        self.send_requests([first, last], profile.first().unwrap_or(&"0"), deadline(after));
                     }
-                    ["end", id, attempt, how, ref done @ ..] => {
-                        let slow = how == "slow";
-                        let (id, attempt, how) = (number(id) as u32, number(attempt) as usize, ending(how));
-                        let done = how == AttemptOutcome::Served || done == ["done"];
-                        let took = if how == AttemptOutcome::TimedOut || slow { 1400.0 } else { QUICK };
-                        self.round(|balancer| balancer.attempt_ended(id, attempt, how, took, done));
+                    ["end", id, attempt, outcome_word, ref done @ ..] => {
+                        let slow = outcome_word == "slow";
+                        let (id, attempt, outcome) =
+                            (number(id) as u32, number(attempt) as usize, outcome(outcome_word));
+                        let done = outcome == AttemptOutcome::Served || done == ["done"];
+                        let duration =
+                            if outcome == AttemptOutcome::TimedOut || slow { 1400.0 } else { QUICK_MS };
+                        self.round(|balancer| balancer.attempt_ended(id, attempt, outcome, duration, done));
                     }
                     ["ends", first, last, "served"] => self.round(|balancer| {
                         for id in number(first) as u32..=number(last) as u32 {
-                            balancer.attempt_ended(id, 0, AttemptOutcome::Served, QUICK, true);
+                            balancer.attempt_ended(id, 0, AttemptOutcome::Served, QUICK_MS, true);
                         }
                     }),
                     ["left", id] => self.round(|balancer| balancer.client_left(number(id) as u32)),
@@ -287,116 +293,120 @@
 
 /// The wake that was taken for one still to come would have been the last: its job was lost.
 #[test]
-fn a_wake_that_comes_a_hair_early_is_followed_by_another() {
-    let mut scene = Scene::new();
-    scene.profile(&["idempotent", "1000", "0", "1"]);
-    scene.round(|balancer| balancer.list_received(true, true, std::iter::empty()));
-    scene.round(|balancer| balancer.request_received(1, 0, 0, 700.0));
-    let asked = |scene: &Scene| {
-        scene.written.0.iter().filter_map(|line| line.strip_prefix("wake ")).next_back().map(number)
+fn a_wake_that_comes_slightly_early_is_followed_by_another() {
+    let mut scenario = Scenario::new();
+    scenario.profile(&["idempotent", "1000", "0", "1"]);
+    scenario.round(|balancer| balancer.list_received(true, true, std::iter::empty()));
+    scenario.round(|balancer| balancer.request_received(1, 0, 0, 700.0));
+    let last_wake = |scenario: &Scenario| {
+        scenario.written.0.iter().filter_map(|line| line.strip_prefix("wake ")).next_back().map(number)
     };
-    let due = scene.now + asked(&scene).unwrap();
-    scene.written.0.clear();
-    scene.now = due - 1e-4;
-    scene.round(|_| {});
-    assert!(asked(&scene).is_some_and(|delay| scene.now + delay >= due), "wrote {:?}", scene.written.0);
+    let due = scenario.now + last_wake(&scenario).unwrap();
+    scenario.written.0.clear();
+    scenario.now = due - 1e-4;
+    scenario.round(|_| {});
+    assert!(
+        last_wake(&scenario).is_some_and(|delay| scenario.now + delay >= due),
+        "wrote {:?}",
+        scenario.written.0
+    );
 }
 
 /// Under other settings, in another order, a job of the old ones may be told late; an open one keeps its effect, and
 /// a server stays aside for the profile of that name alone.
 #[test]
-fn new_settings_are_for_new_jobs_and_what_was_learned_stays_with_the_profiles_name() {
-    let mut scene = Scene::new();
-    scene.set("held", 1.0);
-    scene.set("price", 0.001);
-    scene.profile(&["idempotent", "1000", "0", "1"]);
-    scene.profile(&["non-idempotent", "1000", "0", "1"]);
-    let old = Rc::new(scene.settings.clone());
-    let [a, b] = ["a", "b"].map(|name| listing(name, ServerState::Ready));
-    scene.round(|balancer| balancer.list_received(true, true, [a].into_iter()));
-    let answered = |scene: &mut Scene, name: &str| {
-        scene.round(|balancer| balancer.probe_answered(address(name), true, &[0.0], 1.0));
+fn new_settings_apply_to_new_requests_and_learned_state_stays_with_the_profile_name() {
+    let mut scenario = Scenario::new();
+    scenario.set("held", 1.0);
+    scenario.set("price", 0.001);
+    scenario.profile(&["idempotent", "1000", "0", "1"]);
+    scenario.profile(&["non-idempotent", "1000", "0", "1"]);
+    let old = Rc::new(scenario.settings.clone());
+    let [a, b] = ["a", "b"].map(|name| listed_server(name, ServerState::Ready));
+    scenario.round(|balancer| balancer.list_received(true, true, [a].into_iter()));
+    let answered = |scenario: &mut Scenario, name: &str| {
+        scenario.round(|balancer| balancer.probe_answered(address(name), true, &[0.0], 1.0));
     };
     // Profile 0 fails on `a`, which sets it aside for that profile.
-    scene.round(|balancer| balancer.request_received(1, 0, 0, 700.0));
-    answered(&mut scene, "a");
-    scene.round(|balancer| balancer.attempt_ended(1, 0, AttemptOutcome::Error, QUICK, false));
+    scenario.round(|balancer| balancer.request_received(1, 0, 0, 700.0));
+    answered(&mut scenario, "a");
+    scenario.round(|balancer| balancer.attempt_ended(1, 0, AttemptOutcome::Error, QUICK_MS, false));
     // A non-idempotent job is out when the settings change: both profiles change places, and both are idempotent.
-    scene.round(|balancer| balancer.request_received(2, 1, 0, 700.0));
-    answered(&mut scene, "a");
+    scenario.round(|balancer| balancer.request_received(2, 1, 0, 700.0));
+    answered(&mut scenario, "a");
     let mut new = (*old).clone();
     new.profiles.swap(0, 1);
     new.profiles[0].effect = Effect::Idempotent;
     new.max_attempts = 1;
-    scene.round(|balancer| balancer.update_settings(Rc::new(new)));
-    scene.round(|balancer| balancer.attempt_ended(2, 0, AttemptOutcome::Error, QUICK, false));
-    assert!(scene.written.0.contains(&"fail 2".into()), "{:?}", scene.written.0);
+    scenario.round(|balancer| balancer.update_settings(Rc::new(new)));
+    scenario.round(|balancer| balancer.attempt_ended(2, 0, AttemptOutcome::Error, QUICK_MS, false));
+    assert!(scenario.written.0.contains(&"fail 2".into()), "{:?}", scenario.written.0);
     // What came under the old settings, and is told late, still has its three attempts and its profile.
-    scene.round(|balancer| balancer.list_received(false, false, [b].into_iter()));
-    scene.round(|balancer| balancer.request_received_under(&old, 3, 0, 0, scene_limit()));
-    answered(&mut scene, "b");
-    assert!(scene.written.0.contains(&"attempt 3 b".into()), "{:?}", scene.written.0);
-    assert!(!scene.written.0.contains(&"attempt 3 a".into()), "{:?}", scene.written.0);
+    scenario.round(|balancer| balancer.list_received(false, false, [b].into_iter()));
+    scenario.round(|balancer| balancer.request_received_under(&old, 3, 0, 0, late_deadline()));
+    answered(&mut scenario, "b");
+    assert!(scenario.written.0.contains(&"attempt 3 b".into()), "{:?}", scenario.written.0);
+    assert!(!scenario.written.0.contains(&"attempt 3 a".into()), "{:?}", scenario.written.0);
 }
 
 /// A job whose body comes slowly is no load yet: it takes no place from others, is not overdue, and is not sent twice.
 #[test]
-fn a_job_that_is_still_coming_counts_from_its_last_byte() {
-    let mut scene = Scene::new();
-    scene.set("siblings", 10.0);
-    scene.profile(&["idempotent", "1000", "0", "1"]);
-    let [a, b] = ["a", "b"].map(|name| listing(name, ServerState::Ready));
-    scene.round(|balancer| balancer.list_received(true, true, [a, b].into_iter()));
-    let rules = Rc::new(scene.settings.clone());
-    let attempts = |scene: &Scene, id: u32| {
+fn a_request_that_is_still_arriving_counts_from_its_last_byte() {
+    let mut scenario = Scenario::new();
+    scenario.set("siblings", 10.0);
+    scenario.profile(&["idempotent", "1000", "0", "1"]);
+    let [a, b] = ["a", "b"].map(|name| listed_server(name, ServerState::Ready));
+    scenario.round(|balancer| balancer.list_received(true, true, [a, b].into_iter()));
+    let old_settings = Rc::new(scenario.settings.clone());
+    let attempts = |scenario: &Scenario, id: u32| {
         let line = format!("attempt {id} ");
-        scene.written.0.iter().filter(|written| written.starts_with(&line)).count()
+        scenario.written.0.iter().filter(|written| written.starts_with(&line)).count()
     };
     // The window of a tenth of two servers' ten is one job: two that come slowly leave it open.
-    scene.round(|balancer| {
-        (1..=2).for_each(|id| balancer.request_received_under(&rules, id, 0, 0, f64::INFINITY))
+    scenario.round(|balancer| {
+        (1..=2).for_each(|id| balancer.request_received_under(&old_settings, id, 0, 0, f64::INFINITY))
     });
-    scene.round(|balancer| [1, 2].into_iter().for_each(|id| balancer.body_not_replayable(id)));
-    scene.now += 20_000.0;
-    scene.round(|balancer| balancer.request_received(3, 0, 0, 1e9));
-    assert_eq!([1, 2, 3].map(|id| attempts(&scene, id)), [1, 1, 1], "{:?}", scene.written.0);
+    scenario.round(|balancer| [1, 2].into_iter().for_each(|id| balancer.body_not_replayable(id)));
+    scenario.now += 20_000.0;
+    scenario.round(|balancer| balancer.request_received(3, 0, 0, 1e9));
+    assert_eq!([1, 2, 3].map(|id| attempts(&scenario, id)), [1, 1, 1], "{:?}", scenario.written.0);
     // With their last bytes they are out, overdue after a while, and can't go again.
-    let limit = scene.now + 5000.0;
-    scene.round(|balancer| balancer.body_received(1, limit));
-    scene.now += 2500.0;
-    scene.round(|balancer| balancer.attempt_ended(1, 0, AttemptOutcome::Error, QUICK, false));
-    assert_eq!(attempts(&scene, 1), 1);
-    assert!(scene.written.0.contains(&"reject 1".into()), "{:?}", scene.written.0);
+    let deadline = scenario.now + 5000.0;
+    scenario.round(|balancer| balancer.body_received(1, deadline));
+    scenario.now += 2500.0;
+    scenario.round(|balancer| balancer.attempt_ended(1, 0, AttemptOutcome::Error, QUICK_MS, false));
+    assert_eq!(attempts(&scenario, 1), 1);
+    assert!(scenario.written.0.contains(&"reject 1".into()), "{:?}", scenario.written.0);
 }
 
 /// Bodies that come slowly are no slow profile: none is given up for it, and their places come back.
 #[test]
-fn a_profile_whose_bodies_come_slowly_is_not_taken_for_slow() {
-    let mut scene = Scene::new();
-    (0..2).for_each(|_| scene.profile(&["idempotent", "1000", "0", "1"]));
-    let a = listing("a", ServerState::Ready);
-    scene.round(|balancer| balancer.list_received(true, true, [a].into_iter()));
-    let rules = Rc::new(scene.settings.clone());
-    scene.round(|balancer| balancer.request_received(9, 0, 0, 9000.0));
-    scene.round(|balancer| balancer.attempt_ended(9, 0, AttemptOutcome::Served, QUICK, true));
-    scene.round(|balancer| {
-        (1..=8).for_each(|id| balancer.request_received_under(&rules, id, 1, 0, f64::INFINITY))
+fn a_profile_whose_bodies_arrive_slowly_is_not_taken_for_slow() {
+    let mut scenario = Scenario::new();
+    (0..2).for_each(|_| scenario.profile(&["idempotent", "1000", "0", "1"]));
+    let a = listed_server("a", ServerState::Ready);
+    scenario.round(|balancer| balancer.list_received(true, true, [a].into_iter()));
+    let old_settings = Rc::new(scenario.settings.clone());
+    scenario.round(|balancer| balancer.request_received(9, 0, 0, 9000.0));
+    scenario.round(|balancer| balancer.attempt_ended(9, 0, AttemptOutcome::Served, QUICK_MS, true));
+    scenario.round(|balancer| {
+        (1..=8).for_each(|id| balancer.request_received_under(&old_settings, id, 1, 0, f64::INFINITY))
     });
-    scene.advance(8000.0);
+    scenario.advance(8000.0);
     // Their last bytes come, and they are answered: more of them go, as many as before.
-    scene.round(|balancer| (1..=8).for_each(|id| balancer.body_received(id, 60_000.0)));
-    scene.round(|balancer| {
-        (1..=8).for_each(|id| balancer.attempt_ended(id, 0, AttemptOutcome::Served, QUICK, true))
+    scenario.round(|balancer| (1..=8).for_each(|id| balancer.body_received(id, 60_000.0)));
+    scenario.round(|balancer| {
+        (1..=8).for_each(|id| balancer.attempt_ended(id, 0, AttemptOutcome::Served, QUICK_MS, true))
     });
-    scene.advance(10_000.0);
-    scene.written.0.clear();
-    scene.round(|balancer| (11..=15).for_each(|id| balancer.request_received(id, 1, 0, 60_000.0)));
-    let attempts = scene.written.0.iter().filter(|line| line.starts_with("attempt")).count();
-    assert_eq!(attempts, 5, "{:?}", scene.written.0);
+    scenario.advance(10_000.0);
+    scenario.written.0.clear();
+    scenario.round(|balancer| (11..=15).for_each(|id| balancer.request_received(id, 1, 0, 60_000.0)));
+    let attempts = scenario.written.0.iter().filter(|line| line.starts_with("attempt")).count();
+    assert_eq!(attempts, 5, "{:?}", scenario.written.0);
 }
 
 /// A limit far behind all that these tests play.
-fn scene_limit() -> f64 {
+fn late_deadline() -> f64 {
     100_000.0
 }
 
@@ -407,7 +417,7 @@
         last_tier: false,
         weighted: false,
         zone: 0,
-        round_interval: ROUND,
+        round_interval: ROUND_MS,
         discovery_on_request: false,
         list_request_deadline: 8000.0,
         profiles: Vec::new(),
@@ -433,57 +443,57 @@
     }
 }
 
-#[test_case("answer-in-time"; "each job is answered once before its limit")]
-#[test_case("closing"; "a node that ends answers what it holds before")]
-#[test_case("same-round-end"; "nothing is sent for a job that ended in the same round")]
-#[test_case("non-idempotent"; "a non-idempotent job goes again only after proof")]
-#[test_case("keyed"; "a keyed job stays in its cell")]
-#[test_case("keyed-window"; "a keyed job does not go again after its window")]
-#[test_case("keyed-by-all"; "a job keyed for all may be rejected")]
-#[test_case("drain"; "a draining server gets nothing new, also from jobs on hold")]
-#[test_case("cold"; "a cold server gets its part only")]
-#[test_case("draw"; "chance follows the inverse power of the figures")]
-#[test_case("floor"; "a figure of zero counts as a fifth of the mean")]
-#[test_case("step"; "own attempts out raise a load estimate")]
-#[test_case("failed-probe"; "a failed probe writes the highest load estimate")]
-#[test_case("probe-targets"; "probes go to the lowest entry and evenly")]
-#[test_case("empty-table"; "with an empty table a job waits")]
-#[test_case("quick-errors"; "failures in a row set a server aside")]
-#[test_case("unreached"; "servers that can't be reached stay aside however many they are")]
-#[test_case("renewed"; "a new server at an old address has no history")]
-#[test_case("full"; "a full server rests and the job goes elsewhere at once")]
-#[test_case("silent"; "a silent server's attempt gets a second copy elsewhere")]
-#[test_case("zones"; "jobs stay at home where crossing costs")]
-#[test_case("ask-again"; "the list is asked for again after failures")]
+#[test_case("answer-in-time"; "each request is answered once before its deadline")]
+#[test_case("shutdown"; "a node that shuts down answers what it holds before")]
+#[test_case("ended-in-same-round"; "nothing is sent for a request that ended in the same round")]
+#[test_case("non-idempotent"; "a non-idempotent request is retried only with proof that it did not run")]
+#[test_case("keyed"; "a keyed request stays in its cell")]
+#[test_case("keyed-window"; "a keyed request is not retried after its window")]
+#[test_case("keyed-scope-all"; "a request with a key that all servers share may be rejected")]
+#[test_case("drain"; "a draining server gets nothing new, not even queued requests")]
+#[test_case("cold"; "a cold server gets its share only")]
+#[test_case("draw"; "the draw follows the inverse power of the estimates")]
+#[test_case("estimate-floor"; "an estimate of zero counts as a fifth of the mean")]
+#[test_case("estimate-step"; "own attempts out raise a load estimate")]
+#[test_case("failed-probe"; "a failed probe sets the highest load estimate")]
+#[test_case("probe-targets"; "probes go to the lowest estimate and evenly")]
+#[test_case("no-servers"; "without a ready server a request waits")]
+#[test_case("ejection"; "consecutive failures eject a server")]
+#[test_case("unreachable"; "servers that can not be reached stay ejected however many they are")]
+#[test_case("reused-address"; "a new server at an old address has no history")]
+#[test_case("full-server"; "a full server backs off and the request goes elsewhere at once")]
+#[test_case("silent-server"; "the attempt of a silent server is hedged")]
+#[test_case("zones"; "requests stay in the own zone where crossing costs")]
+#[test_case("list-retry"; "the list is requested again after failures")]
 #[test_case("crowding"; "servers are not crowded however quick they are")]
-#[test_case("lost-answers"; "a server that loses jobs but answers probes wins no traffic")]
-#[test_case("acquainted"; "a node with few jobs draws among few servers")]
-#[test_case("crowded-home"; "a crowded home shares with an idle zone")]
-#[test_case("lossy"; "copies go out sooner while answers are lost on the way")]
-#[test_case("better-first"; "a small window keeps room for jobs of high gain")]
-#[test_case("long-job"; "a long job on a server that answers others gets no copy")]
-#[test_case("asks"; "a draw asks servers first")]
-#[test_case("price"; "where probes are dear nobody is asked")]
+#[test_case("lost-answers-draw"; "a server that loses requests but answers probes attracts no traffic")]
+#[test_case("small-subset"; "a node with few requests draws among few servers")]
+#[test_case("crowded-own-zone"; "a crowded own zone shares with an idle one")]
+#[test_case("lost-answers-hedge"; "hedges are sent sooner while answers get lost")]
+#[test_case("high-gain-first"; "a small window keeps room for requests of high gain")]
+#[test_case("long-request"; "a long request on a server that answers others is not hedged")]
+#[test_case("probes-before-draw"; "a draw probes servers first")]
+#[test_case("expensive-probes"; "where probes are expensive none is sent")]
 #[test_case("too-busy-to-report"; "a server too busy to report does not look idle")]
-#[test_case("one-profile-fails"; "a server is set aside for the profile that it fails")]
-#[test_case("cold-asked"; "an idle cold server is not taken for a warm one")]
-#[test_case("crowded-asked"; "a job that no server promises is given up early and told when to come back")]
-#[test_case("last-tier"; "errors of the last tier are its servers' own")]
-#[test_case("many-nodes"; "a lone job goes however many nodes there are")]
-#[test_case("idle-takes"; "an idle server takes a job however late answers were")]
-#[test_case("no-connection"; "a server that gives no connection is set aside at once")]
-#[test_case("two-and-two"; "a node with few jobs sends to two servers at home and two away")]
+#[test_case("ejection-by-profile"; "a server is ejected for the profile that it fails")]
+#[test_case("cold-probed"; "an idle cold server is not taken for a warm one")]
+#[test_case("crowded-probed"; "a request that no server can answer in time is given up early with retry advice")]
+#[test_case("last-tier"; "errors of the last tier are its servers own")]
+#[test_case("many-nodes"; "a single request is sent however many nodes there are")]
+#[test_case("idle-always-accepts"; "an idle server gets a request however late answers were")]
+#[test_case("connect-failure"; "a server that accepts no connection is ejected at once")]
+#[test_case("two-per-zone"; "a node with few requests sends to two servers of its zone and two of others")]
 #[test_case("budget"; "attempts beyond the first stay within their budget whatever ended the one before")]
-#[test_case("slow-profile"; "a profile that is slow wherever it goes takes no place from others")]
-#[test_case("fails-anywhere"; "jobs that fail wherever they go have one attempt each and are no fault of a server")]
-#[test_case("untrue-report"; "a server that reports to be idle while it holds own jobs is not believed")]
+#[test_case("slow-profile"; "a profile that is slow on all servers takes no place from others")]
+#[test_case("fails-on-all-servers"; "requests that fail on all servers get one attempt each and no server is at fault")]
+#[test_case("false-idle-report"; "a server that reports to be idle while it holds own requests is not believed")]
 #[test_case("overload"; "the window holds back a burst and rejects early")]
 fn scenario(name: &str) {
     let path = format!("{}/tests/scenarios/{name}.txt", env!("CARGO_MANIFEST_DIR"));
     let text = std::fs::read_to_string(&path).unwrap();
-    let mut scene = Scene::new();
+    let mut scenario = Scenario::new();
     for (number, line) in text.lines().enumerate() {
         let line = line.split('#').next().unwrap_or("").trim();
-        scene.play(line, &format!("{name}:{}", number + 1));
+        scenario.play(line, &format!("{name}:{}", number + 1));
     }
 }
