--- a/crates/pearfront-drill/src/wire/tests.rs
+++ b/crates/pearfront-drill/src/wire/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the simulator's frames, byte for byte as on the page of its protocol, and of faulty frames.
+
 use super::*;
 use test_case::test_case;
 
@@ -37,17 +39,17 @@
 }
 
 #[test]
-fn a_job_of_the_wire_page_becomes_an_attempt_within_its_limit() {
+fn a_request_of_the_protocol_page_becomes_an_attempt_within_its_deadline() {
     let mut adapter = Adapter::default();
     adapter.answer(&start_frame(SETTINGS)).unwrap();
-    // The page's own example: limit 9.00 s on the clock, which stands at 8.4 s here.
+    // The example of the protocol page: a deadline of 9.00 s on the clock, which is at 8.4 s here.
     let request = "0300 c4913a5d 640ad2557c3bf091 01 001bb70000000000 00 90dbb60302000000 0000";
     let reply = adapter.answer(&frame(&["0c00 0300", request], &[])).unwrap();
     assert_eq!(reply[8..12], hex("0d00 0300"));
     assert_eq!(reply[32..44], hex("0100 c4913a5d 0a124a07 c32b"));
     let limit = u64::from_le_bytes(reply[44..52].try_into().unwrap());
     assert_eq!(limit, 0x0002_03b6_db90 - 8_400_000_000);
-    // ClientLeft for an unknown job, an outcome for a finished one, a probe of nobody: no words are lost on them.
+    // ClientLeft for an unknown request, an outcome for a finished one, a probe of an unknown server: all are ignored.
     let ignored = ["0c00 0300", "0600 192b6f0e", "0500 192b6f0e 0000 0a124a07 c32b 0a", "0800 0a9011f2 ec2b"];
     let mut ignored = frame(&ignored, &[]);
     ignored[BATCH_HEAD_BYTES + 3 * EVENT_BYTES + 16] = 10;
@@ -62,7 +64,7 @@
 }
 
 #[test]
-fn actions_look_as_on_the_wire_page() {
+fn actions_are_encoded_as_on_the_protocol_page() {
     let mut reply = Reply { instance_number: 3, ..Reply::default() };
     reply.attempt(0x5d3a_91c4, [0x0a, 0x12, 0x4a, 0x07, 0xc3, 0x2b], 80.0);
     reply.wake_after(500.0);
@@ -120,6 +122,6 @@
 #[test_case(&[], Ok(false); "the end between frames is no fault")]
 #[test_case(&[8, 0], Err("input ends within a frame's length".into()); "cut in the length")]
 #[test_case(&[0, 0, 0, 0, 1], Err("input ends within a frame: 1 of 12 bytes".into()); "cut in the head")]
-fn frames_end_where_they_should(mut input: &[u8], wanted: Result<bool, String>) {
+fn frames_end_where_their_length_says(mut input: &[u8], wanted: Result<bool, String>) {
     assert_eq!(read_frame(&mut input, &mut Vec::new()), wanted);
 }
--- a/crates/pearfront-settings/src/sidecar/tests.rs
+++ b/crates/pearfront-settings/src/sidecar/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of converting a configuration to a sidecar's: what is carried over, what is listed, and which files are refused.
+
 use super::*;
 use test_case::test_case;
 
@@ -18,7 +20,7 @@
 }
 
 #[test]
-fn the_new_file_is_for_a_node_of_its_own_and_tells_what_stays_behind() {
+fn the_new_file_is_a_sidecars_and_lists_what_is_not_carried_over() {
     let sidecar = to_sidecar(&old(), &target()).unwrap();
     let settings = decode(&JsonField::root(&sidecar.file["settings"], "settings")).unwrap();
     assert!(!settings.discovery_on_request && !settings.may_hedge);
@@ -37,14 +39,14 @@
     ] {
         assert!(
             sidecar.not_carried_over.iter().any(|line| line.contains(key)),
-            "{key} is not told: {:?}",
+            "{key} is not listed: {:?}",
             sidecar.not_carried_over
         );
     }
 }
 
 #[test]
-fn a_file_moved_once_is_refused() {
+fn a_converted_file_is_refused() {
     let once = to_sidecar(&old(), &target()).unwrap().file;
     let problem = to_sidecar(&once, &target()).err().unwrap();
     assert_eq!(problem, "config.settings.discovery is \"pushed\": the file has been moved already");
--- a/crates/pearfront-settings/src/tests.rs
+++ b/crates/pearfront-settings/src/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of decoding settings: units, defaults, and error messages that name the faulty key.
+
 use super::*;
 use test_case::test_case;
 
--- a/src/sliding_window/tests.rs
+++ b/src/sliding_window/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of sliding windows: what counts within the span, and for how long a level counts.
+
 use super::{SlidingWindow, TimeWeightedLevel};
 
 #[test]
@@ -10,7 +12,7 @@
 }
 
 #[test]
-fn a_level_that_did_not_change_for_long_is_its_own_mean() {
+fn a_level_unchanged_for_the_span_is_its_own_mean() {
     let mut level = TimeWeightedLevel::<10>::new(1000.0);
     level.change(130.0, 3.0);
     assert!((level.mean(5150.0) - 3.0).abs() < 0.2, "{}", level.mean(5150.0));
@@ -19,7 +21,7 @@
 }
 
 #[test]
-fn forgets_what_is_older_than_its_span() {
+fn samples_older_than_the_span_do_not_count() {
     let mut sliding_window = SlidingWindow::<4>::new(400.0);
     sliding_window.add(0.0, 5.0);
     sliding_window.add(150.0, 7.0);
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,4 +1,5 @@
-//! `.ci/known-red` against a cargo that is a few lines of shell: what it runs, what it says, and what it refuses.
+//! Tests of `.ci/known-red`, run with a shell script in place of cargo: what it runs, what it prints, and which
+//! lists it refuses.
 
 use std::fs;
 use std::os::unix::fs::PermissionsExt;
@@ -6,7 +7,7 @@
 use std::process::Command;
 use test_case::test_case;
 
-/// Lists three tests; `--exact NAME` and everything else end as the files `failing` and `rest_fails` say.
+/// Lists four tests, one of them twice; runs with `--exact NAME` and all others end as the files `failing` and `rest_fails` say.
 const CARGO: &str = r#"#!/usr/bin/env bash
 here=$(dirname "$0")
 echo "$*" >>"$here/calls"
@@ -21,12 +22,13 @@
 
 const ALL: &str = "test --workspace --locked";
 
+/// A project root for the script, in a folder of its own.
 struct Root {
     folder: PathBuf,
 }
 
 impl Root {
-    /// A root of its own with that list; of its tests these fail.
+    /// A root with this list of known failures, in which the tests named in `failing` fail.
     fn new(name: &str, list: Option<&str>, failing: &str) -> Self {
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("known-red-{name}"));
         drop(fs::remove_dir_all(&folder));
@@ -42,12 +44,12 @@
         Root { folder }
     }
 
-    /// Whether CI would be green, what was said, and what cargo was asked for.
+    /// Whether CI would be green, what was printed, and the calls that cargo got.
     fn run(&self) -> (bool, String, Vec<String>) {
         self.run_with(&[])
     }
 
-    /// The same for plays of the soak, whose program the same lines of shell stand in for.
+    /// The same for runs of the soak, whose program is replaced by the same script.
     fn soak(&self, first: &str, count: &str) -> (bool, String, Vec<String>) {
         self.run_with(&["soak", first, count, "./cargo", "--beside", "2"])
     }
@@ -138,7 +140,7 @@
     );
     let rest = "--beside 2 --seeds 4 --first 1 --without 3 --without 4";
     assert_eq!(calls, [rest, "--beside 2 --seeds 1 --first 3", "--beside 2 --seeds 1 --first 4"]);
-    // Its tests are all run: no seed is one.
+    // A seed is no test, so all tests are run.
     assert_eq!(root.run().2.last().unwrap(), ALL);
 }
 
@@ -150,7 +152,7 @@
     assert!(!green && calls.len() == 1, "{said}");
 }
 
-// The script leans on this: with `--exact` a name that is left out takes no other with it.
+/// The script relies on this: with `--exact`, skipping a test skips no other whose name contains it.
 #[test]
 fn a_test_that_is_left_out_takes_no_other_with_it() {
     let listed = |args: &[&str]| {
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,4 +1,5 @@
-//! Plays the text files in `scenarios/`; the notation is told in `scenarios/README.md`.
+//! Tests of the balancer by scenarios: plays the text files in `scenarios/`, whose notation `scenarios/README.md`
+//! describes, and some cases that the notation cannot express.
 
 use pearfront::interface::{
     Address, AttemptOutcome, DecisionWriter, DedupScope, Effect, ListedServer, Profile, ReportField,
@@ -10,11 +11,12 @@
 use std::rc::Rc;
 use test_case::test_case;
 
-/// Milliseconds between two rounds.
+/// Time between two rounds.
 const ROUND_MS: f64 = 5.0;
-/// How long, ms, an attempt takes that a line ends.
+/// Duration of an attempt that a line of a scenario ends, where the line states no slow one.
 const QUICK_MS: f64 = 20.0;
 
+/// Records decisions as lines of the notation.
 #[derive(Default)]
 struct RecordedDecisions(Vec<String>);
 
@@ -54,12 +56,13 @@
     fn log(&mut self, _: &str) {}
 }
 
+/// A scenario being played.
 struct Scenario {
     settings: Settings,
     balancer: Option<Balancer>,
     now: f64,
     written: RecordedDecisions,
-    /// How often each line was written, from the start.
+    /// How often each line has been written since the start.
     counts: BTreeMap<String, usize>,
 }
 
@@ -78,7 +81,7 @@
     }
 }
 
-/// `a`, `a/zone/cell` or `a/zone/cell/start`.
+/// A server written as `a`, `a/zone/cell` or `a/zone/cell/start`.
 fn listed_server(word: &str, state: ServerState) -> ListedServer {
     let parts: Vec<&str> = word.split('/').collect();
     let part = |place: usize| parts.get(place).map(|word| number(word));
@@ -168,9 +171,9 @@
         });
     }
 
-    /// Sends jobs of profile 0 one after the other, each served at once, and counts the servers drawn.
-    fn draw(&mut self, jobs: u32, interval: f64) {
-        for id in 1_000_000..1_000_000 + jobs {
+    /// Sends requests of profile 0 one after the other, each served at once, and counts the servers drawn.
+    fn draw(&mut self, requests: u32, interval: f64) {
+        for id in 1_000_000..1_000_000 + requests {
             self.advance(self.now + interval);
             let deadline = self.now + 10_000.0;
             let duration = self.settings.profiles[0].latency_target * 0.2;
@@ -190,7 +193,7 @@
         of(Some(server)) / of(None)
     }
 
-    /// All that was written for jobs since the last such line, in order; `?` stands for any server.
+    /// Compares all that was written for requests since the last such line, in order; `?` stands for any server.
     fn expect(&mut self, expected: &str, at: &str) {
         let mut written = std::mem::take(&mut self.written.0);
         written
@@ -212,8 +215,8 @@
             ["set", key, value] => self.set(key, number(value)),
             ["profile", ..] => self.profile(&words[1..]),
             ["=", ..] => self.expect(&line[1..], at),
-            ["draw", jobs] => self.draw(number(jobs) as u32, 0.0),
-            ["draw", jobs, interval] => self.draw(number(jobs) as u32, number(interval)),
+            ["draw", requests] => self.draw(number(requests) as u32, 0.0),
+            ["draw", requests, interval] => self.draw(number(requests) as u32, number(interval)),
             ["share", server, expected, within] => {
                 let share = self.share(server);
                 assert!((share - number(expected)).abs() <= number(within), "{at}: {server} had {share:.3}");
@@ -291,7 +294,7 @@
     }
 }
 
-/// The wake that was taken for one still to come would have been the last: its job was lost.
+/// A wake that came slightly early was taken for one still to come; none followed it, and its request was lost.
 #[test]
 fn a_wake_that_comes_slightly_early_is_followed_by_another() {
     let mut scenario = Scenario::new();
@@ -312,8 +315,8 @@
     );
 }
 
-/// Under other settings, in another order, a job of the old ones may be told late; an open one keeps its effect, and
-/// a server stays aside for the profile of that name alone.
+/// The profiles change places in new settings. A request of the old settings may arrive after that, one that is open
+/// keeps its effect, and a server stays ejected for the profile of that name only.
 #[test]
 fn new_settings_apply_to_new_requests_and_learned_state_stays_with_the_profile_name() {
     let mut scenario = Scenario::new();
@@ -327,11 +330,11 @@
     let answered = |scenario: &mut Scenario, name: &str| {
         scenario.round(|balancer| balancer.probe_answered(address(name), true, &[0.0], 1.0));
     };
-    // Profile 0 fails on `a`, which sets it aside for that profile.
+    // Profile 0 fails on `a`, which ejects it for that profile.
     scenario.round(|balancer| balancer.request_received(1, 0, 0, 700.0));
     answered(&mut scenario, "a");
     scenario.round(|balancer| balancer.attempt_ended(1, 0, AttemptOutcome::Error, QUICK_MS, false));
-    // A non-idempotent job is out when the settings change: both profiles change places, and both are idempotent.
+    // A non-idempotent request is out when the settings change: the profiles change places, and both are idempotent.
     scenario.round(|balancer| balancer.request_received(2, 1, 0, 700.0));
     answered(&mut scenario, "a");
     let mut new = (*old).clone();
@@ -341,7 +344,7 @@
     scenario.round(|balancer| balancer.update_settings(Rc::new(new)));
     scenario.round(|balancer| balancer.attempt_ended(2, 0, AttemptOutcome::Error, QUICK_MS, false));
     assert!(scenario.written.0.contains(&"fail 2".into()), "{:?}", scenario.written.0);
-    // What came under the old settings, and is told late, still has its three attempts and its profile.
+    // A request of the old settings that arrives late still has its three attempts and its profile.
     scenario.round(|balancer| balancer.list_received(false, false, [b].into_iter()));
     scenario.round(|balancer| balancer.request_received_under(&old, 3, 0, 0, late_deadline()));
     answered(&mut scenario, "b");
@@ -349,7 +352,8 @@
     assert!(!scenario.written.0.contains(&"attempt 3 a".into()), "{:?}", scenario.written.0);
 }
 
-/// A job whose body comes slowly is no load yet: it takes no place from others, is not overdue, and is not sent twice.
+/// A request whose body arrives slowly is no load yet: it takes no place from others, is not overdue, and is not sent
+/// twice.
 #[test]
 fn a_request_that_is_still_arriving_counts_from_its_last_byte() {
     let mut scenario = Scenario::new();
@@ -362,7 +366,7 @@
         let line = format!("attempt {id} ");
         scenario.written.0.iter().filter(|written| written.starts_with(&line)).count()
     };
-    // The window of a tenth of two servers' ten is one job: two that come slowly leave it open.
+    // The window is one request, a tenth of the ten for two servers: two that arrive slowly leave it open.
     scenario.round(|balancer| {
         (1..=2).for_each(|id| balancer.request_received_under(&old_settings, id, 0, 0, f64::INFINITY))
     });
@@ -370,7 +374,7 @@
     scenario.now += 20_000.0;
     scenario.round(|balancer| balancer.request_received(3, 0, 0, 1e9));
     assert_eq!([1, 2, 3].map(|id| attempts(&scenario, id)), [1, 1, 1], "{:?}", scenario.written.0);
-    // With their last bytes they are out, overdue after a while, and can't go again.
+    // From their last byte on they are out and become overdue, and they cannot be sent again.
     let deadline = scenario.now + 5000.0;
     scenario.round(|balancer| balancer.body_received(1, deadline));
     scenario.now += 2500.0;
@@ -379,7 +383,8 @@
     assert!(scenario.written.0.contains(&"reject 1".into()), "{:?}", scenario.written.0);
 }
 
-/// Bodies that come slowly are no slow profile: none is given up for it, and their places come back.
+/// Bodies that arrive slowly do not make a profile slow: none of its requests is given up for that, and their places
+/// in the window are free again afterwards.
 #[test]
 fn a_profile_whose_bodies_arrive_slowly_is_not_taken_for_slow() {
     let mut scenario = Scenario::new();
@@ -393,7 +398,7 @@
         (1..=8).for_each(|id| balancer.request_received_under(&old_settings, id, 1, 0, f64::INFINITY))
     });
     scenario.advance(8000.0);
-    // Their last bytes come, and they are answered: more of them go, as many as before.
+    // Their last bytes arrive and they are answered: as many can be sent as before.
     scenario.round(|balancer| (1..=8).for_each(|id| balancer.body_received(id, 60_000.0)));
     scenario.round(|balancer| {
         (1..=8).for_each(|id| balancer.attempt_ended(id, 0, AttemptOutcome::Served, QUICK_MS, true))
@@ -405,7 +410,7 @@
     assert_eq!(attempts, 5, "{:?}", scenario.written.0);
 }
 
-/// A limit far behind all that these tests play.
+/// A deadline far beyond everything that these tests play.
 fn late_deadline() -> f64 {
     100_000.0
 }
