--- a/src/policy.rs
+++ b/src/policy.rs
@@ -65,8 +65,8 @@
     admitted: Vec<RecentSamples>,
     /// Requests sent for the first time.
     first_attempts: RecentSamples,
-    /// Servers that are probed before each draw; 0 if draws do not probe. They do where a node sends so little that
-    /// its estimates would be too old by the next draw.
+    /// Servers that are probed before each draw, because a node's estimates become too old between two of its requests;
+    /// 0 if draws do not probe.
     probes_per_draw: usize,
     /// Share of the time left that an attempt may be expected to take; it follows the answers in time and late.
     share_limit: f64,
@@ -103,7 +103,7 @@
         let probes = (PROBE_SPEND_PER_DRAW / settings.probe_price.max(1e-9)).min(PROBES_PER_DRAW_MAX);
         let mut balancer = Self {
             rng,
-            // Utilization is a mean over some time; only requests outstanding tell the load at the moment.
+            // Utilization is a mean over some time; only requests outstanding show the present load.
             probes_per_draw: if reports_outstanding && probes >= PROBES_PER_DRAW_MIN {
                 probes as usize
             } else {
@@ -139,7 +139,7 @@
         self.log_lines.drain(..).for_each(|line| out.log(&line));
         if now >= self.next_list_request {
             out.watch_list();
-            // The answer cancels the next request; this one stands in case none comes.
+            // The answer cancels the next request; this one remains in case none comes.
             self.next_list_request = now + self.settings.list_request_deadline / 2.0;
         }
         self.probe_on_timer(out);
