--- a/crates/pearfront-cli/src/soak.rs
+++ b/crates/pearfront-cli/src/soak.rs
@@ -3,7 +3,7 @@
 use crate::Trouble;
 use pearfront_soak::judge::{Break, Rule, Verdict, judge};
 use pearfront_soak::plan::Plan;
-use pearfront_soak::player::{Played, Setup, play};
+use pearfront_soak::runner::{RunSummary, Setup, run};
 use pearfront_soak::{record, role, shim};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -51,7 +51,7 @@
 impl RoleOf {
     pub fn run(self) -> Result<(), Trouble> {
         let runtime = crate::runtime()?;
-        LocalSet::new().block_on(&runtime, role::play()).map_err(Trouble::Undone)
+        LocalSet::new().block_on(&runtime, role::run()).map_err(Trouble::Undone)
     }
 }
 
@@ -70,7 +70,7 @@
         let library = library.transpose().map_err(|error| Trouble::Undone(format!("fault shim: {error}")))?;
         let setup = |seed: u64| Setup {
             node: node.clone(),
-            role: (own.clone(), ROLE.into()),
+            role_command: (own.clone(), ROLE.into()),
             folder: base.join(format!("seed-{seed}")),
             shim: library.clone(),
         };
@@ -108,11 +108,11 @@
     }
 }
 
-fn play_one(plan: &Plan, setup: Setup) -> Result<(Played, Verdict), Trouble> {
+fn play_one(plan: &Plan, setup: Setup) -> Result<(RunSummary, Verdict), Trouble> {
     let folder = setup.folder.clone();
     remove(&folder);
     let runtime = crate::runtime()?;
-    let played = LocalSet::new().block_on(&runtime, play(plan, setup)).map_err(Trouble::Undone)?;
+    let played = LocalSet::new().block_on(&runtime, run(plan, setup)).map_err(Trouble::Undone)?;
     let records = record::read_all(&folder).map_err(|error| Trouble::Undone(error.to_string()))?;
     let verdict = judge(plan, &records);
     write_breaks(&folder, &verdict.breaks).map_err(|error| Trouble::Undone(error.to_string()))?;
@@ -139,10 +139,10 @@
 }
 
 fn line_of(broken: &Break) -> String {
-    format!("{:?} at {:.0}: {}", broken.rule, broken.at, broken.what)
+    format!("{:?} at {:.0}: {}", broken.rule, broken.at, broken.description)
 }
 
-fn show(plan: &Plan, played: &Played, verdict: &Verdict) {
+fn show(plan: &Plan, played: &RunSummary, verdict: &Verdict) {
     let Verdict { requests, attempts, served, refused, left, unserved, shut_unread, breaks } = verdict;
     let fleet = &plan.fleet;
     println!(
@@ -153,7 +153,7 @@
         fleet.nodes,
         fleet.servers,
         if fleet.pushed { "pushed" } else { "asked for" },
-        if fleet.asks_first { "requests held, asked first" } else { "utilisation" },
+        if fleet.probes_first { "requests held, asked first" } else { "utilisation" },
         played.violations,
         if breaks.is_empty() {
             "rules kept".into()
--- a/crates/pearfront-soak/src/client/crowd.rs
+++ b/crates/pearfront-soak/src/client/patterns.rs
@@ -1,32 +1,32 @@
 //! Clients that do more than ask and wait: several requests in one write, one request after the other without a pause, and
 //! crowds that only hold connections.
 
-use super::exchange::{Ended, Sent, has_crossed, is_last};
+use super::exchange::{Outcome, Sent, closes_connection, has_close_raced};
 use super::request::Request;
-use super::{Client, IN_ONE_WRITE};
+use super::{BURST_SIZE, Client};
 use crate::clock;
 use crate::http::End;
-use crate::record::{Line, Record};
+use crate::record::{Pipeline, Record};
 use rand::Rng;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
 /// How long a client waits beyond its deadline.
-const PATIENCE: Duration = Duration::from_secs(3);
+const GIVE_UP_AFTER_DEADLINE: Duration = Duration::from_secs(3);
 /// How long a client asks without a pause at the most.
-const PRESSES: Duration = Duration::from_secs(5);
+const BACK_TO_BACK_DURATION: Duration = Duration::from_secs(5);
 /// How often one of a crowd looks whether its connection stands, and tries again.
-const LOOK: Duration = Duration::from_millis(20);
+const RECONNECT_PAUSE: Duration = Duration::from_millis(20);
 
 impl Client {
     /// Several requests in one write on a new connection; their answers come in the same order.
     pub(super) async fn burst(self: Rc<Self>, node: usize) {
         let Some(mut connection) = self.connect(node).await else { return };
         let requests: Vec<Request> = {
-            let chance = &mut *self.chance.borrow_mut();
-            let count = chance.random_range(IN_ONE_WRITE);
-            (0..count).map(|_| Request::draw_plain(chance, &self.role)).collect()
+            let rng = &mut *self.rng.borrow_mut();
+            let count = rng.random_range(BURST_SIZE);
+            (0..count).map(|_| Request::draw_plain(rng, &self.role)).collect()
         };
         let all: Vec<u8> = requests.iter().flat_map(Request::head).collect();
         let began = clock::now();
@@ -36,7 +36,7 @@
         let at = clock::now();
         for request in &requests {
             let (id, effect, deadline) = (request.id.clone(), request.effect, request.deadline);
-            let line = Some(Line { first: requests[0].id.clone(), together: true });
+            let pipeline = Some(Pipeline { first: requests[0].id.clone(), single_write: true });
             self.recorder.write(&Record::Request {
                 id,
                 node,
@@ -44,54 +44,54 @@
                 began,
                 at,
                 deadline,
-                fresh: true,
-                line,
+                new_connection: true,
+                pipeline,
             });
         }
         let longest = requests.iter().map(|request| request.deadline).fold(0.0, f64::max);
-        let until = Instant::now() + Duration::from_secs_f64(longest / 1000.0) + PATIENCE;
-        for (place, request) in requests.iter().enumerate() {
+        let until = Instant::now() + Duration::from_secs_f64(longest / 1000.0) + GIVE_UP_AFTER_DEADLINE;
+        for (index, request) in requests.iter().enumerate() {
             let left = until.saturating_duration_since(Instant::now());
             let Ok(answer) = timeout(left, connection.message()).await else { return };
             let Some(answer) = answer else {
                 let end = connection.end().unwrap_or(End::Orderly);
-                let crossed =
-                    place == 0 && has_crossed(&connection, Sent { at, fresh: true }, clock::now()).await;
-                return self.unanswered(&requests[place..], end, crossed);
+                let close_raced = index == 0
+                    && has_close_raced(&connection, Sent { at, new_connection: true }, clock::now()).await;
+                return self.record_unanswered(&requests[index..], end, close_raced);
             };
             let (id, status) = (request.id.clone(), answer.status());
             self.recorder.write(&Record::Answer { id, at: clock::now(), status });
-            if is_last(&answer) {
-                return self.unanswered(&requests[place + 1..], End::Orderly, false);
+            if closes_connection(&answer) {
+                return self.record_unanswered(&requests[index + 1..], End::Orderly, false);
             }
         }
     }
 
     /// The connection has ended before these were answered.
-    fn unanswered(&self, requests: &[Request], end: End, crossed: bool) {
+    fn record_unanswered(&self, requests: &[Request], end: End, close_raced: bool) {
         for request in requests {
             let (id, reset) = (request.id.clone(), end == End::Reset);
-            self.recorder.write(&Record::Unanswered { id, at: clock::now(), crossed, reset });
+            self.recorder.write(&Record::Unanswered { id, at: clock::now(), close_raced, reset });
         }
     }
 
     /// One request after the other on one connection, until that ends.
-    pub(super) async fn press(self: Rc<Self>, node: usize) {
+    pub(super) async fn send_back_to_back(self: Rc<Self>, node: usize) {
         let Some(mut connection) = self.connect(node).await else { return };
-        let until = Instant::now() + PRESSES;
-        let mut fresh = true;
+        let until = Instant::now() + BACK_TO_BACK_DURATION;
+        let mut new_connection = true;
         while Instant::now() < until {
-            let mut request = Request::draw_plain(&mut *self.chance.borrow_mut(), &self.role);
-            request.leaves = None;
-            match self.ask(node, &request, &mut connection, fresh).await {
-                Ended::Answered { kept: true } => fresh = false,
+            let mut request = Request::draw_plain(&mut *self.rng.borrow_mut(), &self.role);
+            request.disconnect_after_ms = None;
+            match self.exchange(node, &request, &mut connection, new_connection).await {
+                Outcome::Answered { kept: true } => new_connection = false,
                 _ => return,
             }
         }
     }
 
     /// Holds a connection with nothing or half a head on it, and opens it anew where it is closed.
-    pub(super) async fn crowd(self: Rc<Self>, node: usize, time: Duration) {
+    pub(super) async fn fill_descriptors(self: Rc<Self>, node: usize, time: Duration) {
         let until = Instant::now() + time;
         let half = self.draw().head();
         let sent = if self.happens(0.5) { 0 } else { half.len() / 2 };
@@ -100,9 +100,9 @@
                 && connection.write(&half[..sent]).await.is_ok()
             {
                 let left = until.saturating_duration_since(Instant::now());
-                let _ = timeout(left, connection.ended()).await;
+                let _ = timeout(left, connection.read_to_end()).await;
             }
-            sleep(LOOK).await;
+            sleep(RECONNECT_PAUSE).await;
         }
     }
 
--- a/crates/pearfront-soak/src/client/request.rs
+++ b/crates/pearfront-soak/src/client/request.rs
@@ -1,18 +1,18 @@
 //! Requests as clients draw them.
 
+use crate::answer_spec::{AnswerSpec, draw_length};
 use crate::record::Effect;
 use crate::role::ClientRole;
-use crate::wish::{Wish, draw_length};
 use rand::Rng;
 
 /// Share of requests with a body.
-const BODIES: f64 = 0.1;
+const BODY_SHARE: f64 = 0.1;
 /// Share of bodies in chunks, of those that come slowly, and of those that stop in their middle.
-const CHUNKED: f64 = 0.3;
-const SLOW_BODIES: f64 = 0.15;
-const STALLING_BODIES: f64 = 0.05;
+const CHUNKED_SHARE: f64 = 0.3;
+const SLOW_BODY_SHARE: f64 = 0.15;
+const STALLING_BODY_SHARE: f64 = 0.05;
 /// Share of clients that take a long answer slowly.
-const SLOW_READERS: f64 = 0.15;
+const SLOW_READER_SHARE: f64 = 0.15;
 
 /// How a body comes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -33,60 +33,61 @@
     pub length: usize,
     pub chunked: bool,
     pub pace: Pace,
-    pub wish: Option<Wish>,
+    pub answer_spec: Option<AnswerSpec>,
     pub reads_slowly: bool,
     /// When its client leaves early, ms.
-    pub leaves: Option<f64>,
+    pub disconnect_after_ms: Option<f64>,
 }
 
-fn draw_id(chance: &mut impl Rng) -> String {
-    format!("{:016x}", chance.random::<u64>())
+fn draw_id(rng: &mut impl Rng) -> String {
+    format!("{:016x}", rng.random::<u64>())
 }
 
 impl Request {
-    pub fn draw(chance: &mut impl Rng, role: &ClientRole) -> Self {
-        let plain = Self::draw_plain(chance, role);
-        let has_body = plain.effect != Effect::Idempotent && chance.random_bool(BODIES);
-        let pace = match chance.random_range(0.0..1.0) {
-            share if share < STALLING_BODIES => Pace::Stalls,
-            share if share < STALLING_BODIES + SLOW_BODIES => Pace::Slowly,
+    pub fn draw(rng: &mut impl Rng, role: &ClientRole) -> Self {
+        let plain = Self::draw_plain(rng, role);
+        let has_body = plain.effect != Effect::Idempotent && rng.random_bool(BODY_SHARE);
+        let pace = match rng.random_range(0.0..1.0) {
+            share if share < STALLING_BODY_SHARE => Pace::Stalls,
+            share if share < STALLING_BODY_SHARE + SLOW_BODY_SHARE => Pace::Slowly,
             _ => Pace::AtOnce,
         };
         Self {
-            length: if has_body { draw_length(chance) } else { 0 },
-            chunked: has_body && chance.random_bool(CHUNKED),
+            length: if has_body { draw_length(rng) } else { 0 },
+            chunked: has_body && rng.random_bool(CHUNKED_SHARE),
             pace: if has_body { pace } else { Pace::AtOnce },
-            wish: Wish::draw(chance),
-            reads_slowly: chance.random_bool(SLOW_READERS),
+            answer_spec: AnswerSpec::draw(rng),
+            reads_slowly: rng.random_bool(SLOW_READER_SHARE),
             ..plain
         }
     }
 
     /// One without a body and with a short answer.
-    pub fn draw_plain(chance: &mut impl Rng, role: &ClientRole) -> Self {
-        let effect = match chance.random_range(0..3) {
+    pub fn draw_plain(rng: &mut impl Rng, role: &ClientRole) -> Self {
+        let effect = match rng.random_range(0..3) {
             0 => Effect::Idempotent,
             1 => Effect::Keyed,
             _ => Effect::NonIdempotent,
         };
-        let deadline = chance.random_range(role.deadlines.0..role.deadlines.1);
-        let leaves = chance.random_bool(role.leaves).then(|| chance.random_range(0.0..deadline));
+        let deadline = rng.random_range(role.deadlines.0..role.deadlines.1);
+        let disconnect_after_ms =
+            rng.random_bool(role.disconnect_share).then(|| rng.random_range(0.0..deadline));
         Self {
-            id: draw_id(chance),
+            id: draw_id(rng),
             effect,
             deadline,
             length: 0,
             chunked: false,
             pace: Pace::AtOnce,
-            wish: None,
+            answer_spec: None,
             reads_slowly: false,
-            leaves,
+            disconnect_after_ms,
         }
     }
 
     /// Has another id from now on.
-    pub fn renew(&mut self, chance: &mut impl Rng) {
-        self.id = draw_id(chance);
+    pub fn renew_id(&mut self, rng: &mut impl Rng) {
+        self.id = draw_id(rng);
     }
 
     pub fn head(&self) -> Vec<u8> {
@@ -100,7 +101,7 @@
             _ if self.chunked => "Transfer-Encoding: chunked\r\n".to_string(),
             _ => format!("Content-Length: {}\r\n", self.length),
         };
-        let query = self.wish.map(|wish| wish.encode()).unwrap_or_default();
+        let query = self.answer_spec.map(|answer_spec| answer_spec.encode()).unwrap_or_default();
         let head = format!(
             "{method} /{class}/it{query} HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: {}\r\nX-Customer: acme\r\n\
              X-Expires-In: {:.3}\r\n{key}{framing}\r\n",
--- a/crates/pearfront-soak/src/discovery.rs
+++ b/crates/pearfront-soak/src/discovery.rs
@@ -2,7 +2,7 @@
 
 use crate::clock;
 use crate::http::{Connection, Message, answer};
-use crate::record::{DiscoveryMode, Record, Recorder, Standing};
+use crate::record::{DiscoveryMode, Lifecycle, Record, Recorder};
 use crate::role::{DiscoveryRole, Order, Orders, listen};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -17,88 +17,88 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 /// Bytes of one piece, and the pause behind it, ms, where answers come in pieces.
-const PIECE: usize = 97;
-const PIECE_PAUSE: u64 = 15;
+const FRAGMENT_BYTES: usize = 97;
+const FRAGMENT_PAUSE_MS: u64 = 15;
 /// How long a call waits, ms, before a crowded service says so; some are told at once.
-const CROWDED: u64 = 600;
+const OVERLOAD_DELAY_MS: u64 = 600;
 
-struct Line {
+struct ListEntry {
     version: u64,
-    standing: Standing,
+    lifecycle: Lifecycle,
     started_unix: f64,
 }
 
 struct Discovery {
     role: DiscoveryRole,
     recorder: Recorder,
-    chance: RefCell<ChaCha8Rng>,
+    rng: RefCell<ChaCha8Rng>,
     mode: Cell<DiscoveryMode>,
     /// Rises with each change of the mode.
     epoch: Cell<u64>,
     version: Cell<u64>,
-    lines: RefCell<BTreeMap<usize, Line>>,
+    entries: RefCell<BTreeMap<usize, ListEntry>>,
     moved: RefCell<Vec<bool>>,
     /// Rung at each change of list or mode.
     changed: Notify,
 }
 
-pub async fn play(recorder: Recorder, role: DiscoveryRole, mut orders: Orders) -> Result<(), String> {
-    let places = role.places.clone();
+pub async fn run(recorder: Recorder, role: DiscoveryRole, mut orders: Orders) -> Result<(), String> {
+    let addresses = role.addresses.clone();
     let discovery = Rc::new(Discovery {
         recorder,
-        chance: RefCell::new(ChaCha8Rng::seed_from_u64(role.seed)),
+        rng: RefCell::new(ChaCha8Rng::seed_from_u64(role.seed)),
         mode: Cell::new(DiscoveryMode::Normal),
         epoch: Cell::new(0),
         version: Cell::new(1),
-        lines: RefCell::default(),
-        moved: RefCell::new(vec![false; places.len()]),
+        entries: RefCell::default(),
+        moved: RefCell::new(vec![false; addresses.len()]),
         changed: Notify::new(),
         role,
     });
-    for (caller, places) in places.into_iter().enumerate() {
-        for (place, address) in places.into_iter().enumerate() {
-            spawn_local(discovery.clone().accept(listen(address)?, caller, place));
+    for (subscriber, addresses) in addresses.into_iter().enumerate() {
+        for (address_index, address) in addresses.into_iter().enumerate() {
+            spawn_local(discovery.clone().accept(listen(address)?, subscriber, address_index));
         }
     }
     while let Some(order) = orders.next().await {
-        discovery.take(order);
+        discovery.handle_order(order);
     }
     Ok(())
 }
 
 impl Discovery {
-    fn take(&self, order: Order) {
+    fn handle_order(&self, order: Order) {
         match order {
-            Order::Publish { server, version, standing, started_unix } => {
-                self.lines.borrow_mut().insert(server, Line { version, standing, started_unix });
+            Order::Publish { server, version, lifecycle, started_unix } => {
+                self.entries.borrow_mut().insert(server, ListEntry { version, lifecycle, started_unix });
                 self.version.set(version);
             }
             Order::Discovery { mode } => {
                 self.mode.set(mode);
                 self.epoch.set(self.epoch.get() + 1);
             }
-            Order::Moved { caller } => self.moved.borrow_mut()[caller] = true,
+            Order::Moved { subscriber } => self.moved.borrow_mut()[subscriber] = true,
             _ => {}
         }
         self.changed.notify_waiters();
     }
 
-    async fn accept(self: Rc<Self>, listener: TcpListener, caller: usize, place: usize) {
+    async fn accept(self: Rc<Self>, listener: TcpListener, subscriber: usize, address_index: usize) {
         while let Ok((stream, _)) = listener.accept().await {
-            spawn_local(self.clone().serve(Connection::new(stream), caller, place));
+            spawn_local(self.clone().serve(Connection::new(stream), subscriber, address_index));
         }
     }
 
     /// Is the first place of a caller no longer the one that is called?
-    fn is_left(&self, caller: usize, place: usize) -> bool {
-        place == 0 && self.moved.borrow()[caller]
+    fn has_moved_away(&self, subscriber: usize, address_index: usize) -> bool {
+        address_index == 0 && self.moved.borrow()[subscriber]
     }
 
-    async fn serve(self: Rc<Self>, mut connection: Connection, caller: usize, place: usize) {
+    async fn serve(self: Rc<Self>, mut connection: Connection, subscriber: usize, address_index: usize) {
         let opened = self.epoch.get();
-        let watch = |open| self.recorder.write(&Record::Watch { caller, open, at: clock::now() });
+        let watch = |open| self.recorder.write(&Record::Watch { subscriber, open, at: clock::now() });
         watch(true);
-        let reset = self.calls(&mut connection, caller, place, opened).await;
+        let reset = self.answer_calls(&mut connection, subscriber, address_index, opened).await;
         watch(false);
         if reset {
             connection.reset();
@@ -106,24 +106,30 @@
     }
 
     /// Answers the calls of a connection until it ends; is it to be reset?
-    async fn calls(&self, connection: &mut Connection, caller: usize, place: usize, opened: u64) -> bool {
+    async fn answer_calls(
+        &self,
+        connection: &mut Connection,
+        subscriber: usize,
+        address_index: usize,
+        opened: u64,
+    ) -> bool {
         loop {
             let call = tokio::select! {
                 call = connection.message() => call,
-                () = self.until_reset(caller, place) => return true,
+                () = self.until_reset(subscriber, address_index) => return true,
             };
             let Some(call) = call else { return false };
-            if self.answer(connection, &call, caller, place, opened).await.is_none() {
+            if self.answer(connection, &call, subscriber, address_index, opened).await.is_none() {
                 return true;
             }
         }
     }
 
     /// Waits until connections at this place are reset.
-    async fn until_reset(&self, caller: usize, place: usize) {
+    async fn until_reset(&self, subscriber: usize, address_index: usize) {
         loop {
             let changed = self.changed.notified();
-            if self.mode.get() == DiscoveryMode::Down || self.is_left(caller, place) {
+            if self.mode.get() == DiscoveryMode::Down || self.has_moved_away(subscriber, address_index) {
                 return;
             }
             changed.await;
@@ -135,8 +141,8 @@
         &self,
         connection: &mut Connection,
         call: &Message,
-        caller: usize,
-        place: usize,
+        subscriber: usize,
+        address_index: usize,
         opened: u64,
     ) -> Option<()> {
         let (from, hold) = (call.query("from")?, call.query("hold_ms")?);
@@ -146,9 +152,9 @@
             let mode = self.mode.get();
             match mode {
                 DiscoveryMode::Down => return None,
-                _ if self.is_left(caller, place) => return None,
-                DiscoveryMode::Crowded(percent) if self.happens(percent) => {
-                    let pause = if self.happens(50) { 0 } else { CROWDED };
+                _ if self.has_moved_away(subscriber, address_index) => return None,
+                DiscoveryMode::Overloaded(percent) if self.happens(percent) => {
+                    let pause = if self.happens(50) { 0 } else { OVERLOAD_DELAY_MS };
                     sleep(Duration::from_millis(pause)).await;
                     return connection.write(&answer("503 Busy", "", b"")).await.ok();
                 }
@@ -165,14 +171,14 @@
         if let DiscoveryMode::Slow(ms) = self.mode.get() {
             sleep(Duration::from_millis(ms)).await;
         }
-        self.write(connection, from, caller).await
+        self.write(connection, from, subscriber).await
     }
 
     fn happens(&self, percent: u8) -> bool {
-        self.chance.borrow_mut().random_range(0..100) < percent
+        self.rng.borrow_mut().random_range(0..100) < percent
     }
 
-    async fn write(&self, connection: &mut Connection, from: u64, caller: usize) -> Option<()> {
+    async fn write(&self, connection: &mut Connection, from: u64, subscriber: usize) -> Option<()> {
         // One that its caller has closed meanwhile tells nobody.
         if connection.has_ended() {
             return None;
@@ -180,18 +186,18 @@
         let (version, mode) = (self.version.get(), self.mode.get());
         let body = self.list(from).to_string();
         let bytes = answer("200 OK", "", body.as_bytes());
-        let cut = matches!(mode, DiscoveryMode::Cut(percent) if self.happens(percent));
-        self.recorder.write(&Record::Told { caller, version, at: clock::now(), whole: !cut });
+        let cut = matches!(mode, DiscoveryMode::Truncated(percent) if self.happens(percent));
+        self.recorder.write(&Record::ListSent { subscriber, version, at: clock::now(), whole: !cut });
         if cut {
             connection.write(&bytes[..bytes.len() - body.len() / 2]).await.ok()?;
             // It is with the node before the end is.
-            sleep(Duration::from_millis(PIECE_PAUSE)).await;
+            sleep(Duration::from_millis(FRAGMENT_PAUSE_MS)).await;
             return None;
         }
-        if mode == DiscoveryMode::Pieces {
-            for piece in bytes.chunks(PIECE) {
+        if mode == DiscoveryMode::Fragmented {
+            for piece in bytes.chunks(FRAGMENT_BYTES) {
                 connection.write(piece).await.ok()?;
-                sleep(Duration::from_millis(PIECE_PAUSE)).await;
+                sleep(Duration::from_millis(FRAGMENT_PAUSE_MS)).await;
             }
             return Some(());
         }
@@ -199,20 +205,20 @@
     }
 
     fn list(&self, from: u64) -> Value {
-        let lines = self.lines.borrow();
+        let entries = self.entries.borrow();
         let whole = self.role.whole_lists || from == 0;
-        let wanted = |line: &&(&usize, &Line)| match whole {
-            true => line.1.standing == Standing::Ready,
-            false => line.1.version > from,
+        let wanted = |entry: &&(&usize, &ListEntry)| match whole {
+            true => entry.1.lifecycle == Lifecycle::Ready,
+            false => entry.1.version > from,
         };
-        let all: Vec<_> = lines.iter().collect();
+        let all: Vec<_> = entries.iter().collect();
         let instances: Vec<Value> =
-            all.iter().filter(wanted).map(|(server, line)| self.entry(**server, line)).collect();
+            all.iter().filter(wanted).map(|(server, entry)| self.list_entry(**server, entry)).collect();
         json!({"generation": self.version.get(), "reset": whole, "instances": instances})
     }
 
-    fn entry(&self, server: usize, line: &Line) -> Value {
-        entry(server, self.role.servers[server], line.standing, line.started_unix)
+    fn list_entry(&self, server: usize, line: &ListEntry) -> Value {
+        entry(server, self.role.servers[server], line.lifecycle, line.started_unix)
     }
 }
 
@@ -222,11 +228,16 @@
 }
 
 /// A line of the list.
-pub fn entry(server: usize, address: std::net::SocketAddrV4, standing: Standing, started_unix: f64) -> Value {
-    let lifecycle = match standing {
-        Standing::Ready => "Ready",
-        Standing::Draining => "Terminating",
-        Standing::Gone => "Gone",
+pub fn entry(
+    server: usize,
+    address: std::net::SocketAddrV4,
+    lifecycle: Lifecycle,
+    started_unix: f64,
+) -> Value {
+    let lifecycle = match lifecycle {
+        Lifecycle::Ready => "Ready",
+        Lifecycle::Draining => "Terminating",
+        Lifecycle::Gone => "Gone",
     };
     json!({"instanceId": format!("s-{server}"), "hostPort": address.to_string(), "zone": "a",
         "machineType": "m", "cell": cell_of(server), "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": started_unix})
--- a/crates/pearfront-soak/src/http.rs
+++ b/crates/pearfront-soak/src/http.rs
@@ -15,7 +15,7 @@
 /// Bytes of a line's end.
 const LINE_END: u64 = 2;
 /// How long a reset may take that follows an end.
-const RESET_BEHIND_END: Duration = Duration::from_millis(5);
+const RESET_AFTER_CLOSE_WAIT: Duration = Duration::from_millis(5);
 const END_OF_HEAD: &[u8] = b"\r\n\r\n";
 
 /// One message.
@@ -27,7 +27,7 @@
     /// Names in lower case.
     pub headers: HashMap<String, String>,
     /// When its first byte came.
-    pub first: f64,
+    pub first_byte_at: f64,
 }
 
 impl Message {
@@ -57,7 +57,7 @@
 
 /// What is still to come of a message's body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Rest {
+pub enum RemainingBody {
     Length(u64),
     /// The line that tells a chunk's size, so much of a chunk with its line end, the lines behind the last.
     Size,
@@ -65,16 +65,16 @@
     Trailers,
     /// All until the connection ends.
     UntilEnd,
-    Over,
+    Done,
 }
 
-impl Rest {
+impl RemainingBody {
     /// Of a request's body.
     pub fn of_request(head: &Message) -> Self {
         match head.header("content-length").and_then(|length| length.parse().ok()) {
             _ if head.is_chunked() => Self::Size,
             Some(length) if length > 0 => Self::Length(length),
-            _ => Self::Over,
+            _ => Self::Done,
         }
     }
 
@@ -95,7 +95,7 @@
 
 /// Its connection ended before the body did.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Broken;
+pub struct Truncated;
 
 /// How the other side ended its sending.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -108,47 +108,47 @@
 /// A connection, and what has been read of the next message.
 pub struct Connection {
     pub stream: TcpStream,
-    read: Vec<u8>,
-    first: f64,
+    buffer: Vec<u8>,
+    first_byte_at: f64,
     end: Option<End>,
     /// Has a write on it met its reset? The kernel tells of that once only, and shows an orderly end from then on.
-    write_met_reset: Rc<Cell<bool>>,
+    write_saw_reset: Rc<Cell<bool>>,
 }
 
 impl Connection {
     pub fn new(stream: TcpStream) -> Self {
         let _ = stream.set_nodelay(true);
-        Self { stream, read: Vec::new(), first: 0.0, end: None, write_met_reset: Rc::default() }
+        Self { stream, buffer: Vec::new(), first_byte_at: 0.0, end: None, write_saw_reset: Rc::default() }
     }
 
     /// Reads more; nothing if the other side has ended.
-    async fn more(&mut self) -> Option<()> {
+    async fn read_more(&mut self) -> Option<()> {
         let mut chunk = vec![0; CHUNK];
         let count = match self.stream.read(&mut chunk).await {
-            Ok(0) if self.write_met_reset.get() => Err(End::Reset),
+            Ok(0) if self.write_saw_reset.get() => Err(End::Reset),
             Ok(0) => Err(End::Orderly),
             Ok(count) => Ok(count),
             Err(_) => Err(End::Reset),
         };
         let count = count.map_err(|end| self.end = Some(end)).ok()?;
-        if self.read.is_empty() {
-            self.first = clock::now();
+        if self.buffer.is_empty() {
+            self.first_byte_at = clock::now();
         }
-        self.read.extend_from_slice(&chunk[..count]);
+        self.buffer.extend_from_slice(&chunk[..count]);
         Some(())
     }
 
     /// Reads a head; its message has no body yet. Nothing if the connection ends before.
     pub async fn head(&mut self) -> Option<Message> {
         let end = loop {
-            let found = self.read.windows(END_OF_HEAD.len()).position(|bytes| bytes == END_OF_HEAD);
+            let found = self.buffer.windows(END_OF_HEAD.len()).position(|bytes| bytes == END_OF_HEAD);
             if let Some(at) = found {
                 break at + END_OF_HEAD.len();
             }
-            self.more().await?;
+            self.read_more().await?;
         };
-        let rest = self.read.split_off(end);
-        let bytes = std::mem::replace(&mut self.read, rest);
+        let rest = self.buffer.split_off(end);
+        let bytes = std::mem::replace(&mut self.buffer, rest);
         let text = String::from_utf8_lossy(&bytes).into_owned();
         let mut lines = text.lines();
         let start = lines.next().unwrap_or_default().to_string();
@@ -156,49 +156,55 @@
             let (name, value) = line.split_once(':')?;
             Some((name.to_lowercase(), value.trim().to_string()))
         };
-        Some(Message { bytes, start, headers: lines.filter_map(header).collect(), first: self.first })
+        Some(Message {
+            bytes,
+            start,
+            headers: lines.filter_map(header).collect(),
+            first_byte_at: self.first_byte_at,
+        })
     }
 
     /// Reads some more of a body; nothing at its end. May be given up at any time.
     ///
     /// # Errors
     /// Where the connection ends before the body does.
-    pub async fn piece(&mut self, rest: &mut Rest) -> Result<Option<Piece>, Broken> {
+    pub async fn piece(&mut self, rest: &mut RemainingBody) -> Result<Option<Piece>, Truncated> {
         match *rest {
-            Rest::Over => Ok(None),
-            Rest::Length(left) => {
-                let raw = self.bytes(left).await?;
+            RemainingBody::Done => Ok(None),
+            RemainingBody::Length(left) => {
+                let raw = self.read_bytes(left).await?;
                 let left = left - raw.len() as u64;
-                *rest = if left == 0 { Rest::Over } else { Rest::Length(left) };
+                *rest = if left == 0 { RemainingBody::Done } else { RemainingBody::Length(left) };
                 Ok(Some(Piece { content: raw.len(), raw }))
             }
-            Rest::UntilEnd => match self.bytes(u64::MAX).await {
+            RemainingBody::UntilEnd => match self.read_bytes(u64::MAX).await {
                 Ok(raw) => Ok(Some(Piece { content: raw.len(), raw })),
-                Err(Broken) if self.end == Some(End::Reset) => Err(Broken),
-                Err(Broken) => {
-                    *rest = Rest::Over;
+                Err(Truncated) if self.end == Some(End::Reset) => Err(Truncated),
+                Err(Truncated) => {
+                    *rest = RemainingBody::Done;
                     Ok(None)
                 }
             },
-            Rest::Size => {
-                let raw = self.line().await?;
+            RemainingBody::Size => {
+                let raw = self.read_line().await?;
                 let text = String::from_utf8_lossy(&raw).into_owned();
                 let size = text.split(';').next().map(str::trim).unwrap_or_default();
-                let size = u64::from_str_radix(size, 16).map_err(|_| Broken)?;
-                *rest = if size == 0 { Rest::Trailers } else { Rest::Chunk(size + LINE_END) };
+                let size = u64::from_str_radix(size, 16).map_err(|_| Truncated)?;
+                *rest =
+                    if size == 0 { RemainingBody::Trailers } else { RemainingBody::Chunk(size + LINE_END) };
                 Ok(Some(Piece { raw, content: 0 }))
             }
-            Rest::Chunk(left) => {
-                let raw = self.bytes(left).await?;
+            RemainingBody::Chunk(left) => {
+                let raw = self.read_bytes(left).await?;
                 let after = left - raw.len() as u64;
-                *rest = if after == 0 { Rest::Size } else { Rest::Chunk(after) };
+                *rest = if after == 0 { RemainingBody::Size } else { RemainingBody::Chunk(after) };
                 let content = left.saturating_sub(LINE_END) - after.saturating_sub(LINE_END);
                 Ok(Some(Piece { raw, content: content as usize }))
             }
-            Rest::Trailers => {
-                let raw = self.line().await?;
+            RemainingBody::Trailers => {
+                let raw = self.read_line().await?;
                 if raw == b"\r\n" {
-                    *rest = Rest::Over;
+                    *rest = RemainingBody::Done;
                 }
                 Ok(Some(Piece { raw, content: 0 }))
             }
@@ -206,21 +212,21 @@
     }
 
     /// Some bytes, so many at the most.
-    async fn bytes(&mut self, most: u64) -> Result<Vec<u8>, Broken> {
-        if self.read.is_empty() {
-            self.more().await.ok_or(Broken)?;
+    async fn read_bytes(&mut self, most: u64) -> Result<Vec<u8>, Truncated> {
+        if self.buffer.is_empty() {
+            self.read_more().await.ok_or(Truncated)?;
         }
-        let count = most.min(self.read.len() as u64) as usize;
-        let rest = self.read.split_off(count);
-        Ok(std::mem::replace(&mut self.read, rest))
+        let count = most.min(self.buffer.len() as u64) as usize;
+        let rest = self.buffer.split_off(count);
+        Ok(std::mem::replace(&mut self.buffer, rest))
     }
 
-    async fn line(&mut self) -> Result<Vec<u8>, Broken> {
+    async fn read_line(&mut self) -> Result<Vec<u8>, Truncated> {
         loop {
-            if let Some(end) = self.read.iter().position(|byte| *byte == b'\n') {
-                return self.bytes(end as u64 + 1).await;
+            if let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
+                return self.read_bytes(end as u64 + 1).await;
             }
-            self.more().await.ok_or(Broken)?;
+            self.read_more().await.ok_or(Truncated)?;
         }
     }
 
@@ -240,8 +246,8 @@
 
     /// Did a reset follow the end of the other side's sending? Without anything sent since, that tells of bytes that it has not
     /// read.
-    pub async fn is_reset_behind_end(&self) -> bool {
-        sleep(RESET_BEHIND_END).await;
+    pub async fn is_reset_after_close(&self) -> bool {
+        sleep(RESET_AFTER_CLOSE_WAIT).await;
         self.stream.take_error().ok().flatten().is_some()
     }
 
@@ -249,7 +255,7 @@
     pub fn writer(&self) -> Option<Self> {
         let socket = socket2::SockRef::from(&self.stream).try_clone().ok()?;
         let mut writer = TcpStream::from_std(socket.into()).ok().map(Self::new)?;
-        writer.write_met_reset = self.write_met_reset.clone();
+        writer.write_saw_reset = self.write_saw_reset.clone();
         Some(writer)
     }
 
@@ -261,11 +267,11 @@
     /// Reads the body behind a head.
     pub async fn body(&mut self, message: &mut Message) -> Option<()> {
         let length: usize = message.header("content-length").map_or(Some(0), |length| length.parse().ok())?;
-        while self.read.len() < length {
-            self.more().await?;
+        while self.buffer.len() < length {
+            self.read_more().await?;
         }
-        let rest = self.read.split_off(length);
-        message.bytes.extend(std::mem::replace(&mut self.read, rest));
+        let rest = self.buffer.split_off(length);
+        message.bytes.extend(std::mem::replace(&mut self.buffer, rest));
         Some(())
     }
 
@@ -277,8 +283,8 @@
     }
 
     /// Waits until the other side has ended, whatever else it sends.
-    pub async fn ended(&mut self) {
-        while self.more().await.is_some() {}
+    pub async fn read_to_end(&mut self) {
+        while self.read_more().await.is_some() {}
     }
 
     /// # Errors
@@ -286,7 +292,7 @@
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         let written = self.stream.write_all(bytes).await;
         if written.as_ref().is_err_and(|error| error.kind() == io::ErrorKind::ConnectionReset) {
-            self.write_met_reset.set(true);
+            self.write_saw_reset.set(true);
         }
         written
     }
--- a/crates/pearfront-soak/src/http/tests.rs
+++ b/crates/pearfront-soak/src/http/tests.rs
@@ -10,7 +10,7 @@
 }
 
 /// What of an answer comes: as it was sent, how much of it is content, and whether it came to its end.
-fn pass(sent: &'static [u8], ends: bool) -> (Vec<u8>, usize, bool) {
+fn receive(sent: &'static [u8], ends: bool) -> (Vec<u8>, usize, bool) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async move {
         let (mut from, mut to) = pair().await;
@@ -21,7 +21,7 @@
             from.reset()
         }
         let head = to.head().await.unwrap();
-        let (mut raw, mut content, mut rest) = (head.bytes.clone(), 0, Rest::of_answer(&head));
+        let (mut raw, mut content, mut rest) = (head.bytes.clone(), 0, RemainingBody::of_answer(&head));
         loop {
             match to.piece(&mut rest).await {
                 Ok(Some(piece)) => {
@@ -29,7 +29,7 @@
                     content += piece.content;
                 }
                 Ok(None) => return (raw, content, true),
-                Err(Broken) => return (raw, content, false),
+                Err(Truncated) => return (raw, content, false),
             }
         }
     })
@@ -40,13 +40,13 @@
 #[test_case(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x=1\r\nfin\r\n1\r\ne\r\n0\r\nA: b\r\n\r\n", 4; "in chunks")]
 #[test_case(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nfine", 4; "to the end of its connection")]
 fn an_answer_is_passed_on_as_it_came(sent: &'static [u8], length: usize) {
-    assert_eq!(pass(sent, true), (sent.to_vec(), length, true));
+    assert_eq!(receive(sent, true), (sent.to_vec(), length, true));
 }
 
 #[test_case(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfine", true; "with a length")]
 #[test_case(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n", true; "in chunks")]
 fn an_answer_that_breaks_off_is_not_whole(sent: &'static [u8], ends: bool) {
-    let (raw, content, is_whole) = pass(sent, ends);
+    let (raw, content, is_whole) = receive(sent, ends);
     assert_eq!((raw, content, is_whole), (sent.to_vec(), 4, false));
 }
 
@@ -60,7 +60,7 @@
         server.reset();
         sleep(Duration::from_millis(20)).await;
         assert!(writer.write(b"GET / HTTP/1.1\r\n\r\n").await.is_err());
-        client.ended().await;
+        client.read_to_end().await;
         assert_eq!(client.end(), Some(End::Reset));
     });
 }
--- a/crates/pearfront-soak/src/judge.rs
+++ b/crates/pearfront-soak/src/judge.rs
@@ -9,18 +9,18 @@
 
 use crate::plan::Plan;
 use crate::record::Record;
-use history::Records;
+use history::History;
 
 /// A change counts as told so long after discovery had it and could be reached, whatever became of the calls.
-const TOLD: f64 = 6000.0;
+const LIST_PROPAGATION_MS: f64 = 6000.0;
 /// What is measured on both sides may differ by so much.
-const SLACK: f64 = 50.0;
+const SLACK_MS: f64 = 50.0;
 /// A process may be held up for so long between its clock and its write.
-const HELD_UP: f64 = 150.0;
+const DELAY_SLACK_MS: f64 = 150.0;
 /// A process serves so long after its start.
-const STARTS: f64 = 300.0;
+const STARTUP_MS: f64 = 300.0;
 /// Bounds on the time that discovery's word for a connection's end is late.
-const WATCH_GAP: f64 = 200.0;
+const WATCH_CLOSE_LAG_MS: f64 = 200.0;
 
 /// Which rule was broken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -41,7 +41,7 @@
 pub struct Break {
     pub rule: Rule,
     pub at: f64,
-    pub what: String,
+    pub description: String,
 }
 
 /// What came of a play.
@@ -61,40 +61,44 @@
 
 /// Holds a play's records against the rules.
 pub fn judge(plan: &Plan, records: &[Record]) -> Verdict {
-    let all = Records::new(plan, records);
+    let history = History::new(plan, records);
     let mut verdict = Verdict {
-        requests: all.requests.len(),
-        attempts: all.attempts.values().map(Vec::len).sum(),
-        served: all
+        requests: history.requests.len(),
+        attempts: history.attempts.values().map(Vec::len).sum(),
+        served: history
             .requests
             .values()
             .filter(|request| request.answer.is_some_and(|(_, it)| it == 200))
             .count(),
-        refused: all
+        refused: history
             .requests
             .values()
             .filter(|request| request.answer.is_some_and(|(_, it)| it != 200))
             .count(),
-        left: all.requests.values().filter(|request| request.left.is_some()).count(),
-        unserved: all.requests.values().filter(|request| all.is_unserved(request.node, request.at)).count(),
+        left: history.requests.values().filter(|request| request.disconnected_at.is_some()).count(),
+        unserved: history
+            .requests
+            .values()
+            .filter(|request| history.is_unserved(request.node, request.at))
+            .count(),
         shut_unread: 0,
         breaks: Vec::new(),
     };
-    let held_up = if plan.holds_up() { HELD_UP } else { 0.0 };
-    for (id, request) in &all.requests {
-        let attempts = all.attempts.get(id).map_or(&[][..], Vec::as_slice);
-        answers::lost(&all, id, request, held_up, &mut verdict);
-        answers::flow(&all, id, request, attempts, &mut verdict.breaks);
-        answers::left(&all, id, request, attempts, held_up, &mut verdict.breaks);
-        attempts::deadline(&all, id, request, attempts, &mut verdict.breaks);
-        attempts::duplicate(plan, id, request, attempts, &mut verdict.breaks);
-        attempts::drain(plan, &all, id, request, attempts, &mut verdict.breaks);
+    let delay_slack = if plan.has_delays() { DELAY_SLACK_MS } else { 0.0 };
+    for (id, request) in &history.requests {
+        let attempts = history.attempts.get(id).map_or(&[][..], Vec::as_slice);
+        answers::check_answered(&history, id, request, delay_slack, &mut verdict);
+        answers::check_streamed_answer(&history, id, request, attempts, &mut verdict.breaks);
+        answers::check_after_disconnect(&history, id, request, attempts, delay_slack, &mut verdict.breaks);
+        attempts::check_deadline(&history, id, request, attempts, &mut verdict.breaks);
+        attempts::check_duplicates(plan, id, request, attempts, &mut verdict.breaks);
+        attempts::check_drain(plan, &history, id, request, attempts, &mut verdict.breaks);
     }
-    budgets::budget(&all, &mut verdict.breaks);
-    budgets::failback(plan, &all, &mut verdict.breaks);
-    answers::stalled(&all, &mut verdict.breaks);
-    operators::operators(&all, &mut verdict.breaks);
-    verdict.breaks.extend(all.crashes);
+    budgets::check_retry_budget(&history, &mut verdict.breaks);
+    budgets::check_cold_start(plan, &history, &mut verdict.breaks);
+    answers::check_stalled_clients(&history, &mut verdict.breaks);
+    operators::check_operators(&history, &mut verdict.breaks);
+    verdict.breaks.extend(history.crashes);
     verdict.breaks.sort_by(|a, b| a.at.total_cmp(&b.at));
     verdict
 }
--- a/crates/pearfront-soak/src/judge/budgets.rs
+++ b/crates/pearfront-soak/src/judge/budgets.rs
@@ -1,19 +1,21 @@
 //! How many attempts there may be: further ones of a node, and those on a server that has come back cold.
 
-use super::history::Records;
-use super::{Break, HELD_UP, Rule, SLACK};
-use crate::client::requests_at_a_time;
-use crate::node_file::{BUDGET_FREE, BUDGET_RATIO, BUDGET_SPAN, COLD, COLD_FROM, OVERLOAD_FOR, TIP_MULTIPLE};
+use super::history::History;
+use super::{Break, DELAY_SLACK_MS, Rule, SLACK_MS};
+use crate::client::mean_requests_per_arrival;
+use crate::node_file::{
+    BUDGET_FREE, BUDGET_RATIO, BUDGET_SPAN_MS, COLD_FROM, COLD_MS, OVERLOAD_FOR_MS, TIP_MULTIPLE,
+};
 use crate::plan::Plan;
 use std::collections::BTreeMap;
 
 /// Further attempts of a node, in each span that ends with one.
-pub(super) fn budget(all: &Records, breaks: &mut Vec<Break>) {
+pub(super) fn check_retry_budget(history: &History, breaks: &mut Vec<Break>) {
     let mut further: BTreeMap<usize, Vec<f64>> = BTreeMap::new();
     let mut taken: BTreeMap<usize, Vec<f64>> = BTreeMap::new();
-    for (id, request) in &all.requests {
+    for (id, request) in &history.requests {
         taken.entry(request.node).or_default().push(request.at);
-        let attempts = all.attempts.get(id).map_or(&[][..], Vec::as_slice);
+        let attempts = history.attempts.get(id).map_or(&[][..], Vec::as_slice);
         further.entry(request.node).or_default().extend(attempts.iter().skip(1).map(|attempt| attempt.at));
     }
     for (node, times) in &mut further {
@@ -22,19 +24,20 @@
             times.iter().filter(|at| (from..=to).contains(*at)).count() as f64
         };
         for at in times.iter() {
-            let from = at - BUDGET_SPAN;
-            let lives = all
-                .lives
+            let from = at - BUDGET_SPAN_MS;
+            let lifetimes = history
+                .lifetimes
                 .iter()
-                .filter(|life| life.node == *node && life.start < *at && life.end > from)
+                .filter(|lifetime| lifetime.node == *node && lifetime.start < *at && lifetime.end > from)
                 .count();
-            let allowed =
-                BUDGET_FREE * lives.max(1) as f64 + BUDGET_RATIO * within(&taken[node], from - HELD_UP, *at);
-            let used = within(times, from + SLACK, *at);
+            let allowed = BUDGET_FREE * lifetimes.max(1) as f64
+                + BUDGET_RATIO * within(&taken[node], from - DELAY_SLACK_MS, *at);
+            let used = within(times, from + SLACK_MS, *at);
             if used > allowed {
-                let what =
-                    format!("node {node}: {used} further attempts in {BUDGET_SPAN} ms, {allowed:.1} allowed");
-                breaks.push(Break { rule: Rule::Budget, at: *at, what });
+                let description = format!(
+                    "node {node}: {used} further attempts in {BUDGET_SPAN_MS} ms, {allowed:.1} allowed"
+                );
+                breaks.push(Break { rule: Rule::Budget, at: *at, description });
                 return;
             }
         }
@@ -43,33 +46,34 @@
 
 /// Attempts on a server that has come back cold, from all nodes together. Its warm capacity is taken to be three times what
 /// comes to a server in the mean.
-pub(super) fn failback(plan: &Plan, all: &Records, breaks: &mut Vec<Break>) {
+pub(super) fn check_cold_start(plan: &Plan, history: &History, breaks: &mut Vec<Break>) {
     let fleet = &plan.fleet;
-    let comes = fleet.rate * requests_at_a_time() * fleet.nodes as f64;
-    let capacity = 3.0 * comes / fleet.servers as f64 / 1000.0;
-    for (server, start) in &all.starts {
-        let mut times: Vec<f64> = all
+    let arrivals = fleet.rate * mean_requests_per_arrival() * fleet.nodes as f64;
+    let capacity = 3.0 * arrivals / fleet.servers as f64 / 1000.0;
+    for (server, start) in &history.server_starts {
+        let mut times: Vec<f64> = history
             .attempts
             .values()
             .flatten()
             .filter(|attempt| attempt.server == *server)
             .map(|attempt| attempt.at)
             .collect();
-        times.retain(|at| (*start..start + COLD).contains(at));
+        times.retain(|at| (*start..start + COLD_MS).contains(at));
         times.sort_by(f64::total_cmp);
         for at in &times {
-            let grown = (COLD_FROM + (1.0 - COLD_FROM) * (at - start) / COLD).min(1.0);
-            let expected = TIP_MULTIPLE * capacity * grown * OVERLOAD_FOR;
+            let warm_share = (COLD_FROM + (1.0 - COLD_FROM) * (at - start) / COLD_MS).min(1.0);
+            let expected = TIP_MULTIPLE * capacity * warm_share * OVERLOAD_FOR_MS;
             let spread =
                 if expected < 30.0 { 3.0 * expected.sqrt() + 3.0 } else { 2.0 * expected.sqrt() + 2.0 };
-            let got = times.iter().filter(|other| (at - OVERLOAD_FOR..=*at).contains(*other)).count() as f64;
-            if got > expected + spread {
-                let what = format!(
-                    "server {server}, cold for {:.0} ms: {got} attempts in {OVERLOAD_FOR} ms, {:.1} allowed",
+            let count =
+                times.iter().filter(|other| (at - OVERLOAD_FOR_MS..=*at).contains(*other)).count() as f64;
+            if count > expected + spread {
+                let description = format!(
+                    "server {server}, cold for {:.0} ms: {count} attempts in {OVERLOAD_FOR_MS} ms, {:.1} allowed",
                     at - start,
                     expected + spread
                 );
-                breaks.push(Break { rule: Rule::Failback, at: *at, what });
+                breaks.push(Break { rule: Rule::Failback, at: *at, description });
                 break;
             }
         }
--- a/crates/pearfront-soak/src/judge/history.rs
+++ b/crates/pearfront-soak/src/judge/history.rs
@@ -1,8 +1,8 @@
 //! What happened in a play, put together from the records of clients, servers, discovery and the relay. Times are ms.
 
-use super::{Break, Rule, SLACK, STARTS, TOLD, WATCH_GAP};
-use crate::plan::{Fleet, KILL_AFTER, Plan};
-use crate::record::{AnswerEnd, DiscoveryMode, Effect, Line, OperatorCall, Record, ReplyEnd, Standing};
+use super::{Break, LIST_PROPAGATION_MS, Rule, SLACK_MS, STARTUP_MS, WATCH_CLOSE_LAG_MS};
+use crate::plan::{Fleet, KILL_AFTER_MS, Plan};
+use crate::record::{AnswerEnd, DiscoveryMode, Effect, Lifecycle, OperatorCall, Pipeline, Record, ReplyEnd};
 use std::collections::{BTreeMap, HashMap};
 
 pub(super) struct Request {
@@ -12,21 +12,21 @@
     pub(super) began: f64,
     pub(super) at: f64,
     pub(super) deadline: f64,
-    pub(super) left: Option<f64>,
+    pub(super) disconnected_at: Option<f64>,
     pub(super) answer: Option<(f64, u16)>,
     pub(super) unanswered: Option<Unanswered>,
     /// On a new connection.
-    pub(super) fresh: bool,
+    pub(super) new_connection: bool,
     /// How an answer ended that is too large to be kept whole.
     pub(super) ended: Option<EndedAnswer>,
     /// The requests that lie on its connection with it.
-    pub(super) line: Option<Line>,
+    pub(super) pipeline: Option<Pipeline>,
 }
 
 impl Request {
     /// Has its connection brought neither an answer nor its end by then, and its client not left?
     pub(super) fn is_open(&self, at: f64) -> bool {
-        let ends = [self.left, self.answer.map(|(at, _)| at), self.unanswered.map(|end| end.at)];
+        let ends = [self.disconnected_at, self.answer.map(|(at, _)| at), self.unanswered.map(|end| end.at)];
         ends.into_iter().flatten().all(|end| end > at)
     }
 }
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Unanswered {
     pub(super) at: f64,
-    pub(super) crossed: bool,
+    pub(super) close_raced: bool,
     pub(super) reset: bool,
 }
 
@@ -59,8 +59,8 @@
 pub(super) struct Attempt {
     pub(super) server: usize,
     pub(super) at: f64,
-    pub(super) told: f64,
-    pub(super) whole: Option<f64>,
+    pub(super) deadline_sent: f64,
+    pub(super) received_at: Option<f64>,
     pub(super) reply: Option<(f64, bool)>,
     pub(super) ended: Option<EndedReply>,
 }
@@ -68,13 +68,13 @@
 impl Attempt {
     /// Could its server have begun the request, as far as the node could know at that time?
     pub(super) fn may_have_run(&self, now: f64) -> bool {
-        self.whole.is_some_and(|whole| whole <= now)
+        self.received_at.is_some_and(|received_at| received_at <= now)
             && !self.reply.is_some_and(|(at, never_ran)| never_ran && at <= now)
     }
 }
 
 /// An operator's call, and the status of its answer, if one came in time.
-pub(super) struct CallOfOperator {
+pub(super) struct OperatorRequest {
     pub(super) node: usize,
     pub(super) process: u32,
     pub(super) call: OperatorCall,
@@ -102,133 +102,154 @@
 pub(super) struct Kill {
     node: usize,
     at: f64,
-    told: Option<f64>,
+    term_at: Option<f64>,
 }
 
 /// A process of a node.
-pub(super) struct Life {
+pub(super) struct ProcessLifetime {
     pub(super) node: usize,
-    pub(super) caller: usize,
+    pub(super) subscriber: usize,
     pub(super) process: u32,
     pub(super) start: f64,
     pub(super) end: f64,
 }
 
 #[derive(Default)]
-pub(super) struct Records {
+pub(super) struct History {
     pub(super) requests: HashMap<String, Request>,
     pub(super) attempts: HashMap<String, Vec<Attempt>>,
     /// The requests of each line by the first of them.
-    pub(super) lines: HashMap<String, Vec<String>>,
-    pub(super) lives: Vec<Life>,
+    pub(super) pipelines: HashMap<String, Vec<String>>,
+    pub(super) lifetimes: Vec<ProcessLifetime>,
     pub(super) kills: Vec<Kill>,
     /// When processes were told to end.
-    pub(super) terms: Vec<(u32, f64)>,
+    pub(super) sigterms: Vec<(u32, f64)>,
     /// Nodes whose descriptors clients fill, from when to when.
-    pub(super) crowds: Vec<(usize, f64, f64)>,
-    pub(super) stops: Vec<(usize, f64, f64)>,
-    pub(super) changes: Vec<(u64, usize, Standing, f64)>,
+    pub(super) descriptor_fills: Vec<(usize, f64, f64)>,
+    pub(super) pauses: Vec<(usize, f64, f64)>,
+    pub(super) changes: Vec<(u64, usize, Lifecycle, f64)>,
     pub(super) modes: Vec<(DiscoveryMode, f64)>,
-    pub(super) told: BTreeMap<usize, Vec<(u64, f64)>>,
+    pub(super) lists_sent: BTreeMap<usize, Vec<(u64, f64)>>,
     pub(super) watches: BTreeMap<usize, Vec<(bool, f64)>>,
-    pub(super) graces: Vec<(usize, f64, f64)>,
-    pub(super) starts: Vec<(usize, f64)>,
+    pub(super) drain_graces: Vec<(usize, f64, f64)>,
+    pub(super) server_starts: Vec<(usize, f64)>,
     pub(super) stalled: Vec<(usize, f64, Option<f64>)>,
-    pub(super) operator_calls: Vec<CallOfOperator>,
+    pub(super) operator_calls: Vec<OperatorRequest>,
     pub(super) up_answers: Vec<UpAnswer>,
     pub(super) idle: Vec<IdleConnections>,
     pub(super) crashes: Vec<Break>,
     /// So long after it was told to end a process has ended, ms.
-    pub(super) ends_within: f64,
+    pub(super) termination_ms: f64,
     pub(super) end: f64,
 }
 
 /// How long a crowd takes to go, ms.
-const CROWD_GOES: f64 = 3500.0;
+const DESCRIPTORS_RECOVER_MS: f64 = 3500.0;
 
-impl Records {
+impl History {
     pub(super) fn new(plan: &Plan, records: &[Record]) -> Self {
-        let ends_within = plan.fleet.deadlines.1 + KILL_AFTER - SLACK;
-        let mut all = Self { ends_within, end: records.last().map_or(0.0, Record::at), ..Self::default() };
+        let termination_ms = plan.fleet.deadlines.1 + KILL_AFTER_MS - SLACK_MS;
+        let mut history =
+            Self { termination_ms, end: records.last().map_or(0.0, Record::at), ..Self::default() };
         // What the relay saw of one attempt comes in order; what different processes saw is sorted by time.
-        records.iter().for_each(|record| all.take(record));
-        all
+        records.iter().for_each(|record| history.add(record));
+        history
     }
 
-    pub(super) fn take(&mut self, record: &Record) {
+    pub(super) fn add(&mut self, record: &Record) {
         match record {
-            Record::Request { id, node, effect, began, at, deadline, fresh, line } => {
+            Record::Request { id, node, effect, began, at, deadline, new_connection, pipeline } => {
                 let request = Request {
                     node: *node,
                     effect: *effect,
                     began: *began,
                     at: *at,
                     deadline: *deadline,
-                    left: None,
+                    disconnected_at: None,
                     answer: None,
                     unanswered: None,
-                    fresh: *fresh,
+                    new_connection: *new_connection,
                     ended: None,
-                    line: line.clone(),
+                    pipeline: pipeline.clone(),
                 };
-                if let Some(line) = line {
-                    self.lines.entry(line.first.clone()).or_default().push(id.clone());
+                if let Some(pipeline) = pipeline {
+                    self.pipelines.entry(pipeline.first.clone()).or_default().push(id.clone());
                 }
                 self.requests.insert(id.clone(), request);
             }
-            Record::Left { id, at } => self.of(id, |request| request.left = Some(*at)),
-            Record::Answer { id, at, status } => self.of(id, |request| request.answer = Some((*at, *status))),
-            Record::Unanswered { id, at, crossed, reset } => {
-                let unanswered = Unanswered { at: *at, crossed: *crossed, reset: *reset };
-                self.of(id, |request| request.unanswered = Some(unanswered));
+            Record::Disconnected { id, at } => {
+                self.update_request(id, |request| request.disconnected_at = Some(*at))
             }
-            Record::Attempt { id, server, at, told } => {
-                let attempt =
-                    Attempt { server: *server, at: *at, told: *told, whole: None, reply: None, ended: None };
+            Record::Answer { id, at, status } => {
+                self.update_request(id, |request| request.answer = Some((*at, *status)))
+            }
+            Record::Unanswered { id, at, close_raced, reset } => {
+                let unanswered = Unanswered { at: *at, close_raced: *close_raced, reset: *reset };
+                self.update_request(id, |request| request.unanswered = Some(unanswered));
+            }
+            Record::Attempt { id, server, at, deadline_sent } => {
+                let attempt = Attempt {
+                    server: *server,
+                    at: *at,
+                    deadline_sent: *deadline_sent,
+                    received_at: None,
+                    reply: None,
+                    ended: None,
+                };
                 self.attempts.entry(id.clone()).or_default().push(attempt);
             }
             Record::AnswerEnded { id, at, end, last, slow } => {
                 let ended = EndedAnswer { at: *at, end: *end, last: *last, slow: *slow };
-                self.of(id, |request| request.ended = Some(ended));
+                self.update_request(id, |request| request.ended = Some(ended));
             }
             Record::ReplyEnded { id, server, at, end, last } => {
                 let ended = EndedReply { at: *at, end: *end, last: *last };
-                self.last(id, *server, |attempt| attempt.ended = Some(ended));
+                self.update_last_attempt(id, *server, |attempt| attempt.ended = Some(ended));
+            }
+            Record::FillDescriptors { node, from, to } => self.descriptor_fills.push((*node, *from, *to)),
+            Record::Term { process, at, .. } => self.sigterms.push((*process, *at)),
+            Record::RequestComplete { id, server, at } => {
+                self.update_last_attempt(id, *server, |attempt| attempt.received_at = Some(*at))
             }
-            Record::Crowd { node, from, to } => self.crowds.push((*node, *from, *to)),
-            Record::Term { process, at, .. } => self.terms.push((*process, *at)),
-            Record::Whole { id, server, at } => self.last(id, *server, |attempt| attempt.whole = Some(*at)),
             Record::Reply { id, server, at, never_ran } => {
-                self.last(id, *server, |attempt| attempt.reply = Some((*at, *never_ran)));
+                self.update_last_attempt(id, *server, |attempt| attempt.reply = Some((*at, *never_ran)));
+            }
+            Record::ListSent { subscriber, version, at, .. } => {
+                self.lists_sent.entry(*subscriber).or_default().push((*version, *at))
             }
-            Record::Told { caller, version, at, .. } => {
-                self.told.entry(*caller).or_default().push((*version, *at))
+            Record::Watch { subscriber, open, at } => {
+                self.watches.entry(*subscriber).or_default().push((*open, *at))
             }
-            Record::Watch { caller, open, at } => self.watches.entry(*caller).or_default().push((*open, *at)),
-            Record::Change { version, server, standing, at } => {
-                self.changes.push((*version, *server, *standing, *at));
+            Record::Change { version, server, lifecycle, at } => {
+                self.changes.push((*version, *server, *lifecycle, *at));
             }
             Record::Discovery { mode, at } => self.modes.push((*mode, *at)),
-            Record::Start { node, process, caller, at } => {
-                let life =
-                    Life { node: *node, caller: *caller, process: *process, start: *at, end: f64::INFINITY };
-                self.lives.push(life);
+            Record::Start { node, process, subscriber, at } => {
+                let lifetime = ProcessLifetime {
+                    node: *node,
+                    subscriber: *subscriber,
+                    process: *process,
+                    start: *at,
+                    end: f64::INFINITY,
+                };
+                self.lifetimes.push(lifetime);
             }
             Record::Exit { process, at, by_itself, code, node } => {
-                self.exit(*node, *process, *at, *by_itself, *code)
+                self.add_exit(*node, *process, *at, *by_itself, *code)
             }
             Record::Kill { node, process, at } => {
-                let told = self.terms.iter().find(|(told, _)| told == process).map(|(_, at)| *at);
-                self.kills.push(Kill { node: *node, at: *at, told });
-                self.end_life(*process, *at);
+                let term_at =
+                    self.sigterms.iter().find(|(terminated, _)| terminated == process).map(|(_, at)| *at);
+                self.kills.push(Kill { node: *node, at: *at, term_at });
+                self.end_lifetime(*process, *at);
             }
-            Record::Stop { node, from, to } => self.stops.push((*node, *from, *to)),
-            Record::Reloaded { node, grace, at } => self.graces.push((*node, *grace, *at)),
-            Record::ServerStart { server, at } => self.starts.push((*server, *at)),
+            Record::Stop { node, from, to } => self.pauses.push((*node, *from, *to)),
+            Record::Reloaded { node, grace, at } => self.drain_graces.push((*node, *grace, *at)),
+            Record::ServerStart { server, at } => self.server_starts.push((*server, *at)),
             Record::Stalled { node, at, ended } => self.stalled.push((*node, *at, *ended)),
             Record::Operator { node, process, call, at, status } => {
                 let call =
-                    CallOfOperator { node: *node, process: *process, call: *call, at: *at, status: *status };
+                    OperatorRequest { node: *node, process: *process, call: *call, at: *at, status: *status };
                 self.operator_calls.push(call);
             }
             Record::Idle { node, process, at, open } => {
@@ -241,24 +262,31 @@
         }
     }
 
-    pub(super) fn exit(&mut self, node: usize, process: u32, at: f64, by_itself: bool, code: Option<i32>) {
-        self.end_life(process, at);
+    pub(super) fn add_exit(
+        &mut self,
+        node: usize,
+        process: u32,
+        at: f64,
+        by_itself: bool,
+        code: Option<i32>,
+    ) {
+        self.end_lifetime(process, at);
         if by_itself {
-            let what = format!("process {process} of node {node} ended by itself, code {code:?}");
-            self.crashes.push(Break { rule: Rule::Crash, at, what });
+            let description = format!("process {process} of node {node} ended by itself, code {code:?}");
+            self.crashes.push(Break { rule: Rule::Crash, at, description });
         }
     }
 
-    pub(super) fn end_life(&mut self, process: u32, at: f64) {
-        let lives = self.lives.iter_mut().filter(|life| life.process == process);
-        lives.for_each(|life| life.end = life.end.min(at));
+    pub(super) fn end_lifetime(&mut self, process: u32, at: f64) {
+        let lifetimes = self.lifetimes.iter_mut().filter(|lifetime| lifetime.process == process);
+        lifetimes.for_each(|lifetime| lifetime.end = lifetime.end.min(at));
     }
 
-    pub(super) fn of(&mut self, id: &str, change: impl FnOnce(&mut Request)) {
+    pub(super) fn update_request(&mut self, id: &str, change: impl FnOnce(&mut Request)) {
         self.requests.get_mut(id).map(change);
     }
 
-    pub(super) fn last(&mut self, id: &str, server: usize, change: impl FnOnce(&mut Attempt)) {
+    pub(super) fn update_last_attempt(&mut self, id: &str, server: usize, change: impl FnOnce(&mut Attempt)) {
         let attempts = self.attempts.get_mut(id).into_iter().flatten();
         attempts.filter(|attempt| attempt.server == server).last().map(change);
     }
@@ -266,47 +294,48 @@
     /// Is it known, or possible, that a node has read the request? Of those that came in one write if any of them was begun: but
     /// kernels reset a connection for what lies unread alone, and answers come in order, so where it was reset only if its turn may
     /// have come.
-    pub(super) fn is_read(&self, id: &str, request: &Request, reset: bool) -> bool {
-        let line = request.line.as_ref().filter(|line| line.together);
-        let together = line.and_then(|line| self.lines.get(&line.first)).map_or(&[][..], Vec::as_slice);
+    pub(super) fn may_have_been_read(&self, id: &str, request: &Request, reset: bool) -> bool {
+        let pipeline = request.pipeline.as_ref().filter(|pipeline| pipeline.single_write);
+        let single_write =
+            pipeline.and_then(|pipeline| self.pipelines.get(&pipeline.first)).map_or(&[][..], Vec::as_slice);
         let is_begun = |id: &String| {
             let is_answered = self.requests.get(id).is_some_and(|request| request.answer.is_some());
             is_answered || self.attempts.contains_key(id)
         };
         let may_be_read =
-            if reset { self.may_have_its_turn(id, together) } else { together.iter().any(is_begun) };
+            if reset { self.may_be_next(id, single_write) } else { single_write.iter().any(is_begun) };
         self.attempts.contains_key(id) || may_be_read
     }
 
     /// May it be the first of these requests, which came in one write, that has no answer?
-    fn may_have_its_turn(&self, id: &str, together: &[String]) -> bool {
-        let Some(place) = together.iter().position(|other| other == id) else { return false };
+    fn may_be_next(&self, id: &str, single_write: &[String]) -> bool {
+        let Some(place) = single_write.iter().position(|other| other == id) else { return false };
         let is_whole = |request: &Request| {
-            request.answer.is_some() && request.ended.is_none_or(|ended| ended.end == AnswerEnd::Whole)
+            request.answer.is_some() && request.ended.is_none_or(|ended| ended.end == AnswerEnd::Complete)
         };
         let is_answered = |id: &String| self.requests.get(id).is_some_and(is_whole);
-        place.checked_sub(1).is_none_or(|ahead| is_answered(&together[ahead]))
+        place.checked_sub(1).is_none_or(|ahead| is_answered(&single_write[ahead]))
     }
 
     /// Is a request behind this one on its connection in its time then?
-    pub(super) fn has_due_behind(&self, id: &str, at: f64) -> bool {
-        let others = self.lines.get(id).into_iter().flatten().filter(|other| *other != id);
+    pub(super) fn has_pending_behind(&self, id: &str, at: f64) -> bool {
+        let others = self.pipelines.get(id).into_iter().flatten().filter(|other| *other != id);
         others
             .filter_map(|other| self.requests.get(other))
-            .any(|behind| (behind.at..=behind.at + behind.deadline + SLACK).contains(&at))
+            .any(|behind| (behind.at..=behind.at + behind.deadline + SLACK_MS).contains(&at))
     }
 
     /// How long the node stood still within a span.
-    pub(super) fn stopped(&self, node: usize, from: f64, to: f64) -> f64 {
+    pub(super) fn paused_ms(&self, node: usize, from: f64, to: f64) -> f64 {
         let within = |(_, begun, ended): &(usize, f64, f64)| (ended.min(to) - begun.max(from)).max(0.0);
-        self.stops.iter().filter(|(stopped, ..)| *stopped == node).map(within).sum()
+        self.pauses.iter().filter(|(paused, ..)| *paused == node).map(within).sum()
     }
 
     /// When a node that may stand still meanwhile has run for so long from then on.
-    pub(super) fn after_running(&self, node: usize, from: f64, span: f64) -> f64 {
+    pub(super) fn due_while_running(&self, node: usize, from: f64, span: f64) -> f64 {
         let mut due = from + span;
-        for (stopped, begun, ended) in &self.stops {
-            if *stopped == node && *ended > from && *begun < due {
+        for (paused, begun, ended) in &self.pauses {
+            if *paused == node && *ended > from && *begun < due {
                 due += ended - begun.max(from);
             }
         }
@@ -316,32 +345,36 @@
     /// Was no process of the node there to take what came at that time? A listener that outlives its processes lets clients
     /// connect all the same, and the next process can't know how long they have waited.
     pub(super) fn is_unserved(&self, node: usize, at: f64) -> bool {
-        let serves = |life: &&Life| life.node == node && (life.start + STARTS..life.end).contains(&at);
-        self.lives.iter().find(serves).is_none()
+        let serves = |lifetime: &&ProcessLifetime| {
+            lifetime.node == node && (lifetime.start + STARTUP_MS..lifetime.end).contains(&at)
+        };
+        self.lifetimes.iter().find(serves).is_none()
     }
 
     /// Did the process run through all of that time?
-    pub(super) fn runs(&self, process: u32, from: f64, to: f64) -> bool {
-        self.lives.iter().any(|life| life.process == process && life.start <= from && to <= life.end)
+    pub(super) fn is_running(&self, process: u32, from: f64, to: f64) -> bool {
+        self.lifetimes
+            .iter()
+            .any(|lifetime| lifetime.process == process && lifetime.start <= from && to <= lifetime.end)
     }
 
     /// Had the process been told to end by then?
-    pub(super) fn told_to_end(&self, process: u32, by: f64) -> bool {
-        self.terms.iter().any(|(told, at)| *told == process && *at <= by)
+    pub(super) fn had_sigterm(&self, process: u32, by: f64) -> bool {
+        self.sigterms.iter().any(|(terminated, at)| *terminated == process && *at <= by)
     }
 
     /// Was no other process of the node there?
-    pub(super) fn is_alone(&self, node: usize, process: u32, at: f64) -> bool {
-        let other = |life: &&Life| life.node == node && life.process != process;
-        !self.lives.iter().filter(other).any(|life| (life.start..=life.end).contains(&at))
+    pub(super) fn is_only_process(&self, node: usize, process: u32, at: f64) -> bool {
+        let other = |lifetime: &&ProcessLifetime| lifetime.node == node && lifetime.process != process;
+        !self.lifetimes.iter().filter(other).any(|lifetime| (lifetime.start..=lifetime.end).contains(&at))
     }
 
     /// Was a process of the node killed in that time, of which nothing more can be asked? One that was told to end, and had
     /// all its time since, has to have answered by then.
     pub(super) fn was_killed(&self, node: usize, from: f64, to: f64) -> bool {
         self.kills.iter().any(|kill| {
-            let had_time = kill.told.is_some_and(|told| {
-                kill.at - told >= self.ends_within && self.stopped(node, told, kill.at) == 0.0
+            let had_time = kill.term_at.is_some_and(|term_at| {
+                kill.at - term_at >= self.termination_ms && self.paused_ms(node, term_at, kill.at) == 0.0
             });
             kill.node == node && (from..=to).contains(&kill.at) && !had_time
         })
@@ -349,13 +382,13 @@
 
     /// Did a process of the node end in that time, whatever ended it?
     pub(super) fn has_ended(&self, node: usize, from: f64, to: f64) -> bool {
-        self.lives.iter().any(|life| life.node == node && (from..=to).contains(&life.end))
+        self.lifetimes.iter().any(|lifetime| lifetime.node == node && (from..=to).contains(&lifetime.end))
     }
 
     /// Do clients fill its descriptors, or have they just?
-    pub(super) fn is_crowded(&self, node: usize, at: f64) -> bool {
-        let within = |(_, from, to): &(usize, f64, f64)| (*from..to + CROWD_GOES).contains(&at);
-        self.crowds.iter().any(|crowd| crowd.0 == node && within(crowd))
+    pub(super) fn has_full_descriptors(&self, node: usize, at: f64) -> bool {
+        let within = |(_, from, to): &(usize, f64, f64)| (*from..to + DESCRIPTORS_RECOVER_MS).contains(&at);
+        self.descriptor_fills.iter().any(|fill| fill.0 == node && within(fill))
     }
 
     /// From when on, at the latest, a time `from` on has been followed by a span in which discovery could be reached.
@@ -377,38 +410,39 @@
     }
 
     /// When a change counts as told to a process.
-    pub(super) fn told_at(&self, life: &Life, version: u64, at: f64, pushed: bool) -> f64 {
-        let written = self.told.get(&life.caller).into_iter().flatten();
+    pub(super) fn known_at(&self, lifetime: &ProcessLifetime, version: u64, at: f64, pushed: bool) -> f64 {
+        let written = self.lists_sent.get(&lifetime.subscriber).into_iter().flatten();
         let written =
-            written.filter(|(told, _)| *told >= version).map(|(_, at)| *at).fold(f64::INFINITY, f64::min);
-        let latest = self.reachable_for(at.max(life.start), TOLD);
-        let unwatched = if pushed { self.unwatched(life, at) } else { f64::INFINITY };
-        written.min(latest).min(unwatched)
+            written.filter(|(sent, _)| *sent >= version).map(|(_, at)| *at).fold(f64::INFINITY, f64::min);
+        let latest = self.reachable_for(at.max(lifetime.start), LIST_PROPAGATION_MS);
+        let first_watch_gap = if pushed { self.first_watch_gap(lifetime, at) } else { f64::INFINITY };
+        written.min(latest).min(first_watch_gap)
     }
 
     /// The first time from then on at which the process has no connection to a discovery that can be reached.
-    pub(super) fn unwatched(&self, life: &Life, at: f64) -> f64 {
-        let mut opened = 0;
-        let mut none_since = Some(life.start);
-        for (open, when) in self.watches.get(&life.caller).into_iter().flatten() {
+    pub(super) fn first_watch_gap(&self, lifetime: &ProcessLifetime, at: f64) -> f64 {
+        let mut open_connections = 0;
+        let mut none_since = Some(lifetime.start);
+        for (open, when) in self.watches.get(&lifetime.subscriber).into_iter().flatten() {
             if let Some(since) = none_since {
-                let first = self.reachable_for(since.max(at), WATCH_GAP);
+                let first = self.reachable_for(since.max(at), WATCH_CLOSE_LAG_MS);
                 if first < *when {
                     return first;
                 }
             }
-            opened += if *open { 1 } else { -1 };
-            none_since = (opened == 0).then_some(*when);
+            open_connections += if *open { 1 } else { -1 };
+            none_since = (open_connections == 0).then_some(*when);
         }
-        none_since.map_or(f64::INFINITY, |since| self.reachable_for(since.max(at), WATCH_GAP))
+        none_since.map_or(f64::INFINITY, |since| self.reachable_for(since.max(at), WATCH_CLOSE_LAG_MS))
     }
 
     /// The grace that binds a node at that time: a change of it is in force within a second.
-    pub(super) fn grace(&self, fleet: &Fleet, node: usize, at: f64) -> f64 {
-        let own: Vec<_> = self.graces.iter().filter(|(of, _, when)| *of == node && *when <= at).collect();
+    pub(super) fn drain_grace(&self, fleet: &Fleet, node: usize, at: f64) -> f64 {
+        let own: Vec<_> =
+            self.drain_graces.iter().filter(|(reloaded, _, when)| *reloaded == node && *when <= at).collect();
         let recent = own.iter().rev().take_while(|(_, _, when)| at - when < 1000.0);
         let before = own.iter().rev().find(|(_, _, when)| at - when >= 1000.0);
-        let before = before.map_or(fleet.grace, |(_, grace, _)| *grace);
-        recent.map(|(_, grace, _)| *grace).fold(before, f64::max)
+        let before = before.map_or(fleet.grace, |(_, value, _)| *value);
+        recent.map(|(_, value, _)| *value).fold(before, f64::max)
     }
 }
--- a/crates/pearfront-soak/src/judge/tests.rs
+++ b/crates/pearfront-soak/src/judge/tests.rs
@@ -1,8 +1,8 @@
 //! The rules on the end of an answer that is passed on before it is whole.
 
 use super::*;
-use crate::plan::KILL_AFTER;
-use crate::record::{AnswerEnd, Effect, Line, OperatorCall, ReplyEnd};
+use crate::plan::KILL_AFTER_MS;
+use crate::record::{AnswerEnd, Effect, OperatorCall, Pipeline, ReplyEnd};
 use test_case::test_case;
 
 const ID: &str = "a request";
@@ -13,7 +13,7 @@
     let (reply_end, reply_at, reply_last) = reply;
     let id = || ID.to_string();
     let records = [
-        Record::Start { node: 0, process: 1, caller: 0, at: -1000.0 },
+        Record::Start { node: 0, process: 1, subscriber: 0, at: -1000.0 },
         Record::Request {
             id: id(),
             node: 0,
@@ -21,10 +21,10 @@
             began: 100.0,
             at: 100.0,
             deadline: 600.0,
-            fresh: true,
-            line: None,
+            new_connection: true,
+            pipeline: None,
         },
-        Record::Attempt { id: id(), server: 0, at: 110.0, told: 590.0 },
+        Record::Attempt { id: id(), server: 0, at: 110.0, deadline_sent: 590.0 },
         Record::Answer { id: id(), at: 200.0, status: 200 },
         Record::ReplyEnded { id: id(), server: 0, at: reply_at, end: reply_end, last: reply_last },
         Record::AnswerEnded { id: id(), at, end, last: client_last, slow: false },
@@ -32,20 +32,20 @@
     judge(&plan, &records).breaks
 }
 
-#[test_case(AnswerEnd::Whole, 900.0, (ReplyEnd::Whole, 890.0, 890.0), None; "whole")]
-#[test_case(AnswerEnd::Whole, 3000.0, (ReplyEnd::Whole, 890.0, 890.0), Some("held back"); "whole, and held back")]
-#[test_case(AnswerEnd::Broken, 1100.0, (ReplyEnd::LeftByNode, 1100.0, 700.0), None; "its server gave nothing more")]
-#[test_case(AnswerEnd::Broken, 900.0, (ReplyEnd::LeftByNode, 900.0, 700.0), Some("cut off"); "cut off in a pause")]
-#[test_case(AnswerEnd::Broken, 900.0, (ReplyEnd::CutByNode, 900.0, 500.0), Some("cut off"); "cut off with more to come")]
-#[test_case(AnswerEnd::Broken, 900.0, (ReplyEnd::ServerBroke, 900.0, 899.0), None; "its server broke")]
-#[test_case(AnswerEnd::GivenUp, 4000.0, (ReplyEnd::LeftByNode, 4000.0, 400.0), Some("held open"); "held open")]
-#[test_case(AnswerEnd::GivenUp, 4000.0, (ReplyEnd::LeftByNode, 4000.0, 3900.0), None; "its server still gives")]
+#[test_case(AnswerEnd::Complete, 900.0, (ReplyEnd::Complete, 890.0, 890.0), None; "whole")]
+#[test_case(AnswerEnd::Complete, 3000.0, (ReplyEnd::Complete, 890.0, 890.0), Some("held back"); "whole, and held back")]
+#[test_case(AnswerEnd::Truncated, 1100.0, (ReplyEnd::NodeClosed, 1100.0, 700.0), None; "its server gave nothing more")]
+#[test_case(AnswerEnd::Truncated, 900.0, (ReplyEnd::NodeClosed, 900.0, 700.0), Some("cut off"); "cut off in a pause")]
+#[test_case(AnswerEnd::Truncated, 900.0, (ReplyEnd::NodeStoppedReading, 900.0, 500.0), Some("cut off"); "cut off with more to come")]
+#[test_case(AnswerEnd::Truncated, 900.0, (ReplyEnd::ServerClosed, 900.0, 899.0), None; "its server broke")]
+#[test_case(AnswerEnd::TimedOut, 4000.0, (ReplyEnd::NodeClosed, 4000.0, 400.0), Some("held open"); "held open")]
+#[test_case(AnswerEnd::TimedOut, 4000.0, (ReplyEnd::NodeClosed, 4000.0, 3900.0), None; "its server still gives")]
 fn an_answer_ends_as_it_should(end: AnswerEnd, at: f64, reply: (ReplyEnd, f64, f64), wanted: Option<&str>) {
     let found = breaks(end, at, reply.2, reply);
-    let words: Vec<&str> = found.iter().map(|broken| broken.what.as_str()).collect();
+    let descriptions: Vec<&str> = found.iter().map(|broken| broken.description.as_str()).collect();
     match wanted {
-        None => assert!(words.is_empty(), "{words:?}"),
-        Some(word) => assert!(words.len() == 1 && words[0].contains(word), "{words:?}"),
+        None => assert!(descriptions.is_empty(), "{descriptions:?}"),
+        Some(text) => assert!(descriptions.len() == 1 && descriptions[0].contains(text), "{descriptions:?}"),
     }
 }
 
@@ -54,11 +54,11 @@
 #[test_case(Some(0.0), true; "behind all its time")]
 #[test_case(Some(4000.0), false; "in the middle of it")]
 #[test_case(None, false; "with no word before")]
-fn what_a_kill_finds_unanswered_is_lost_behind_all_the_time(told: Option<f64>, is_lost: bool) {
+fn what_a_kill_finds_unanswered_is_lost_behind_all_the_time(term_at: Option<f64>, is_lost: bool) {
     let plan = Plan::draw(1, 20_000.0);
-    let kill = plan.fleet.deadlines.1 + KILL_AFTER + 10.0;
-    let mut records = vec![Record::Start { node: 0, process: 1, caller: 0, at: -1000.0 }];
-    records.extend(told.map(|at| Record::Term { node: 0, process: 1, at: at.min(kill - 10.0) }));
+    let kill = plan.fleet.deadlines.1 + KILL_AFTER_MS + 10.0;
+    let mut records = vec![Record::Start { node: 0, process: 1, subscriber: 0, at: -1000.0 }];
+    records.extend(term_at.map(|at| Record::Term { node: 0, process: 1, at: at.min(kill - 10.0) }));
     let (id, effect) = (ID.to_string(), Effect::Keyed);
     records.push(Record::Request {
         id,
@@ -67,93 +67,102 @@
         began: kill - 300.0,
         at: kill - 300.0,
         deadline: 600.0,
-        fresh: false,
-        line: None,
+        new_connection: false,
+        pipeline: None,
     });
     records.push(Record::Kill { node: 0, process: 1, at: kill });
-    records.push(Record::Unanswered { id: ID.to_string(), at: kill + 1.0, crossed: false, reset: false });
+    records.push(Record::Unanswered { id: ID.to_string(), at: kill + 1.0, close_raced: false, reset: false });
     assert_eq!(judge(&plan, &records).breaks.len(), usize::from(is_lost));
 }
 
 /// What the judge says of a node that is told to drain at 0 and to take clients again at 5000 ms: `calls` are the answers, and
 /// it is asked for `GET /up` at these times.
-fn breaks_of_drain(calls: [Option<u16>; 2], up: &[(f64, Option<u16>)]) -> Vec<Rule> {
+fn rules_broken_by_drain(calls: [Option<u16>; 2], up: &[(f64, Option<u16>)]) -> Vec<Rule> {
     let (node, process) = (0, 1);
-    let told = [(OperatorCall::DrainOn, 0.0, calls[0]), (OperatorCall::DrainOff, 5000.0, calls[1])];
-    let mut records = vec![Record::Start { node, process, caller: 0, at: -1000.0 }];
-    records.extend(told.map(|(call, at, status)| Record::Operator { node, process, call, at, status }));
+    let calls_made = [(OperatorCall::DrainOn, 0.0, calls[0]), (OperatorCall::DrainOff, 5000.0, calls[1])];
+    let mut records = vec![Record::Start { node, process, subscriber: 0, at: -1000.0 }];
+    records.extend(calls_made.map(|(call, at, status)| Record::Operator { node, process, call, at, status }));
     records.extend(up.iter().map(|(at, status)| Record::Up { node, process, at: *at, status: *status }));
     judge(&Plan::draw(1, 20_000.0), &records).breaks.iter().map(|broken| broken.rule).collect()
 }
 
-const YES: Option<u16> = Some(200);
-const NO: Option<u16> = Some(503);
+const READY: Option<u16> = Some(200);
+const NOT_READY: Option<u16> = Some(503);
 
-#[test_case([YES, YES], &[(3900.0, YES), (5100.0, NO), (6900.0, YES)], &[]; "in time")]
-#[test_case([NO, YES], &[], &[Rule::Operators]; "a drain that is refused")]
-#[test_case([YES, None], &[], &[Rule::Operators]; "a call that is not answered")]
-#[test_case([YES, YES], &[(4000.0, YES)], &[Rule::Lost]; "still yes 4 s after the call")]
-#[test_case([YES, YES], &[(5100.0, NO), (6900.0, NO)], &[Rule::Operators]; "no yes 2 s after the end of a drain")]
+#[test_case([READY, READY], &[(3900.0, READY), (5100.0, NOT_READY), (6900.0, READY)], &[]; "in time")]
+#[test_case([NOT_READY, READY], &[], &[Rule::Operators]; "a drain that is refused")]
+#[test_case([READY, None], &[], &[Rule::Operators]; "a call that is not answered")]
+#[test_case([READY, READY], &[(4000.0, READY)], &[Rule::Lost]; "still yes 4 s after the call")]
+#[test_case([READY, READY], &[(5100.0, NOT_READY), (6900.0, NOT_READY)], &[Rule::Operators]; "no yes 2 s after the end of a drain")]
 fn a_node_does_what_operators_ask(calls: [Option<u16>; 2], up: &[(f64, Option<u16>)], wanted: &[Rule]) {
-    assert_eq!(breaks_of_drain(calls, up), wanted);
+    assert_eq!(rules_broken_by_drain(calls, up), wanted);
 }
 
 /// How a connection ended with a request of 600 ms on it that was sent at 100 ms.
-struct Shut {
+struct ClosedRequest {
     at: f64,
     reset: bool,
-    fresh: bool,
+    new_connection: bool,
     /// With another in one write, which was answered.
     behind_answered: bool,
     /// That answer is large, and was broken off with the connection.
     broken_off: bool,
-    crossed: bool,
+    close_raced: bool,
     crowded: bool,
 }
 
-const SHUT: Shut = Shut {
+const CLOSED: ClosedRequest = ClosedRequest {
     at: 400.0,
     reset: true,
-    fresh: false,
+    new_connection: false,
     behind_answered: false,
     broken_off: false,
-    crossed: false,
+    close_raced: false,
     crowded: false,
 };
 
-fn request(id: &str, fresh: bool, line: Option<Line>) -> Record {
+fn request(id: &str, new_connection: bool, pipeline: Option<Pipeline>) -> Record {
     let (id, effect) = (id.to_string(), Effect::Idempotent);
-    Record::Request { id, node: 0, effect, began: 100.0, at: 100.0, deadline: 600.0, fresh, line }
+    Record::Request {
+        id,
+        node: 0,
+        effect,
+        began: 100.0,
+        at: 100.0,
+        deadline: 600.0,
+        new_connection,
+        pipeline,
+    }
 }
 
-#[test_case(&SHUT, true; "unread in its time")]
-#[test_case(&Shut { reset: false, ..SHUT }, false; "an orderly end")]
-#[test_case(&Shut { at: 800.0, ..SHUT }, false; "behind its time")]
-#[test_case(&Shut { behind_answered: true, ..SHUT }, false; "read with another")]
-#[test_case(&Shut { behind_answered: true, broken_off: true, ..SHUT }, true; "behind an answer that is broken off")]
-#[test_case(&Shut { behind_answered: true, broken_off: true, fresh: true, ..SHUT }, true; "the same on a connection that was new")]
-#[test_case(&Shut { behind_answered: true, broken_off: true, reset: false, ..SHUT }, false; "the same, an orderly end")]
-#[test_case(&Shut { fresh: true, ..SHUT }, false; "new, without a crowd")]
-#[test_case(&Shut { fresh: true, crossed: true, reset: false, ..SHUT }, false; "new, crossed without a crowd")]
-#[test_case(&Shut { behind_answered: true, crossed: true, reset: false, ..SHUT }, false; "crossed, and read with another")]
-#[test_case(&Shut { fresh: true, crossed: true, crowded: true, reset: false, ..SHUT }, true; "new, crossed in a crowd")]
-#[test_case(&Shut { fresh: true, crowded: true, ..SHUT }, true; "new, in a crowd")]
-#[test_case(&Shut { fresh: true, crowded: true, reset: false, ..SHUT }, false; "new, an orderly end in a crowd")]
-fn a_request_is_shut_unread_by_a_reset_in_its_time_alone(shut: &Shut, is_excused: bool) {
+#[test_case(&CLOSED, true; "unread in its time")]
+#[test_case(&ClosedRequest { reset: false, ..CLOSED }, false; "an orderly end")]
+#[test_case(&ClosedRequest { at: 800.0, ..CLOSED }, false; "behind its time")]
+#[test_case(&ClosedRequest { behind_answered: true, ..CLOSED }, false; "read with another")]
+#[test_case(&ClosedRequest { behind_answered: true, broken_off: true, ..CLOSED }, true; "behind an answer that is broken off")]
+#[test_case(&ClosedRequest { behind_answered: true, broken_off: true, new_connection: true, ..CLOSED }, true; "the same on a connection that was new")]
+#[test_case(&ClosedRequest { behind_answered: true, broken_off: true, reset: false, ..CLOSED }, false; "the same, an orderly end")]
+#[test_case(&ClosedRequest { new_connection: true, ..CLOSED }, false; "new, without a crowd")]
+#[test_case(&ClosedRequest { new_connection: true, close_raced: true, reset: false, ..CLOSED }, false; "new, crossed without a crowd")]
+#[test_case(&ClosedRequest { behind_answered: true, close_raced: true, reset: false, ..CLOSED }, false; "crossed, and read with another")]
+#[test_case(&ClosedRequest { new_connection: true, close_raced: true, crowded: true, reset: false, ..CLOSED }, true; "new, crossed in a crowd")]
+#[test_case(&ClosedRequest { new_connection: true, crowded: true, ..CLOSED }, true; "new, in a crowd")]
+#[test_case(&ClosedRequest { new_connection: true, crowded: true, reset: false, ..CLOSED }, false; "new, an orderly end in a crowd")]
+fn a_request_is_shut_unread_by_a_reset_in_its_time_alone(closed: &ClosedRequest, is_excused: bool) {
     let first = "the first";
-    let line = shut.behind_answered.then(|| Line { first: first.into(), together: true });
-    let mut records = vec![Record::Start { node: 0, process: 1, caller: 0, at: -1000.0 }];
-    records.extend(shut.crowded.then_some(Record::Crowd { node: 0, from: 0.0, to: 1000.0 }));
-    if shut.behind_answered {
-        records.push(request(first, false, line.clone()));
+    let pipeline = closed.behind_answered.then(|| Pipeline { first: first.into(), single_write: true });
+    let mut records = vec![Record::Start { node: 0, process: 1, subscriber: 0, at: -1000.0 }];
+    records.extend(closed.crowded.then_some(Record::FillDescriptors { node: 0, from: 0.0, to: 1000.0 }));
+    if closed.behind_answered {
+        records.push(request(first, false, pipeline.clone()));
         records.push(Record::Answer { id: first.into(), at: 200.0, status: 200 });
     }
-    let (id, at) = (first.to_string(), shut.at);
-    let broken_off = Record::AnswerEnded { id, at, end: AnswerEnd::Broken, last: 200.0, slow: false };
-    records.extend(shut.broken_off.then_some(broken_off));
-    records.push(request(ID, shut.fresh, line));
-    let Shut { at, reset, crossed, .. } = *shut;
-    records.push(Record::Unanswered { id: ID.into(), at, crossed, reset });
+    let (id, at) = (first.to_string(), closed.at);
+    let broken_off = Record::AnswerEnded { id, at, end: AnswerEnd::Truncated, last: 200.0, slow: false };
+    records.extend(closed.broken_off.then_some(broken_off));
+    records.push(request(ID, closed.new_connection, pipeline));
+    let ClosedRequest { at, reset, close_raced, .. } = *closed;
+    records.push(Record::Unanswered { id: ID.into(), at, close_raced, reset });
     let verdict = judge(&Plan::draw(1, 20_000.0), &records);
     assert_eq!((verdict.breaks.is_empty(), verdict.shut_unread), (is_excused, usize::from(is_excused)));
 }
@@ -161,16 +170,16 @@
 #[test_case(300.0, true; "in its time")]
 #[test_case(800.0, false; "behind its time")]
 fn a_dripping_answer_is_broken_off_for_a_request_behind_it_in_its_time(at: f64, is_allowed: bool) {
-    let line = |together| Some(Line { first: ID.into(), together });
+    let pipeline = |single_write| Some(Pipeline { first: ID.into(), single_write });
     let behind = "the one behind";
     let records = [
-        Record::Start { node: 0, process: 1, caller: 0, at: -1000.0 },
-        request(ID, false, line(false)),
-        request(behind, false, line(false)),
-        Record::Attempt { id: ID.into(), server: 0, at: 110.0, told: 590.0 },
+        Record::Start { node: 0, process: 1, subscriber: 0, at: -1000.0 },
+        request(ID, false, pipeline(false)),
+        request(behind, false, pipeline(false)),
+        Record::Attempt { id: ID.into(), server: 0, at: 110.0, deadline_sent: 590.0 },
         Record::Answer { id: ID.into(), at: 200.0, status: 200 },
-        Record::ReplyEnded { id: ID.into(), server: 0, at, end: ReplyEnd::LeftByNode, last: at - 50.0 },
-        Record::AnswerEnded { id: ID.into(), at, end: AnswerEnd::Broken, last: at - 50.0, slow: false },
+        Record::ReplyEnded { id: ID.into(), server: 0, at, end: ReplyEnd::NodeClosed, last: at - 50.0 },
+        Record::AnswerEnded { id: ID.into(), at, end: AnswerEnd::Truncated, last: at - 50.0, slow: false },
         Record::Answer { id: behind.into(), at: at + 1.0, status: 503 },
     ];
     assert_eq!(judge(&Plan::draw(1, 20_000.0), &records).breaks.is_empty(), is_allowed);
@@ -183,8 +192,8 @@
 #[test_case(None, Some(1000.0), false; "a request of before, whose last byte is of the last 2 s")]
 fn a_drained_node_holds_no_connection(idle: Option<usize>, began: Option<f64>, is_broken: bool) {
     let (node, process) = (0, 1);
-    let mut records = vec![Record::Start { node, process, caller: 0, at: -1000.0 }];
-    records.push(Record::Operator { node, process, call: OperatorCall::DrainOn, at: 0.0, status: YES });
+    let mut records = vec![Record::Start { node, process, subscriber: 0, at: -1000.0 }];
+    records.push(Record::Operator { node, process, call: OperatorCall::DrainOn, at: 0.0, status: READY });
     records.extend(began.map(|began| Record::Request {
         id: ID.into(),
         node,
@@ -192,10 +201,10 @@
         began,
         at: 3950.0,
         deadline: 6000.0,
-        fresh: false,
-        line: None,
+        new_connection: false,
+        pipeline: None,
     }));
     records.extend(idle.map(|open| Record::Idle { node, process, at: 4300.0, open }));
-    records.push(Record::Operator { node, process, call: OperatorCall::DrainOff, at: 5000.0, status: YES });
+    records.push(Record::Operator { node, process, call: OperatorCall::DrainOff, at: 5000.0, status: READY });
     assert_eq!(!judge(&Plan::draw(1, 20_000.0), &records).breaks.is_empty(), is_broken);
 }
--- a/crates/pearfront-soak/src/node_file.rs
+++ b/crates/pearfront-soak/src/node_file.rs
@@ -8,7 +8,7 @@
 pub fn node_file(fleet: &Fleet, grace: f64, known: Value, discovery: SocketAddrV4) -> Value {
     let ns = |ms: f64| ms * 1e6;
     let profile = |name: &str, effect: &str| {
-        json!({"name": name, "effect": effect, "group": "cell", "window": ns(fleet.window),
+        json!({"name": name, "effect": effect, "group": "cell", "window": ns(fleet.dedup_window),
             "contract_time": ns(fleet.deadlines.1 / 2.0), "outer_limit": ns(fleet.deadlines.1), "gain": 1.0})
     };
     json!({"limits": {"memory_mb": 192, "sockets": fleet.sockets}, "known": known, "discovery": discovery.to_string(),
@@ -19,19 +19,19 @@
             "limits": {"most_shots": 3, "cancel": true, "probes": true, "connect_timeout": 300e6, "conn_idle": 10e9,
                 "parallel_tries": true, "retry_after": true, "max_retry_after": 2e9},
             "deductions": {}, "objective_mix": {"whole": 1.0},
-            "report": {"fields": [if fleet.asks_first { "outstanding" } else { "utilization" }], "via": "probe"},
+            "report": {"fields": [if fleet.probes_first { "outstanding" } else { "utilization" }], "via": "probe"},
             "rules": {"ask_within": 10e9, "cold": 5e9, "cold_from": COLD_FROM, "tip_multiple": TIP_MULTIPLE,
-                "overload_for": ns(OVERLOAD_FOR), "drain_grace": ns(grace), "budget_free": BUDGET_FREE,
-                "extra_ratio": BUDGET_RATIO, "resend_span": ns(BUDGET_SPAN)}}})
+                "overload_for": ns(OVERLOAD_FOR_MS), "drain_grace": ns(grace), "budget_free": BUDGET_FREE,
+                "extra_ratio": BUDGET_RATIO, "resend_span": ns(BUDGET_SPAN_MS)}}})
 }
 
 /// Figures of the settings that the judge holds records against.
 pub const COLD_FROM: f64 = 0.2;
 pub const TIP_MULTIPLE: f64 = 3.0;
 /// Span in which a cold server may be overloaded, and time that it takes to be warm, ms.
-pub const OVERLOAD_FOR: f64 = 2000.0;
-pub const COLD: f64 = 5000.0;
+pub const OVERLOAD_FOR_MS: f64 = 2000.0;
+pub const COLD_MS: f64 = 5000.0;
 /// Further attempts that are free, as a share of requests, and the span that both count in, ms.
 pub const BUDGET_FREE: f64 = 10.0;
 pub const BUDGET_RATIO: f64 = 0.3;
-pub const BUDGET_SPAN: f64 = 5000.0;
+pub const BUDGET_SPAN_MS: f64 = 5000.0;
--- a/crates/pearfront-soak/src/plan.rs
+++ b/crates/pearfront-soak/src/plan.rs
@@ -1,7 +1,7 @@
 //! What befalls a fleet, drawn by seed: its size, its settings, and faults that overlap in time.
 
 use crate::record::DiscoveryMode;
-use crate::role::Way;
+use crate::role::RelayMode;
 use crate::shim::{self, Fault};
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -9,53 +9,53 @@
 use std::ops::Range;
 
 /// Times are ms from the start of a play.
-const FIRST_FAULT: f64 = 1500.0;
+const FIRST_FAULT_MS: f64 = 1500.0;
 /// Quiet time at the end, ms: every deadline and its patience fit.
-pub const QUIET: f64 = 5500.0;
+pub const QUIET_MS: f64 = 5500.0;
 /// Mean time between two faults, ms.
-const BETWEEN: f64 = 450.0;
+const MEAN_FAULT_INTERVAL_MS: f64 = 450.0;
 /// Share of plays in which discovery is crowded from beginning to end, and a server drains meanwhile.
-const INCIDENTS: f64 = 0.3;
+const INCIDENT_SHARE: f64 = 0.3;
 /// SIGKILL comes no sooner than the longest deadline and so much more after SIGTERM, ms.
-pub const KILL_AFTER: f64 = 700.0;
+pub const KILL_AFTER_MS: f64 = 700.0;
 /// Share of plays in which nodes have few descriptors, and clients fill them; how many they have then, and else.
-const CROWDED: f64 = 0.25;
+const FEW_SOCKETS_SHARE: f64 = 0.25;
 const FEW_SOCKETS: usize = 128;
 const SOCKETS: usize = 1024;
 /// Time between two drains by operators, ms, and how long each lasts: some end before clients are let go, some behind that.
-const BETWEEN_DRAINS: Range<f64> = 300.0..2500.0;
-const OPERATORS_DRAIN_MS: Range<u64> = 300..5500;
-const OPERATORS_STREAM: u64 = 1;
+const OPERATOR_DRAIN_INTERVAL_MS: Range<f64> = 300.0..2500.0;
+const OPERATOR_DRAIN_MS: Range<u64> = 300..5500;
+const OPERATOR_RNG_STREAM: u64 = 1;
 /// Share of operators' calls around which system calls fail, which, from when on, ms, and for how long.
-const CALLS_FAIL: f64 = 0.5;
-const OPERATORS_FAULTS: [Fault; 3] = [Fault::Interrupted, Fault::Short, Fault::NoBuffers];
-const BEFORE_CALL: f64 = 50.0;
-const OPERATORS_FAULT_MS: u64 = 300;
+const OPERATOR_FAULT_SHARE: f64 = 0.5;
+const OPERATOR_FAULTS: [Fault; 3] = [Fault::Interrupted, Fault::Short, Fault::NoBuffers];
+const FAULT_LEAD_MS: f64 = 50.0;
+const OPERATOR_FAULT_MS: u64 = 300;
 /// Servers that stay as they are.
-const SPARED_SERVERS: usize = 2;
+const UNDISTURBED_SERVERS: usize = 2;
 
 /// The fleet of one seed.
 #[derive(Debug, Clone)]
 pub struct Fleet {
     pub nodes: usize,
     /// So many of the nodes, the first ones, have a listener that outlives their processes.
-    pub shared: usize,
+    pub shared_listeners: usize,
     pub servers: usize,
     pub clients: usize,
     pub pushed: bool,
     pub whole_lists: bool,
     /// Servers report how many requests they hold, and nodes ask them before each draw.
-    pub asks_first: bool,
+    pub probes_first: bool,
     /// Grace of drains, ms.
     pub grace: f64,
     /// How long repeats of keyed requests are dropped, ms.
-    pub window: f64,
+    pub dedup_window: f64,
     /// Shortest and longest time that clients wait, ms.
     pub deadlines: (f64, f64),
     /// Requests a second to each node.
     pub rate: f64,
     /// Share of requests whose client leaves.
-    pub leaves: f64,
+    pub disconnect_share: f64,
     /// Descriptors that a node may have.
     pub sockets: usize,
 }
@@ -66,15 +66,15 @@
     /// SIGTERM, SIGKILL as early as it may come, and a new process. So many clients go on asking without a pause.
     Term {
         node: usize,
-        pressed_by: usize,
+        pressing_clients: usize,
     },
     /// The same with SIGTERM, SIGHUP and SIGSTOP together, twice, and SIGCONT after so long.
-    Series {
+    SignalSeries {
         node: usize,
         ms: u64,
     },
     /// Clients hold all descriptors of a node that they can get.
-    Crowd {
+    FillDescriptors {
         node: usize,
         ms: u64,
     },
@@ -95,7 +95,7 @@
         node: usize,
     },
     /// SIGHUP with another place of discovery.
-    Move {
+    MoveDiscovery {
         node: usize,
     },
     HandOver {
@@ -105,26 +105,26 @@
         mode: DiscoveryMode,
         ms: u64,
     },
-    Drain {
+    DrainServer {
         server: usize,
     },
     /// Killed, and back after so long, cold.
-    Restart {
+    RestartServer {
         server: usize,
         ms: u64,
     },
-    Hang {
+    PauseServer {
         server: usize,
         ms: u64,
     },
-    Way {
+    Relay {
         server: usize,
-        way: Way,
+        relay_mode: RelayMode,
         ms: u64,
     },
     /// No server takes bodies as they should be.
-    Bodies {
-        way: Way,
+    SlowBodies {
+        relay_mode: RelayMode,
         ms: u64,
     },
     Flood {
@@ -134,11 +134,11 @@
     Stall {
         node: usize,
     },
-    WallStep {
+    WallClockStep {
         node: usize,
         ns: i64,
     },
-    Calls {
+    FailSystemCalls {
         node: usize,
         fault: Fault,
         per_million: u32,
@@ -150,42 +150,42 @@
     /// What it is called in reports.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Term { pressed_by: 0, .. } => "SIGTERM and SIGKILL",
+            Self::Term { pressing_clients: 0, .. } => "SIGTERM and SIGKILL",
             Self::Term { .. } => "SIGTERM and SIGKILL, clients pressing",
-            Self::Series { .. } => "SIGTERM, SIGHUP, SIGSTOP twice",
-            Self::Crowd { .. } => "descriptors crowded",
+            Self::SignalSeries { .. } => "SIGTERM, SIGHUP, SIGSTOP twice",
+            Self::FillDescriptors { .. } => "descriptors crowded",
             Self::DrainNode { .. } => "drained by an operator",
             Self::Kill { .. } => "SIGKILL",
             Self::Stop { .. } => "SIGSTOP",
             Self::Reload { .. } => "SIGHUP, other settings",
-            Self::Move { .. } => "SIGHUP, discovery moved",
+            Self::MoveDiscovery { .. } => "SIGHUP, discovery moved",
             Self::HandOver { .. } => "hand-over",
             Self::Discovery { mode, .. } => match mode {
                 DiscoveryMode::Normal => "discovery well",
                 DiscoveryMode::Slow(_) => "discovery slow",
                 DiscoveryMode::SilentOpen => "open watches silent",
                 DiscoveryMode::Silent => "discovery silent",
-                DiscoveryMode::Crowded(_) => "discovery crowded",
+                DiscoveryMode::Overloaded(_) => "discovery crowded",
                 DiscoveryMode::Down => "discovery down",
-                DiscoveryMode::Pieces => "lists in pieces",
-                DiscoveryMode::Cut(_) => "lists cut",
+                DiscoveryMode::Fragmented => "lists in pieces",
+                DiscoveryMode::Truncated(_) => "lists cut",
             },
-            Self::Drain { .. } => "server drains",
-            Self::Restart { .. } => "server killed, back cold",
-            Self::Hang { .. } => "server hangs",
-            Self::Way { way, .. } | Self::Bodies { way, .. } => match way {
-                Way::Open => "way open",
-                Way::Vanished => "server vanishes",
-                Way::Resets(_) => "requests reset",
-                Way::ClosesIdle(_) => "kept connections closed",
-                Way::Slow(_) => "answers held back",
-                Way::TakesNothing => "bodies not taken",
-                Way::TakesSlowly(_) => "bodies taken slowly",
+            Self::DrainServer { .. } => "server drains",
+            Self::RestartServer { .. } => "server killed, back cold",
+            Self::PauseServer { .. } => "server hangs",
+            Self::Relay { relay_mode, .. } | Self::SlowBodies { relay_mode, .. } => match relay_mode {
+                RelayMode::Forward => "way open",
+                RelayMode::Blackhole => "server vanishes",
+                RelayMode::Resets(_) => "requests reset",
+                RelayMode::ClosesIdle(_) => "kept connections closed",
+                RelayMode::Slow(_) => "answers held back",
+                RelayMode::StopsReading => "bodies not taken",
+                RelayMode::ReadsSlowly(_) => "bodies taken slowly",
             },
             Self::Flood { .. } => "flood of a client",
             Self::Stall { .. } => "client stalls",
-            Self::WallStep { .. } => "wall clock stepped",
-            Self::Calls { .. } => "system calls fail",
+            Self::WallClockStep { .. } => "wall clock stepped",
+            Self::FailSystemCalls { .. } => "system calls fail",
         }
     }
 }
@@ -203,135 +203,137 @@
 impl Plan {
     /// Draws a play of this length, ms.
     pub fn draw(seed: u64, length: f64) -> Self {
-        let mut chance = ChaCha8Rng::seed_from_u64(seed);
-        let fleet = Fleet { asks_first: !seed.is_multiple_of(2), ..draw_fleet(&mut chance) };
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        let fleet = Fleet { probes_first: !seed.is_multiple_of(2), ..draw_fleet(&mut rng) };
         let mut events = Vec::new();
-        let mut at = FIRST_FAULT;
-        while at < length - QUIET {
-            events.push((at, draw_event(&mut chance, &fleet)));
-            at -= chance.random_range(f64::EPSILON..1.0_f64).ln() * BETWEEN;
+        let mut at = FIRST_FAULT_MS;
+        while at < length - QUIET_MS {
+            events.push((at, draw_event(&mut rng, &fleet)));
+            at -= rng.random_range(f64::EPSILON..1.0_f64).ln() * MEAN_FAULT_INTERVAL_MS;
         }
         // What the incident was: a drain while discovery is crowded for long, beside whatever else happens.
-        if chance.random_bool(INCIDENTS) {
-            let drained = SPARED_SERVERS;
+        if rng.random_bool(INCIDENT_SHARE) {
+            let drained = UNDISTURBED_SERVERS;
             events.retain(|(_, event)| {
-                !matches!(event, Event::Discovery { .. } | Event::Move { .. })
-                    && !matches!(event, Event::Restart { server, .. } if *server == drained)
+                !matches!(event, Event::Discovery { .. } | Event::MoveDiscovery { .. })
+                    && !matches!(event, Event::RestartServer { server, .. } if *server == drained)
             });
-            let ms = (length - FIRST_FAULT).max(0.0) as u64;
-            let mode = DiscoveryMode::Crowded(100);
-            events.push((FIRST_FAULT, Event::Discovery { mode, ms }));
-            events.push((FIRST_FAULT + 300.0, Event::Drain { server: drained }));
+            let ms = (length - FIRST_FAULT_MS).max(0.0) as u64;
+            let mode = DiscoveryMode::Overloaded(100);
+            events.push((FIRST_FAULT_MS, Event::Discovery { mode, ms }));
+            events.push((FIRST_FAULT_MS + 300.0, Event::DrainServer { server: drained }));
         }
         // A request is taken with its last byte, whether or not any server takes that.
-        let slowly = Way::TakesSlowly(chance.random_range(50..500));
-        let way = if chance.random_bool(0.5) { Way::TakesNothing } else { slowly };
-        let at = chance.random_range(FIRST_FAULT..(length - QUIET).max(FIRST_FAULT + 1.0));
-        events.push((at, Event::Bodies { way, ms: chance.random_range(2000..4000) }));
+        let slowly = RelayMode::ReadsSlowly(rng.random_range(50..500));
+        let relay_mode = if rng.random_bool(0.5) { RelayMode::StopsReading } else { slowly };
+        let at = rng.random_range(FIRST_FAULT_MS..(length - QUIET_MS).max(FIRST_FAULT_MS + 1.0));
+        events.push((at, Event::SlowBodies { relay_mode, ms: rng.random_range(2000..4000) }));
         if fleet.sockets == FEW_SOCKETS {
-            let mut at = FIRST_FAULT;
-            while at < length - QUIET {
-                let (node, ms) = (chance.random_range(0..fleet.nodes), chance.random_range(1500..4000));
-                events.push((at, Event::Crowd { node, ms }));
-                at += chance.random_range(2000.0..6000.0);
+            let mut at = FIRST_FAULT_MS;
+            while at < length - QUIET_MS {
+                let (node, ms) = (rng.random_range(0..fleet.nodes), rng.random_range(1500..4000));
+                events.push((at, Event::FillDescriptors { node, ms }));
+                at += rng.random_range(2000.0..6000.0);
             }
         }
-        events.extend(operators_drains(seed, &fleet, length));
+        events.extend(draw_operator_drains(seed, &fleet, length));
         events.sort_by(|(a, _), (b, _)| a.total_cmp(b));
         Self { seed, fleet, length, events }
     }
 
     /// Are processes held up now and then?
-    pub fn holds_up(&self) -> bool {
-        self.events.iter().any(|(_, event)| matches!(event, Event::Calls { fault: Fault::HoldUp, .. }))
+    pub fn has_delays(&self) -> bool {
+        self.events
+            .iter()
+            .any(|(_, event)| matches!(event, Event::FailSystemCalls { fault: Fault::Delay, .. }))
     }
 }
 
 /// Drains by operators, from a stream of their own: what else befalls the fleet of a seed stays as it is.
-fn operators_drains(seed: u64, fleet: &Fleet, length: f64) -> Vec<(f64, Event)> {
-    let mut chance = ChaCha8Rng::seed_from_u64(seed);
-    chance.set_stream(OPERATORS_STREAM);
+fn draw_operator_drains(seed: u64, fleet: &Fleet, length: f64) -> Vec<(f64, Event)> {
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
+    rng.set_stream(OPERATOR_RNG_STREAM);
     let mut drains = Vec::new();
-    let mut at = FIRST_FAULT + chance.random_range(BETWEEN_DRAINS);
-    while at < length - QUIET {
-        let (node, ms) = (chance.random_range(0..fleet.nodes), chance.random_range(OPERATORS_DRAIN_MS));
+    let mut at = FIRST_FAULT_MS + rng.random_range(OPERATOR_DRAIN_INTERVAL_MS);
+    while at < length - QUIET_MS {
+        let (node, ms) = (rng.random_range(0..fleet.nodes), rng.random_range(OPERATOR_DRAIN_MS));
         drains.push((at, Event::DrainNode { node, ms }));
-        if chance.random_bool(CALLS_FAIL) {
-            let fault = *OPERATORS_FAULTS.choose(&mut chance).expect("some");
-            let per_million = chance.random_range(30_000..100_000);
-            let ms = OPERATORS_FAULT_MS;
-            drains.push((at - BEFORE_CALL, Event::Calls { node, fault, per_million, ms }));
+        if rng.random_bool(OPERATOR_FAULT_SHARE) {
+            let fault = *OPERATOR_FAULTS.choose(&mut rng).expect("some");
+            let per_million = rng.random_range(30_000..100_000);
+            let ms = OPERATOR_FAULT_MS;
+            drains.push((at - FAULT_LEAD_MS, Event::FailSystemCalls { node, fault, per_million, ms }));
         }
-        at += chance.random_range(BETWEEN_DRAINS);
+        at += rng.random_range(OPERATOR_DRAIN_INTERVAL_MS);
     }
     drains
 }
 
-fn draw_fleet(chance: &mut impl Rng) -> Fleet {
-    let nodes = chance.random_range(3..=8);
+fn draw_fleet(rng: &mut impl Rng) -> Fleet {
+    let nodes = rng.random_range(3..=8);
     Fleet {
         nodes,
-        shared: nodes / 3,
-        servers: chance.random_range(5..=16),
-        clients: chance.random_range(1..=3),
-        pushed: chance.random_bool(0.4),
-        whole_lists: chance.random_bool(0.4),
-        asks_first: false,
-        grace: *[400.0, 1000.0, 3000.0].choose(chance).expect("some"),
-        window: *[300.0, 1000.0, 5000.0].choose(chance).expect("some"),
-        deadlines: *[(250.0, 900.0), (400.0, 3000.0)].choose(chance).expect("some"),
-        rate: chance.random_range(8.0..25.0),
-        leaves: chance.random_range(0.0..0.15),
-        sockets: if chance.random_bool(CROWDED) { FEW_SOCKETS } else { SOCKETS },
+        shared_listeners: nodes / 3,
+        servers: rng.random_range(5..=16),
+        clients: rng.random_range(1..=3),
+        pushed: rng.random_bool(0.4),
+        whole_lists: rng.random_bool(0.4),
+        probes_first: false,
+        grace: *[400.0, 1000.0, 3000.0].choose(rng).expect("some"),
+        dedup_window: *[300.0, 1000.0, 5000.0].choose(rng).expect("some"),
+        deadlines: *[(250.0, 900.0), (400.0, 3000.0)].choose(rng).expect("some"),
+        rate: rng.random_range(8.0..25.0),
+        disconnect_share: rng.random_range(0.0..0.15),
+        sockets: if rng.random_bool(FEW_SOCKETS_SHARE) { FEW_SOCKETS } else { SOCKETS },
     }
 }
 
-fn draw_event(chance: &mut impl Rng, fleet: &Fleet) -> Event {
-    let node = chance.random_range(0..fleet.nodes);
-    let server = chance.random_range(SPARED_SERVERS..fleet.servers);
-    let ms = chance.random_range(300..4000);
-    let long = chance.random_range(500..9000);
-    match chance.random_range(0..100) {
-        0..7 => Event::Term { node, pressed_by: chance.random_range(0..6) },
-        7..10 => Event::Series { node, ms: chance.random_range(20..600) },
+fn draw_event(rng: &mut impl Rng, fleet: &Fleet) -> Event {
+    let node = rng.random_range(0..fleet.nodes);
+    let server = rng.random_range(UNDISTURBED_SERVERS..fleet.servers);
+    let ms = rng.random_range(300..4000);
+    let long = rng.random_range(500..9000);
+    match rng.random_range(0..100) {
+        0..7 => Event::Term { node, pressing_clients: rng.random_range(0..6) },
+        7..10 => Event::SignalSeries { node, ms: rng.random_range(20..600) },
         10..15 => Event::Kill { node },
-        15..21 => Event::Stop { node, ms: chance.random_range(100..2500) },
+        15..21 => Event::Stop { node, ms: rng.random_range(100..2500) },
         21..24 => Event::Reload { node },
-        24..28 => Event::Move { node },
-        28..33 => Event::HandOver { node: node % fleet.shared.max(1) },
-        33..50 => Event::Discovery { mode: draw_mode(chance), ms: long },
-        50..57 => Event::Drain { server },
-        57..61 => Event::Restart { server, ms },
-        61..65 => Event::Hang { server, ms },
-        65..75 => Event::Way { server, way: draw_way(chance), ms },
-        75..80 => Event::Flood { node, count: chance.random_range(5..40) },
+        24..28 => Event::MoveDiscovery { node },
+        28..33 => Event::HandOver { node: node % fleet.shared_listeners.max(1) },
+        33..50 => Event::Discovery { mode: draw_mode(rng), ms: long },
+        50..57 => Event::DrainServer { server },
+        57..61 => Event::RestartServer { server, ms },
+        61..65 => Event::PauseServer { server, ms },
+        65..75 => Event::Relay { server, relay_mode: draw_relay_mode(rng), ms },
+        75..80 => Event::Flood { node, count: rng.random_range(5..40) },
         80..84 => Event::Stall { node },
-        84..89 => Event::WallStep { node, ns: shim::wall_step(chance) },
+        84..89 => Event::WallClockStep { node, ns: shim::draw_wall_clock_step(rng) },
         _ => {
-            let (fault, _) = *shim::FAULTS.choose(chance).expect("some");
-            let per_million = if fault == Fault::HoldUp { 800 } else { chance.random_range(5_000..60_000) };
-            Event::Calls { node, fault, per_million, ms: long }
+            let (fault, _) = *shim::FAULTS.choose(rng).expect("some");
+            let per_million = if fault == Fault::Delay { 800 } else { rng.random_range(5_000..60_000) };
+            Event::FailSystemCalls { node, fault, per_million, ms: long }
         }
     }
 }
 
-fn draw_mode(chance: &mut impl Rng) -> DiscoveryMode {
-    match chance.random_range(0..8) {
-        0 => DiscoveryMode::Slow(chance.random_range(100..1800)),
+fn draw_mode(rng: &mut impl Rng) -> DiscoveryMode {
+    match rng.random_range(0..8) {
+        0 => DiscoveryMode::Slow(rng.random_range(100..1800)),
         1 => DiscoveryMode::SilentOpen,
         2 => DiscoveryMode::Silent,
-        3 | 4 => DiscoveryMode::Crowded(chance.random_range(50..=100)),
+        3 | 4 => DiscoveryMode::Overloaded(rng.random_range(50..=100)),
         5 => DiscoveryMode::Down,
-        6 => DiscoveryMode::Pieces,
-        _ => DiscoveryMode::Cut(chance.random_range(30..100)),
+        6 => DiscoveryMode::Fragmented,
+        _ => DiscoveryMode::Truncated(rng.random_range(30..100)),
     }
 }
 
-fn draw_way(chance: &mut impl Rng) -> Way {
-    match chance.random_range(0..4) {
-        0 => Way::Vanished,
-        1 => Way::Resets(chance.random_range(10..80)),
-        2 => Way::ClosesIdle(chance.random_range(10..80)),
-        _ => Way::Slow(chance.random_range(50..800)),
+fn draw_relay_mode(rng: &mut impl Rng) -> RelayMode {
+    match rng.random_range(0..4) {
+        0 => RelayMode::Blackhole,
+        1 => RelayMode::Resets(rng.random_range(10..80)),
+        2 => RelayMode::ClosesIdle(rng.random_range(10..80)),
+        _ => RelayMode::Slow(rng.random_range(50..800)),
     }
 }
--- a/crates/pearfront-soak/src/record.rs
+++ b/crates/pearfront-soak/src/record.rs
@@ -18,7 +18,7 @@
 /// How a server stands in discovery's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Standing {
+pub enum Lifecycle {
     Ready,
     Draining,
     Gone,
@@ -36,13 +36,16 @@
     /// Says nothing to anybody.
     Silent,
     /// 503 to this share of calls, in percent.
-    Crowded(u8),
+    #[serde(rename = "crowded")]
+    Overloaded(u8),
     /// Resets what is open and what comes.
     Down,
     /// Answers in small pieces.
-    Pieces,
+    #[serde(rename = "pieces")]
+    Fragmented,
     /// Answers break off in the middle, in this share of calls, in percent.
-    Cut(u8),
+    #[serde(rename = "cut")]
+    Truncated(u8),
 }
 
 impl DiscoveryMode {
@@ -56,32 +59,40 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AnswerEnd {
-    Whole,
+    #[serde(rename = "whole")]
+    Complete,
     /// Its connection ended before it did.
-    Broken,
+    #[serde(rename = "broken")]
+    Truncated,
     /// Its client waits no longer.
-    GivenUp,
+    #[serde(rename = "given_up")]
+    TimedOut,
 }
 
 /// How an answer ended on its way to a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReplyEnd {
-    Whole,
-    ServerBroke,
+    #[serde(rename = "whole")]
+    Complete,
+    #[serde(rename = "server_broke")]
+    ServerClosed,
     /// The node ended it while its server gave nothing.
-    LeftByNode,
+    #[serde(rename = "left_by_node")]
+    NodeClosed,
     /// The node ended it while there was more that it did not take.
-    CutByNode,
+    #[serde(rename = "cut_by_node")]
+    NodeStoppedReading,
 }
 
 /// The requests that lie on one connection together.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Line {
+pub struct Pipeline {
     /// The first of them.
     pub first: String,
     /// All of them came in one write.
-    pub together: bool,
+    #[serde(rename = "together")]
+    pub single_write: bool,
 }
 
 /// What an operator tells a process of a node.
@@ -105,11 +116,14 @@
         began: f64,
         at: f64,
         deadline: f64,
-        fresh: bool,
-        line: Option<Line>,
+        #[serde(rename = "fresh")]
+        new_connection: bool,
+        #[serde(rename = "line")]
+        pipeline: Option<Pipeline>,
     },
     /// Its client closes the connection.
-    Left {
+    #[serde(rename = "left")]
+    Disconnected {
         id: String,
         at: f64,
     },
@@ -132,7 +146,8 @@
     Unanswered {
         id: String,
         at: f64,
-        crossed: bool,
+        #[serde(rename = "crossed")]
+        close_raced: bool,
         reset: bool,
     },
     /// So many idle connections to a node are open; this process was the one to close them.
@@ -154,10 +169,12 @@
         id: String,
         server: usize,
         at: f64,
-        told: f64,
+        #[serde(rename = "told")]
+        deadline_sent: f64,
     },
     /// Its last byte.
-    Whole {
+    #[serde(rename = "whole")]
+    RequestComplete {
         id: String,
         server: usize,
         at: f64,
@@ -189,15 +206,18 @@
     },
     // Of discovery.
     /// An answer with what this version had begins to be written to a node.
-    Told {
-        caller: usize,
+    #[serde(rename = "told")]
+    ListSent {
+        #[serde(rename = "caller")]
+        subscriber: usize,
         version: u64,
         at: f64,
         whole: bool,
     },
     /// A connection of a caller has been opened or has ended.
     Watch {
-        caller: usize,
+        #[serde(rename = "caller")]
+        subscriber: usize,
         open: bool,
         at: f64,
     },
@@ -206,7 +226,8 @@
     Change {
         version: u64,
         server: usize,
-        standing: Standing,
+        #[serde(rename = "standing")]
+        lifecycle: Lifecycle,
         at: f64,
     },
     Discovery {
@@ -217,7 +238,8 @@
     Start {
         node: usize,
         process: u32,
-        caller: usize,
+        #[serde(rename = "caller")]
+        subscriber: usize,
         at: f64,
     },
     /// It is told to end, killed, or found to have ended.
@@ -260,7 +282,8 @@
         status: Option<u16>,
     },
     /// Clients hold all the descriptors of a node that they can get.
-    Crowd {
+    #[serde(rename = "crowd")]
+    FillDescriptors {
         node: usize,
         from: f64,
         to: f64,
@@ -292,18 +315,18 @@
     pub fn at(&self) -> f64 {
         match self {
             Self::Request { at, .. }
-            | Self::Left { at, .. }
+            | Self::Disconnected { at, .. }
             | Self::Answer { at, .. }
             | Self::Unanswered { at, .. }
             | Self::AnswerEnded { at, .. }
             | Self::ReplyEnded { at, .. }
             | Self::Stalled { at, .. }
             | Self::Attempt { at, .. }
-            | Self::Whole { at, .. }
+            | Self::RequestComplete { at, .. }
             | Self::Reply { at, .. }
             | Self::Probe { at, .. }
             | Self::Ran { at, .. }
-            | Self::Told { at, .. }
+            | Self::ListSent { at, .. }
             | Self::Watch { at, .. }
             | Self::Change { at, .. }
             | Self::Discovery { at, .. }
@@ -312,7 +335,7 @@
             | Self::Kill { at, .. }
             | Self::Exit { at, .. }
             | Self::Stop { from: at, .. }
-            | Self::Crowd { from: at, .. }
+            | Self::FillDescriptors { from: at, .. }
             | Self::Moved { at, .. }
             | Self::Operator { at, .. }
             | Self::Up { at, .. }
--- a/crates/pearfront-soak/src/relay.rs
+++ b/crates/pearfront-soak/src/relay.rs
@@ -1,11 +1,11 @@
 //! The way from nodes to servers: each connection goes through here, and what passes is written down, whoever of both stands
 //! still or dies.
 
+use crate::answer_spec::MAX_BUFFERED_BYTES;
 use crate::clock;
-use crate::http::{Broken, Connection, Message, Rest};
+use crate::http::{Connection, Message, RemainingBody, Truncated};
 use crate::record::{Record, Recorder, ReplyEnd};
-use crate::role::{Order, Orders, RelayRole, Way, listen};
-use crate::wish::KEPT_WHOLE;
+use crate::role::{Order, Orders, RelayMode, RelayRole, listen};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cell::{Cell, RefCell};
@@ -18,61 +18,61 @@
 use tokio::time::sleep;
 
 /// The way to one server.
-struct Passage {
+struct ServerRelay {
     number: usize,
     server: SocketAddrV4,
-    way: Cell<Way>,
+    relay_mode: Cell<RelayMode>,
     recorder: Recorder,
-    chance: Rc<RefCell<ChaCha8Rng>>,
+    rng: Rc<RefCell<ChaCha8Rng>>,
 }
 
 /// How an answer was passed on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Passed {
-    Whole,
+enum ReplyOutcome {
+    Complete,
     /// The connection ends with it.
-    WholeAtEnd,
+    CompleteAtClose,
     /// The node has ended the connection while nothing more came, or while it did not take what came.
-    Left,
-    Cut,
+    NodeClosed,
+    NodeStoppedReading,
     /// The server's connection broke in its middle.
-    ServerBroke,
+    ServerClosed,
 }
 
-impl Passed {
+impl ReplyOutcome {
     fn reply_end(self) -> ReplyEnd {
         match self {
-            Self::Whole | Self::WholeAtEnd => ReplyEnd::Whole,
-            Self::Left => ReplyEnd::LeftByNode,
-            Self::Cut => ReplyEnd::CutByNode,
-            Self::ServerBroke => ReplyEnd::ServerBroke,
+            Self::Complete | Self::CompleteAtClose => ReplyEnd::Complete,
+            Self::NodeClosed => ReplyEnd::NodeClosed,
+            Self::NodeStoppedReading => ReplyEnd::NodeStoppedReading,
+            Self::ServerClosed => ReplyEnd::ServerClosed,
         }
     }
 }
 
-pub async fn play(recorder: Recorder, role: RelayRole, mut orders: Orders) -> Result<(), String> {
-    let chance = Rc::new(RefCell::new(ChaCha8Rng::seed_from_u64(role.seed)));
-    let mut passages = Vec::new();
+pub async fn run(recorder: Recorder, role: RelayRole, mut orders: Orders) -> Result<(), String> {
+    let rng = Rc::new(RefCell::new(ChaCha8Rng::seed_from_u64(role.seed)));
+    let mut relays = Vec::new();
     for (number, (address, server)) in role.servers.into_iter().enumerate() {
-        let passage = Rc::new(Passage {
+        let relay = Rc::new(ServerRelay {
             number,
             server,
-            way: Cell::new(Way::Open),
+            relay_mode: Cell::new(RelayMode::Forward),
             recorder: recorder.clone(),
-            chance: chance.clone(),
+            rng: rng.clone(),
         });
-        spawn_local(passage.clone().accept(listen(address)?));
-        passages.push(passage);
+        spawn_local(relay.clone().accept(listen(address)?));
+        relays.push(relay);
     }
     while let Some(order) = orders.next().await {
-        if let Order::Way { server, way } = order {
-            passages[server].way.set(way);
+        if let Order::RelayMode { server, relay_mode } = order {
+            relays[server].relay_mode.set(relay_mode);
         }
     }
     Ok(())
 }
 
-impl Passage {
+impl ServerRelay {
     async fn accept(self: Rc<Self>, listener: TcpListener) {
         while let Ok((stream, _)) = listener.accept().await {
             spawn_local(self.clone().relay(Connection::new(stream)));
@@ -81,7 +81,7 @@
 
     /// Does something of this share, in percent, happen now?
     fn happens(&self, percent: u8) -> bool {
-        self.chance.borrow_mut().random_range(0..100) < percent
+        self.rng.borrow_mut().random_range(0..100) < percent
     }
 
     async fn relay(self: Rc<Self>, mut node: Connection) {
@@ -89,25 +89,27 @@
         let mut server = Connection::new(stream);
         while let Some(head) = node.head().await {
             let id = head.header("x-trace-id").map(str::to_string);
-            self.note_first(id.as_deref(), &head);
-            if let Way::Resets(percent) = self.way.get()
+            self.record_arrival(id.as_deref(), &head);
+            if let RelayMode::Resets(percent) = self.relay_mode.get()
                 && self.happens(percent)
             {
                 return node.reset();
             }
-            if !self.pass_request(id.as_deref(), &head, &mut node, &mut server).await {
+            if !self.forward_request(id.as_deref(), &head, &mut node, &mut server).await {
                 return;
             }
-            if self.way.get() == Way::Vanished {
+            if self.relay_mode.get() == RelayMode::Blackhole {
                 // Nothing more comes through on this connection; the node gives it up.
                 return node.closed().await;
             }
-            match self.pass_answer(id.as_deref(), &mut node, &mut server).await {
-                Passed::Whole => {}
-                Passed::WholeAtEnd | Passed::Left | Passed::Cut => return,
-                Passed::ServerBroke => return node.reset(),
+            match self.forward_answer(id.as_deref(), &mut node, &mut server).await {
+                ReplyOutcome::Complete => {}
+                ReplyOutcome::CompleteAtClose
+                | ReplyOutcome::NodeClosed
+                | ReplyOutcome::NodeStoppedReading => return,
+                ReplyOutcome::ServerClosed => return node.reset(),
             }
-            if let Way::ClosesIdle(percent) = self.way.get()
+            if let RelayMode::ClosesIdle(percent) = self.relay_mode.get()
                 && self.happens(percent)
             {
                 return;
@@ -116,36 +118,36 @@
     }
 
     /// Passes a request on as it comes; false if a side has ended before it was whole.
-    async fn pass_request(
+    async fn forward_request(
         &self,
         id: Option<&str>,
         head: &Message,
         node: &mut Connection,
         server: &mut Connection,
     ) -> bool {
-        let mut rest = Rest::of_request(head);
+        let mut rest = RemainingBody::of_request(head);
         let mut bytes = head.bytes.clone();
         loop {
             // It has come with its last byte, whether or not its server takes that.
-            if rest == Rest::Over
+            if rest == RemainingBody::Done
                 && let Some(id) = id
             {
-                let whole = Record::Whole { id: id.into(), server: self.number, at: clock::now() };
+                let whole = Record::RequestComplete { id: id.into(), server: self.number, at: clock::now() };
                 self.recorder.write(&whole);
             }
             let written = tokio::select! {
                 written = server.write(&bytes) => written.is_ok(),
                 () = node.closed() => false,
             };
-            if !written || rest == Rest::Over {
+            if !written || rest == RemainingBody::Done {
                 return written;
             }
-            match self.way.get() {
-                Way::TakesNothing => {
+            match self.relay_mode.get() {
+                RelayMode::StopsReading => {
                     node.closed().await;
                     return false;
                 }
-                Way::TakesSlowly(ms) => tokio::select! {
+                RelayMode::ReadsSlowly(ms) => tokio::select! {
                     () = sleep(Duration::from_millis(ms)) => {}
                     () = node.closed() => return false,
                 },
@@ -158,60 +160,67 @@
         }
     }
 
-    async fn pass_answer(&self, id: Option<&str>, node: &mut Connection, server: &mut Connection) -> Passed {
+    async fn forward_answer(
+        &self,
+        id: Option<&str>,
+        node: &mut Connection,
+        server: &mut Connection,
+    ) -> ReplyOutcome {
         let head = tokio::select! {
             head = self.answer_head(server) => head,
-            () = node.closed() => return Passed::Left,
+            () = node.closed() => return ReplyOutcome::NodeClosed,
         };
-        let Some(head) = head else { return Passed::ServerBroke };
+        let Some(head) = head else { return ReplyOutcome::ServerClosed };
         if let Some(id) = id {
             let never_ran = matches!(head.status(), 503 | 504) && head.header("x-never-ran") == Some("1");
             let (id, server) = (id.to_string(), self.number);
             self.recorder.write(&Record::Reply { id, server, at: clock::now(), never_ran });
         }
         let (mut content, mut last) = (0, clock::now());
-        let passed = self.pass_body(&head, node, server, &mut content, &mut last).await;
+        let outcome = self.forward_body(&head, node, server, &mut content, &mut last).await;
         if let Some(id) = id
-            && content > KEPT_WHOLE
+            && content > MAX_BUFFERED_BYTES
         {
-            let (id, server, end) = (id.to_string(), self.number, passed.reply_end());
+            let (id, server, end) = (id.to_string(), self.number, outcome.reply_end());
             self.recorder.write(&Record::ReplyEnded { id, server, at: clock::now(), end, last });
         }
-        passed
+        outcome
     }
 
     /// Passes an answer on as it comes; so many bytes of it went to the node, the last ones then.
-    async fn pass_body(
+    async fn forward_body(
         &self,
         head: &Message,
         node: &mut Connection,
         server: &mut Connection,
         content: &mut usize,
         last: &mut f64,
-    ) -> Passed {
-        let mut rest = Rest::of_answer(head);
+    ) -> ReplyOutcome {
+        let mut rest = RemainingBody::of_answer(head);
         let mut bytes = head.bytes.clone();
         loop {
             if node.write(&bytes).await.is_err() {
-                return Passed::Cut;
+                return ReplyOutcome::NodeStoppedReading;
             }
             *last = clock::now();
             let piece = tokio::select! {
                 piece = server.piece(&mut rest) => piece,
-                () = node.closed() => return Passed::Left,
+                () = node.closed() => return ReplyOutcome::NodeClosed,
             };
             match piece {
                 Ok(Some(piece)) => {
                     *content += piece.content;
                     bytes = piece.raw;
                 }
-                Ok(None) if Rest::of_answer(head) == Rest::UntilEnd => return Passed::WholeAtEnd,
-                Ok(None) => return Passed::Whole,
-                Err(Broken) => return Passed::ServerBroke,
+                Ok(None) if RemainingBody::of_answer(head) == RemainingBody::UntilEnd => {
+                    return ReplyOutcome::CompleteAtClose;
+                }
+                Ok(None) => return ReplyOutcome::Complete,
+                Err(Truncated) => return ReplyOutcome::ServerClosed,
             }
-            if self.way.get() == Way::Vanished {
+            if self.relay_mode.get() == RelayMode::Blackhole {
                 node.closed().await;
-                return Passed::Left;
+                return ReplyOutcome::NodeClosed;
             }
         }
     }
@@ -219,19 +228,22 @@
     /// The head of the server's answer; nothing where the connection breaks.
     async fn answer_head(&self, server: &mut Connection) -> Option<Message> {
         let head = server.head().await?;
-        match self.way.get() {
-            Way::Slow(ms) => sleep(Duration::from_millis(ms)).await,
-            Way::Vanished => pending().await,
+        match self.relay_mode.get() {
+            RelayMode::Slow(ms) => sleep(Duration::from_millis(ms)).await,
+            RelayMode::Blackhole => pending().await,
             _ => {}
         }
         Some(head)
     }
 
-    fn note_first(&self, id: Option<&str>, message: &Message) {
-        let (server, at) = (self.number, message.first);
-        let told = message.header("x-expires-in").and_then(|told| told.parse::<f64>().ok()).unwrap_or(0.0);
+    fn record_arrival(&self, id: Option<&str>, message: &Message) {
+        let (server, at) = (self.number, message.first_byte_at);
+        let expires_in = message
+            .header("x-expires-in")
+            .and_then(|expires_in| expires_in.parse::<f64>().ok())
+            .unwrap_or(0.0);
         self.recorder.write(&match id {
-            Some(id) => Record::Attempt { id: id.into(), server, at, told: told * 1000.0 },
+            Some(id) => Record::Attempt { id: id.into(), server, at, deadline_sent: expires_in * 1000.0 },
             None => Record::Probe { server, at },
         });
     }
--- a/crates/pearfront-soak/src/role.rs
+++ b/crates/pearfront-soak/src/role.rs
@@ -1,7 +1,7 @@
 //! The processes of a soak beside the nodes: each is told what it is by one JSON line on its standard input, and then what to do
 //! by one line an order. It ends with its standard input.
 
-use crate::record::{DiscoveryMode, Recorder, Standing};
+use crate::record::{DiscoveryMode, Lifecycle, Recorder};
 use crate::{client, discovery, relay, server};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
@@ -40,7 +40,8 @@
 pub struct DiscoveryRole {
     pub records: PathBuf,
     /// For each process of a node its first and its second place: calls tell by that whose they are.
-    pub places: Vec<[SocketAddrV4; 2]>,
+    #[serde(rename = "places")]
+    pub addresses: Vec<[SocketAddrV4; 2]>,
     /// For each server, where nodes reach it.
     pub servers: Vec<SocketAddrV4>,
     /// Answers are whole lists without what drains, rather than changes.
@@ -55,7 +56,8 @@
     /// Requests a second to each node.
     pub rate: f64,
     /// Share of requests whose client leaves early.
-    pub leaves: f64,
+    #[serde(rename = "leaves")]
+    pub disconnect_share: f64,
     /// Longest that clients wait, ms, and shortest.
     pub deadlines: (f64, f64),
     pub seed: u64,
@@ -68,15 +70,18 @@
     /// A server turns away what is new from now on.
     Drain,
     /// The relay deals so with one server's connections.
-    Way {
+    #[serde(rename = "way")]
+    RelayMode {
         server: usize,
-        way: Way,
+        #[serde(rename = "way")]
+        relay_mode: RelayMode,
     },
     /// The list changes.
     Publish {
         server: usize,
         version: u64,
-        standing: Standing,
+        #[serde(rename = "standing")]
+        lifecycle: Lifecycle,
         started_unix: f64,
     },
     Discovery {
@@ -84,12 +89,15 @@
     },
     /// A caller's first place says nothing any more: it has been told to call the second.
     Moved {
-        caller: usize,
+        #[serde(rename = "caller")]
+        subscriber: usize,
     },
     /// Clients make new connections to a node, or only use those that they have.
-    Connects {
+    #[serde(rename = "connects")]
+    AllowConnections {
         node: usize,
-        yes: bool,
+        #[serde(rename = "yes")]
+        allowed: bool,
     },
     /// Clients count the connections to a node that they hold idle; this process was the one to close them.
     CountIdle {
@@ -106,12 +114,14 @@
         node: usize,
     },
     /// So many connections on which requests follow one another without a pause until they end.
-    Press {
+    #[serde(rename = "press")]
+    SendBackToBack {
         node: usize,
         count: usize,
     },
     /// So many connections that are only held, for so long.
-    Crowd {
+    #[serde(rename = "crowd")]
+    FillDescriptors {
         node: usize,
         count: usize,
         ms: u64,
@@ -121,10 +131,12 @@
 /// How the relay deals with a server's connections.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Way {
-    Open,
+pub enum RelayMode {
+    #[serde(rename = "open")]
+    Forward,
     /// Nothing comes through, and nothing is said.
-    Vanished,
+    #[serde(rename = "vanished")]
+    Blackhole,
     /// Requests are reset once their first bytes have come, in this share of cases, in percent.
     Resets(u8),
     /// Kept connections are closed behind an answer, in this share of cases, in percent.
@@ -132,9 +144,11 @@
     /// Answers are held back so long, ms.
     Slow(u64),
     /// Nothing of a body is taken.
-    TakesNothing,
+    #[serde(rename = "takes_nothing")]
+    StopsReading,
     /// A piece of a body is taken only so often, ms.
-    TakesSlowly(u64),
+    #[serde(rename = "takes_slowly")]
+    ReadsSlowly(u64),
 }
 
 /// The orders of this process.
@@ -152,7 +166,7 @@
 ///
 /// # Errors
 /// Where the role can't be read, an address be bound or the records be written.
-pub async fn play() -> Result<(), String> {
+pub async fn run() -> Result<(), String> {
     let mut lines = BufReader::new(tokio::io::stdin()).lines();
     let line = lines.next_line().await.map_err(|error| error.to_string())?.ok_or("no role")?;
     let role: Role = serde_json::from_str(&line).map_err(|error| error.to_string())?;
@@ -160,15 +174,15 @@
     let recorder =
         |path: &PathBuf| Recorder::new(path).map_err(|error| format!("{}: {error}", path.display()));
     match role {
-        Role::Server(role) => server::play(recorder(&role.records)?, role, orders).await,
-        Role::Relay(role) => relay::play(recorder(&role.records)?, role, orders).await,
-        Role::Discovery(role) => discovery::play(recorder(&role.records)?, role, orders).await,
-        Role::Client(role) => client::play(recorder(&role.records)?, role, orders).await,
+        Role::Server(role) => server::run(recorder(&role.records)?, role, orders).await,
+        Role::Relay(role) => relay::run(recorder(&role.records)?, role, orders).await,
+        Role::Discovery(role) => discovery::run(recorder(&role.records)?, role, orders).await,
+        Role::Client(role) => client::run(recorder(&role.records)?, role, orders).await,
     }
 }
 
 /// Bytes that the kernel keeps of what a process has not read, about.
-const RECEIVES: u32 = 64 * 1024;
+const RECEIVE_BUFFER_BYTES: u32 = 64 * 1024;
 
 /// Listens at an address.
 pub fn listen(address: SocketAddrV4) -> Result<tokio::net::TcpListener, String> {
@@ -176,7 +190,7 @@
         let socket = tokio::net::TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         // What is not taken is soon seen by whoever sends it.
-        socket.set_recv_buffer_size(RECEIVES)?;
+        socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES)?;
         socket.bind(address.into())?;
         socket.listen(1024)
     };
--- a/crates/pearfront-soak/src/helper.rs
+++ b/crates/pearfront-soak/src/role_process.rs
@@ -1,18 +1,18 @@
 //! The processes of a play that are no nodes, as the player sees them.
 
-use crate::player::Setup;
 use crate::role::{Order, Role};
+use crate::runner::Setup;
 use std::process::{Child, Command, Stdio};
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 use tokio::task::spawn_local;
 
 /// One of the processes that are no nodes.
-pub struct Helper {
+pub struct RoleProcess {
     pub child: Child,
     orders: UnboundedSender<Vec<u8>>,
 }
 
-impl Helper {
+impl RoleProcess {
     /// Has the process do something.
     pub fn order(&self, order: &Order) {
         let mut line = serde_json::to_vec(order).expect("orders are plain");
@@ -22,8 +22,8 @@
 }
 
 /// Starts a process that plays a role.
-pub fn start(setup: &Setup, role: &Role) -> Result<Helper, String> {
-    let (program, argument) = &setup.role;
+pub fn start(setup: &Setup, role: &Role) -> Result<RoleProcess, String> {
+    let (program, argument) = &setup.role_command;
     let mut child = Command::new(program)
         .arg(argument)
         .stdin(Stdio::piped())
@@ -44,5 +44,5 @@
             }
         }
     });
-    Ok(Helper { child, orders })
+    Ok(RoleProcess { child, orders })
 }
--- a/crates/pearfront-soak/src/player.rs
+++ b/crates/pearfront-soak/src/runner.rs
@@ -5,11 +5,11 @@
 
 use crate::clock;
 use crate::discovery::entry;
-use crate::helper::{self, Helper};
 use crate::node_file::node_file;
 use crate::plan::{Fleet, Plan};
-use crate::record::{Record, Recorder, Standing};
+use crate::record::{Lifecycle, Record, Recorder};
 use crate::role::{ClientRole, DiscoveryRole, Order, RelayRole, Role, ServerRole};
+use crate::role_process::{self, RoleProcess};
 use crate::shim::{Control, FAULTS};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
@@ -24,9 +24,9 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 /// Processes that one node may have in a play.
-const LIVES: usize = 12;
+const MAX_PROCESSES_PER_NODE: usize = 12;
 /// How long the fleet has to come up.
-const SETTLE: Duration = Duration::from_millis(1200);
+const STARTUP_TIME: Duration = Duration::from_millis(1200);
 
 /// What a play is made with.
 #[derive(Debug, Clone)]
@@ -34,7 +34,7 @@
     /// The node program.
     pub node: PathBuf,
     /// The program that plays the other roles, and the argument that tells it so.
-    pub role: (PathBuf, String),
+    pub role_command: (PathBuf, String),
     /// Where files and records go.
     pub folder: PathBuf,
     /// The fault shim; without one no system calls fail.
@@ -43,7 +43,7 @@
 
 /// What a play was like.
 #[derive(Debug, Default)]
-pub struct Played {
+pub struct RunSummary {
     pub processes: usize,
     /// How often each fault happened.
     pub faults: BTreeMap<&'static str, u64>,
@@ -55,22 +55,22 @@
 ///
 /// # Errors
 /// Where a process can't be started or a file not be written.
-pub async fn play(plan: &Plan, setup: Setup) -> Result<Played, String> {
+pub async fn run(plan: &Plan, setup: Setup) -> Result<RunSummary, String> {
     std::fs::create_dir_all(&setup.folder).map_err(|error| format!("{}: {error}", setup.folder.display()))?;
-    let player = Player::start(plan, setup).await?;
+    let runner = Runner::start(plan, setup).await?;
     let begun = Instant::now();
     for (at, event) in &plan.events {
         sleep_until(begun + Duration::from_secs_f64(at / 1000.0)).await;
-        player.clone().happen(*event);
+        runner.clone().apply(*event);
     }
     sleep_until(begun + Duration::from_secs_f64(plan.length / 1000.0)).await;
-    Ok(player.end())
+    Ok(runner.end())
 }
 
 /// One process of a node.
 struct Process {
     number: u32,
-    caller: usize,
+    subscriber: usize,
     child: RefCell<Child>,
     file: PathBuf,
     /// Where operators call it.
@@ -85,52 +85,52 @@
     /// Where its processes inherit their listener, if they do.
     listener: Option<TcpListener>,
     processes: RefCell<Vec<Rc<Process>>>,
-    lives: Cell<usize>,
+    processes_started: Cell<usize>,
     grace: Cell<f64>,
-    moved: Cell<bool>,
+    has_moved: Cell<bool>,
     /// Something that changes its processes is on.
     busy: Cell<bool>,
     /// An operator's drain is on.
-    drains: Cell<bool>,
+    operator_drain: Cell<bool>,
     control: Option<Control>,
 }
 
 struct ServerState {
-    standing: Standing,
+    lifecycle: Lifecycle,
     started_unix: f64,
 }
 
-struct Player {
+struct Runner {
     fleet: Fleet,
     seed: u64,
     setup: Setup,
     recorder: Recorder,
     network: [u8; 2],
     nodes: Vec<Node>,
-    servers: RefCell<Vec<Option<Helper>>>,
+    servers: RefCell<Vec<Option<RoleProcess>>>,
     states: RefCell<Vec<ServerState>>,
-    relay: RefCell<Helper>,
-    discovery: RefCell<Helper>,
-    clients: RefCell<Vec<Helper>>,
+    relay: RefCell<RoleProcess>,
+    discovery: RefCell<RoleProcess>,
+    clients: RefCell<Vec<RoleProcess>>,
     version: Cell<u64>,
     /// Rises with each change of discovery's mode, so that an end is that of the last one.
-    modes: Cell<u64>,
+    mode_changes: Cell<u64>,
     counts: RefCell<BTreeMap<&'static str, u64>>,
     processes: Cell<usize>,
-    numbered: Cell<u32>,
+    servers_started: Cell<u32>,
 }
 
 fn pid(child: &Child) -> Option<Pid> {
     Pid::from_raw(i32::try_from(child.id()).ok()?)
 }
 
-impl Player {
-    fn at(&self, host: usize, port: u16) -> SocketAddrV4 {
-        place(self.network, host, port)
+impl Runner {
+    fn address(&self, host: usize, port: u16) -> SocketAddrV4 {
+        loopback_address(self.network, host, port)
     }
 
-    fn caller_place(&self, caller: usize, second: bool) -> SocketAddrV4 {
-        caller_place(self.network, caller, second)
+    fn subscriber_address(&self, subscriber: usize, second: bool) -> SocketAddrV4 {
+        subscriber_address(self.network, subscriber, second)
     }
 
     async fn start(plan: &Plan, setup: Setup) -> Result<Rc<Self>, String> {
@@ -140,25 +140,28 @@
         let network = [128 | (high & 0x7f), low];
         let records = |name: &str| setup.folder.join(format!("{name}.jsonl"));
         let recorder = Recorder::new(&records("player")).map_err(|error| error.to_string())?;
-        let server_places: Vec<_> = (0..fleet.servers)
-            .map(|server| (place(network, 101 + server, 7300), place(network, 101 + server, 7400)))
+        let server_addresses: Vec<_> = (0..fleet.servers)
+            .map(|server| {
+                (loopback_address(network, 101 + server, 7300), loopback_address(network, 101 + server, 7400))
+            })
             .collect();
-        let relay = RelayRole { records: records("relay"), servers: server_places.clone(), seed: plan.seed };
-        let relay = helper::start(&setup, &Role::Relay(relay))?;
+        let relay =
+            RelayRole { records: records("relay"), servers: server_addresses.clone(), seed: plan.seed };
+        let relay = role_process::start(&setup, &Role::Relay(relay))?;
         let discovery = DiscoveryRole {
             records: records("discovery"),
-            places: (0..fleet.nodes * LIVES)
-                .map(|at| [false, true].map(|second| caller_place(network, at, second)))
+            addresses: (0..fleet.nodes * MAX_PROCESSES_PER_NODE)
+                .map(|at| [false, true].map(|second| subscriber_address(network, at, second)))
                 .collect(),
-            servers: server_places.iter().map(|(relay, _)| *relay).collect(),
+            servers: server_addresses.iter().map(|(relay, _)| *relay).collect(),
             whole_lists: fleet.whole_lists,
             seed: plan.seed,
         };
-        let discovery = helper::start(&setup, &Role::Discovery(discovery))?;
+        let discovery = role_process::start(&setup, &Role::Discovery(discovery))?;
         let mut nodes = Vec::new();
         for node in 0..fleet.nodes {
-            let listen = place(network, 1 + node, 7000);
-            let listener = (node < fleet.shared).then(|| TcpListener::bind(listen)).transpose();
+            let listen = loopback_address(network, 1 + node, 7000);
+            let listener = (node < fleet.shared_listeners).then(|| TcpListener::bind(listen)).transpose();
             let control = setup.shim.as_ref().map(|_| {
                 Control::new(
                     setup.folder.join(format!("shim-{node}")),
@@ -169,15 +172,15 @@
                 listen,
                 listener: listener.map_err(|error| format!("{listen}: {error}"))?,
                 processes: RefCell::default(),
-                lives: Cell::new(0),
+                processes_started: Cell::new(0),
                 grace: Cell::new(fleet.grace),
-                moved: Cell::new(false),
+                has_moved: Cell::new(false),
                 busy: Cell::new(false),
-                drains: Cell::new(false),
+                operator_drain: Cell::new(false),
                 control: control.transpose().map_err(|error| error.to_string())?,
             });
         }
-        let player = Rc::new(Self {
+        let runner = Rc::new(Self {
             seed: plan.seed,
             recorder,
             network,
@@ -188,41 +191,41 @@
             discovery: RefCell::new(discovery),
             clients: RefCell::default(),
             version: Cell::new(1),
-            modes: Cell::new(0),
+            mode_changes: Cell::new(0),
             counts: RefCell::default(),
             processes: Cell::new(2),
-            numbered: Cell::new(0),
+            servers_started: Cell::new(0),
             fleet,
             setup,
         });
-        for server in 0..player.fleet.servers {
-            let helper = player.start_server(server)?;
-            player.servers.borrow_mut().push(Some(helper));
-            let state = ServerState { standing: Standing::Ready, started_unix: 0.0 };
-            player.states.borrow_mut().push(state);
-            player.publish(server, Standing::Ready, 0.0);
+        for server in 0..runner.fleet.servers {
+            let role_process = runner.start_server(server)?;
+            runner.servers.borrow_mut().push(Some(role_process));
+            let state = ServerState { lifecycle: Lifecycle::Ready, started_unix: 0.0 };
+            runner.states.borrow_mut().push(state);
+            runner.publish(server, Lifecycle::Ready, 0.0);
         }
-        sleep(SETTLE / 4).await;
-        for node in 0..player.fleet.nodes {
-            player.start_process(node)?;
+        sleep(STARTUP_TIME / 4).await;
+        for node in 0..runner.fleet.nodes {
+            runner.start_process(node)?;
         }
-        sleep(SETTLE).await;
-        player.start_clients()?;
-        Ok(player)
+        sleep(STARTUP_TIME).await;
+        runner.start_clients()?;
+        Ok(runner)
     }
 
-    fn start_server(&self, server: usize) -> Result<Helper, String> {
+    fn start_server(&self, server: usize) -> Result<RoleProcess, String> {
         self.processes.set(self.processes.get() + 1);
-        let number = self.numbered.get();
-        self.numbered.set(number + 1);
+        let number = self.servers_started.get();
+        self.servers_started.set(number + 1);
         let role = ServerRole {
             records: self.setup.folder.join(format!("server-{server}-{number}.jsonl")),
             number: server,
-            address: self.at(101 + server, 7400),
+            address: self.address(101 + server, 7400),
             serves_on: server.is_multiple_of(2),
             seed: self.seed.wrapping_mul(101) + u64::from(number),
         };
-        helper::start(&self.setup, &Role::Server(role))
+        role_process::start(&self.setup, &Role::Server(role))
     }
 
     fn start_clients(&self) -> Result<(), String> {
@@ -232,57 +235,58 @@
                 records: self.setup.folder.join(format!("client-{number}.jsonl")),
                 nodes: self.nodes.iter().map(|node| node.listen).collect(),
                 rate: self.fleet.rate / self.fleet.clients as f64,
-                leaves: self.fleet.leaves,
+                disconnect_share: self.fleet.disconnect_share,
                 deadlines: self.fleet.deadlines,
                 seed: self.seed.wrapping_mul(1009) + number as u64,
             };
-            self.clients.borrow_mut().push(helper::start(&self.setup, &Role::Client(role))?);
+            self.clients.borrow_mut().push(role_process::start(&self.setup, &Role::Client(role))?);
         }
         Ok(())
     }
 
-    fn publish(&self, server: usize, standing: Standing, started_unix: f64) {
+    fn publish(&self, server: usize, lifecycle: Lifecycle, started_unix: f64) {
         let version = self.version.get() + 1;
         self.version.set(version);
-        self.states.borrow_mut()[server] = ServerState { standing, started_unix };
-        self.recorder.write(&Record::Change { version, server, standing, at: clock::now() });
-        self.discovery.borrow().order(&Order::Publish { server, version, standing, started_unix });
+        self.states.borrow_mut()[server] = ServerState { lifecycle, started_unix };
+        self.recorder.write(&Record::Change { version, server, lifecycle, at: clock::now() });
+        self.discovery.borrow().order(&Order::Publish { server, version, lifecycle, started_unix });
     }
 
     /// A node's file, which knows the servers that are ready now.
-    fn config(&self, node: usize, caller: usize) -> Value {
+    fn config(&self, node: usize, subscriber: usize) -> Value {
         let states = self.states.borrow();
-        let ready = states.iter().enumerate().filter(|(_, state)| state.standing == Standing::Ready);
+        let ready = states.iter().enumerate().filter(|(_, state)| state.lifecycle == Lifecycle::Ready);
         let line = |(server, state): (usize, &ServerState)| {
-            entry(server, self.at(101 + server, 7300), state.standing, state.started_unix)
+            entry(server, self.address(101 + server, 7300), state.lifecycle, state.started_unix)
         };
         let known: Vec<Value> = ready.map(line).collect();
         let state = &self.nodes[node];
-        let place = self.caller_place(caller, state.moved.get());
+        let discovery_address = self.subscriber_address(subscriber, state.has_moved.get());
         let list = json!({"generation": self.version.get(), "reset": true, "instances": known});
-        let mut config = node_file(&self.fleet, state.grace.get(), list, place);
-        config["seed"] = json!(format!("{:x}", self.seed.wrapping_mul(77) + caller as u64));
+        let mut config = node_file(&self.fleet, state.grace.get(), list, discovery_address);
+        config["seed"] = json!(format!("{:x}", self.seed.wrapping_mul(77) + subscriber as u64));
         config
     }
 
     /// Starts one more process of a node.
     fn start_process(&self, node: usize) -> Result<Rc<Process>, String> {
         let state = &self.nodes[node];
-        let life = state.lives.get();
-        state.lives.set(life + 1);
-        state.moved.set(false);
-        let caller = node * LIVES + life;
-        let admin = self.at(1 + node, 7500 + life as u16);
-        let file = self.setup.folder.join(format!("node-{node}-{life}.json"));
-        std::fs::write(&file, self.config(node, caller).to_string()).map_err(|error| error.to_string())?;
-        let log = self.setup.folder.join(format!("node-{node}-{life}.log"));
+        let process_index = state.processes_started.get();
+        state.processes_started.set(process_index + 1);
+        state.has_moved.set(false);
+        let subscriber = node * MAX_PROCESSES_PER_NODE + process_index;
+        let admin = self.address(1 + node, 7500 + process_index as u16);
+        let file = self.setup.folder.join(format!("node-{node}-{process_index}.json"));
+        std::fs::write(&file, self.config(node, subscriber).to_string())
+            .map_err(|error| error.to_string())?;
+        let log = self.setup.folder.join(format!("node-{node}-{process_index}.log"));
         let log = std::fs::File::create(log).map_err(|error| error.to_string())?;
         let mut command = Command::new("sh");
         let inherits = if state.listener.is_some() { "exec \"$0\" 7<&0 </dev/null" } else { "exec \"$0\"" };
         command.args(["-c", inherits]).arg(&self.setup.node).stdout(Stdio::null()).stderr(log);
         command.env("ROUTER_NAME", format!("n{node}")).env("ROUTER_LISTEN", state.listen.to_string());
         command
-            .env("ROUTER_DISCOVERY", self.caller_place(caller, false).to_string())
+            .env("ROUTER_DISCOVERY", self.subscriber_address(subscriber, false).to_string())
             .env("ROUTER_CONFIG", &file)
             .env("ROUTER_ADMIN", admin.to_string());
         command.stdin(Stdio::null());
@@ -298,11 +302,11 @@
         }
         let child = command.spawn().map_err(|error| format!("{}: {error}", self.setup.node.display()))?;
         let number = child.id();
-        self.recorder.write(&Record::Start { node, process: number, caller, at: clock::now() });
+        self.recorder.write(&Record::Start { node, process: number, subscriber, at: clock::now() });
         self.processes.set(self.processes.get() + 1);
         let process = Rc::new(Process {
             number,
-            caller,
+            subscriber,
             child: RefCell::new(child),
             file,
             admin,
@@ -346,7 +350,7 @@
     }
 
     /// Ends all processes; nodes by SIGKILL, as what was owed has been answered by now.
-    fn end(&self) -> Played {
+    fn end(&self) -> RunSummary {
         for (number, node) in self.nodes.iter().enumerate() {
             for process in node.processes.borrow().iter() {
                 if !self.has_ended(number, process) {
@@ -362,15 +366,15 @@
                 }
             }
         }
-        let mut helpers: Vec<Helper> = self.clients.borrow_mut().drain(..).collect();
-        helpers.extend(self.servers.borrow_mut().drain(..).flatten());
-        for helper in &mut helpers {
-            let _ = helper.child.kill();
-            let _ = helper.child.wait();
+        let mut role_processes: Vec<RoleProcess> = self.clients.borrow_mut().drain(..).collect();
+        role_processes.extend(self.servers.borrow_mut().drain(..).flatten());
+        for role_process in &mut role_processes {
+            let _ = role_process.child.kill();
+            let _ = role_process.child.wait();
         }
-        for helper in [&self.relay, &self.discovery] {
-            let _ = helper.borrow_mut().child.kill();
-            let _ = helper.borrow_mut().child.wait();
+        for role_process in [&self.relay, &self.discovery] {
+            let _ = role_process.borrow_mut().child.kill();
+            let _ = role_process.borrow_mut().child.wait();
         }
         let mut faults = self.counts.borrow().clone();
         for node in &self.nodes {
@@ -379,7 +383,7 @@
                 *faults.entry(name).or_default() += count;
             }
         }
-        Played { processes: self.processes.get(), faults, violations: violations(&self.setup.folder) }
+        RunSummary { processes: self.processes.get(), faults, violations: violations(&self.setup.folder) }
     }
 }
 
@@ -393,11 +397,11 @@
         .sum()
 }
 
-fn place(network: [u8; 2], host: usize, port: u16) -> SocketAddrV4 {
+fn loopback_address(network: [u8; 2], host: usize, port: u16) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(127, network[0], network[1], host as u8), port)
 }
 
 /// Where a process of a node calls discovery, at first and once that has moved.
-fn caller_place(network: [u8; 2], caller: usize, second: bool) -> SocketAddrV4 {
-    place(network, caller % 200 + 1, 7100 + (caller / 200) as u16 * 10 + u16::from(second))
+fn subscriber_address(network: [u8; 2], subscriber: usize, second: bool) -> SocketAddrV4 {
+    loopback_address(network, subscriber % 200 + 1, 7100 + (subscriber / 200) as u16 * 10 + u16::from(second))
 }
--- a/crates/pearfront-soak/src/player/operators.rs
+++ b/crates/pearfront-soak/src/runner/operators.rs
@@ -1,6 +1,6 @@
 //! Operators' calls at a node's `admin` address, and what `GET /up` says behind them.
 
-use super::{Player, Process};
+use super::{Process, Runner};
 use crate::clock;
 use crate::http::Connection;
 use crate::record::{OperatorCall, Record};
@@ -14,66 +14,66 @@
 /// How long an operator waits for an answer.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1000);
 /// The front sends new connections for so long after `GET /up` says no, which it asks this often.
-const FRONT_SENDS: Duration = Duration::from_millis(200);
-const FRONT_ASKS: Duration = Duration::from_millis(100);
+const FRONT_STOP_DELAY: Duration = Duration::from_millis(200);
+const FRONT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// So long after a call to drain `GET /up` is asked whether it says no, and clients what they still hold: 4 s, and some slack.
-const LOOKED_AT: Duration = Duration::from_millis(4300);
+const DRAIN_CHECK_DELAY: Duration = Duration::from_millis(4300);
 /// So long after the end of a drain it has to say yes.
-const YES_DUE: Duration = Duration::from_millis(2000);
+const READY_TIMEOUT: Duration = Duration::from_millis(2000);
 
-impl Player {
+impl Runner {
     /// Has the node's process drain for so long, and take clients again.
-    pub(super) async fn drain_node(&self, node: usize, drains_for: Duration) {
+    pub(super) async fn drain_node(&self, node: usize, drain_duration: Duration) {
         let Some(process) = self.current(node) else { return };
         let begun = Instant::now();
-        self.call_operators(node, &process, OperatorCall::DrainOn).await;
-        sleep(FRONT_ASKS + FRONT_SENDS).await;
-        self.front_sends(node, &process, false);
-        if drains_for > LOOKED_AT {
-            sleep_until(begun + LOOKED_AT).await;
-            self.ask_up(node, &process).await;
+        self.call_admin(node, &process, OperatorCall::DrainOn).await;
+        sleep(FRONT_CHECK_INTERVAL + FRONT_STOP_DELAY).await;
+        self.set_front_connections(node, &process, false);
+        if drain_duration > DRAIN_CHECK_DELAY {
+            sleep_until(begun + DRAIN_CHECK_DELAY).await;
+            self.check_up(node, &process).await;
             let count = Order::CountIdle { node, process: process.number };
             self.clients.borrow().iter().for_each(|client| client.order(&count));
         }
-        sleep_until(begun + drains_for).await;
-        self.call_operators(node, &process, OperatorCall::DrainOff).await;
-        let due = Instant::now() + YES_DUE;
-        while !self.ask_up(node, &process).await && Instant::now() < due {
-            sleep(FRONT_ASKS).await;
+        sleep_until(begun + drain_duration).await;
+        self.call_admin(node, &process, OperatorCall::DrainOff).await;
+        let due = Instant::now() + READY_TIMEOUT;
+        while !self.check_up(node, &process).await && Instant::now() < due {
+            sleep(FRONT_CHECK_INTERVAL).await;
         }
-        self.front_sends(node, &process, true);
+        self.set_front_connections(node, &process, true);
     }
 
     /// Clients make new connections to the node from now on, or none; where its process ends, that decides.
-    fn front_sends(&self, node: usize, process: &Rc<Process>, yes: bool) {
+    fn set_front_connections(&self, node: usize, process: &Rc<Process>, allowed: bool) {
         let is_current = self.current(node).is_some_and(|current| Rc::ptr_eq(&current, process));
         if is_current {
-            self.connects(node, yes);
+            self.allow_connections(node, allowed);
         }
     }
 
-    async fn call_operators(&self, node: usize, process: &Process, call: OperatorCall) {
+    async fn call_admin(&self, node: usize, process: &Process, call: OperatorCall) {
         let path = match call {
             OperatorCall::DrainOn => "PUT /_lameduck/on",
             OperatorCall::DrainOff => "PUT /_lameduck/off",
         };
         let at = clock::now();
-        let status = ask(process.admin, path).await;
+        let status = call_status(process.admin, path).await;
         let process = process.number;
         self.recorder.write(&Record::Operator { node, process, call, at, status });
     }
 
     /// Does the node say that it takes clients?
-    async fn ask_up(&self, node: usize, process: &Process) -> bool {
+    async fn check_up(&self, node: usize, process: &Process) -> bool {
         let at = clock::now();
-        let status = ask(self.nodes[node].listen, "GET /up").await;
+        let status = call_status(self.nodes[node].listen, "GET /up").await;
         self.recorder.write(&Record::Up { node, process: process.number, at, status });
         status == Some(200)
     }
 }
 
 /// The status of the answer to a call without a body, if one comes in time.
-async fn ask(address: SocketAddrV4, call: &str) -> Option<u16> {
+async fn call_status(address: SocketAddrV4, call: &str) -> Option<u16> {
     let head = format!("{call} HTTP/1.1\r\nHost: node\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
     let answer = async {
         let mut connection = Connection::new(TcpStream::connect(address).await.ok()?);
--- a/crates/pearfront-soak/src/shim.rs
+++ b/crates/pearfront-soak/src/shim.rs
@@ -19,7 +19,7 @@
     Interrupted,
     Short,
     NoBuffers,
-    HoldUp,
+    Delay,
 }
 
 /// All of them.
@@ -30,17 +30,17 @@
     (Fault::Interrupted, "a call was interrupted (EINTR)"),
     (Fault::Short, "a short read or write"),
     (Fault::NoBuffers, "a send without buffers (ENOBUFS, ENOMEM)"),
-    (Fault::HoldUp, "held up 0.15 s at a system call"),
+    (Fault::Delay, "held up 0.15 s at a system call"),
 ];
 
 /// How long one hold-up lasts, us.
-pub const HOLD_UP_US: u32 = 150_000;
+pub const DELAY_US: u32 = 150_000;
 
 const WALL_OFFSET: u64 = 0;
 const SEED: u64 = 8;
 const PER_MILLION: u64 = 16;
-const HOLD_UP: u64 = PER_MILLION + 4 * FAULTS.len() as u64;
-const COUNTS: u64 = HOLD_UP + 4;
+const DELAY: u64 = PER_MILLION + 4 * FAULTS.len() as u64;
+const COUNTS: u64 = DELAY + 4;
 const LENGTH: u64 = COUNTS + 8 * FAULTS.len() as u64;
 
 /// Compiles the library into this folder.
@@ -71,7 +71,7 @@
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(&path)?;
         file.set_len(LENGTH)?;
         file.write_all_at(&seed.to_ne_bytes(), SEED)?;
-        file.write_all_at(&HOLD_UP_US.to_ne_bytes(), HOLD_UP)?;
+        file.write_all_at(&DELAY_US.to_ne_bytes(), DELAY)?;
         Ok(Self { file, path })
     }
 
@@ -105,8 +105,8 @@
 }
 
 /// A step of the wall clock: seconds or an hour, either way.
-pub fn wall_step(chance: &mut impl Rng) -> i64 {
+pub fn draw_wall_clock_step(rng: &mut impl Rng) -> i64 {
     const SECOND: i64 = 1_000_000_000;
-    let size = if chance.random_bool(0.5) { 3600 * SECOND } else { chance.random_range(1..20) * SECOND };
-    if chance.random_bool(0.5) { size } else { -size }
+    let size = if rng.random_bool(0.5) { 3600 * SECOND } else { rng.random_range(1..20) * SECOND };
+    if rng.random_bool(0.5) { size } else { -size }
 }
