--- a/crates/pearfront-soak/shim/fault_shim.c
+++ b/crates/pearfront-soak/shim/fault_shim.c
@@ -1,6 +1,6 @@
-/* Faults for one node process, loaded in front of the C library: system calls that fail as Linux documents, short reads and
- * writes, hold-ups and a wall clock that is stepped. What it does is read from a shared file (FAULT_SHIM), whose layout
- * src/shim.rs writes; how often each fault happened is counted there. */
+/* Fault injection for one node process, preloaded in front of the C library: system calls that fail as Linux documents, short
+ * reads and writes, delays and steps of the wall clock. The rates of the faults are read from a shared file (FAULT_SHIM) that
+ * src/shim.rs writes, and each injected fault is counted there. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
@@ -16,6 +16,7 @@
 
 enum fault { SOCKET, CONNECT, ACCEPT, INTERRUPTED, SHORT, NO_BUFFERS, DELAY, FAULTS };
 
+/* The layout of the shared file; src/shim.rs has the same offsets. */
 struct control {
     int64_t wall_offset_ns;
     uint64_t seed;
@@ -53,7 +54,7 @@
     return 1;
 }
 
-/* The runtime's own pipes are left alone: they never wait, so Linux never interrupts them. */
+/* The async runtime's own pipes meet no faults: calls on them never block, so Linux never interrupts them. */
 static int is_network(int socket) {
     int domain = 0;
     socklen_t length = sizeof domain;
@@ -70,7 +71,7 @@
     static __typeof__(name) *real; \
     if (!real) real = (__typeof__(name) *)dlsym(RTLD_NEXT, #name)
 
-/* Between a look at a clock and a write, or behind a read: anywhere. */
+/* Delays the process before a write, so between its reading of a clock and the write, or after a read. */
 static void delay(void) {
     if (!should_inject(DELAY)) return;
     struct timespec time = {0, (long)control->delay_us * 1000};
--- a/crates/pearfront-soak/src/answer_spec.rs
+++ b/crates/pearfront-soak/src/answer_spec.rs
@@ -1,34 +1,36 @@
-//! What kind of answer a client wants of a server: it stands in the request's query, which nodes pass on unchanged.
+//! The answer that a client requests of a server: its form and length. They travel in the query of the request, which nodes
+//! forward unchanged. Drawn by clients, decoded by servers.
 
 use crate::http::Message;
 use rand::Rng;
 use std::ops::RangeInclusive;
 
-/// Share of requests with a wish of their own.
+/// Share of requests that ask for an answer of a certain form.
 const SPEC_SHARE: f64 = 0.06;
-/// Longest answer or body, bytes, and the shortest that is drawn.
+/// Longest and shortest answer or body that is drawn, bytes.
 const MAX_LENGTH_BYTES: usize = 32 * 1024 * 1024;
 const MIN_LENGTH_BYTES: f64 = 1000.0;
-/// The kernels on the way keep a body of this length, and a node does not see its end while it is not taken.
+/// Lengths of a body, bytes, of which the kernels on the way buffer a part, so that a node does not see the end of the body
+/// while the receiver does not read it. `KERNEL_BUFFERED_SHARE` of the lengths are drawn from this range.
 const KERNEL_BUFFERED_BYTES: RangeInclusive<usize> = 2 * 1024 * 1024..=8 * 1024 * 1024;
 const KERNEL_BUFFERED_SHARE: f64 = 0.25;
-/// Most bytes that a node keeps whole.
+/// Longest answer, bytes, that a node buffers whole; it streams longer ones.
 pub const MAX_BUFFERED_BYTES: usize = 64 * 1024;
 
-/// What an answer looks like.
+/// How an answer is framed and sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerForm {
     Length,
     Chunked,
-    /// Ends with its connection.
+    /// Its body extends to the end of the connection.
     UntilEnd,
-    /// Stops in its middle, its connection open.
+    /// Stops half-way, with the connection left open.
     Stalls,
-    /// Its second half comes drop by drop.
+    /// Its second half comes in small blocks with pauses.
     Trickles,
-    /// Goes on drop by drop for ever.
+    /// Goes on in small blocks without end.
     Endless,
-    /// Begins late.
+    /// Begins after a delay.
     Late,
 }
 
@@ -42,13 +44,14 @@
     (AnswerForm::Late, "late"),
 ];
 
+/// The form and length of the answer that a request asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AnswerSpec {
     pub form: AnswerForm,
     pub length: usize,
 }
 
-/// A length, bytes: of any order of magnitude, or one of which the kernels keep a part.
+/// Draws a length in bytes: of any order of magnitude, or one of which the kernels buffer a part.
 pub fn draw_length(rng: &mut impl Rng) -> usize {
     if rng.random_bool(KERNEL_BUFFERED_SHARE) {
         return rng.random_range(KERNEL_BUFFERED_BYTES);
@@ -58,7 +61,7 @@
 }
 
 impl AnswerSpec {
-    /// What a request wants, if anything in particular.
+    /// Draws the answer that a request asks for; `None` for the server's default.
     pub fn draw(rng: &mut impl Rng) -> Option<Self> {
         rng.random_bool(SPEC_SHARE).then(|| {
             let (form, _) = ANSWER_FORMS[rng.random_range(0..ANSWER_FORMS.len())];
@@ -66,11 +69,13 @@
         })
     }
 
+    /// The query that carries it.
     pub fn encode(&self) -> String {
         let name = ANSWER_FORMS.iter().find(|(form, _)| *form == self.form).expect("each has a name").1;
         format!("?answer={}&form={name}", self.length)
     }
 
+    /// Reads it from a request's query, if there is one.
     pub fn decode(request: &Message) -> Option<Self> {
         let length = request.query("answer")? as usize;
         let named = request.query_text("form")?;
--- a/crates/pearfront-soak/src/client.rs
+++ b/crates/pearfront-soak/src/client.rs
@@ -1,5 +1,5 @@
-//! Clients of the nodes: requests at random times on kept and new connections, of all sizes and forms, some of which leave,
-//! stall or come in floods.
+//! The role of clients: requests to nodes at random times, on kept and new connections, of all sizes and forms. Some clients
+//! disconnect early, stall, pipeline requests or come in floods.
 
 mod exchange;
 mod patterns;
@@ -23,16 +23,16 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Idle connections to a node that are kept at the most.
+/// Most idle connections to a node that are kept.
 const MAX_IDLE: usize = 12;
-/// Share of the times at which several requests come in one write, and so many then.
+/// Share of arrivals at which several requests are sent in one write, and their number.
 const BURST_SHARE: f64 = 0.02;
 const BURST_SIZE: RangeInclusive<usize> = 2..=8;
 
-/// Share of the times at which requests come behind one whose answer takes long.
+/// Share of arrivals at which requests are pipelined behind one with a slow answer.
 const PIPELINE_SHARE: f64 = 0.02;
 
-/// Requests in the mean at each time at which a client asks.
+/// Mean number of requests at each arrival.
 pub fn mean_requests_per_arrival() -> f64 {
     let in_a_burst = (BURST_SIZE.start() + BURST_SIZE.end()) as f64 / 2.0;
     let behind = (pipeline::FOLLOWERS.start() + pipeline::FOLLOWERS.end()) as f64 / 2.0;
@@ -45,10 +45,10 @@
     idle: RefCell<Vec<Connection>>,
 }
 
-/// A connection to ask on.
+/// A connection for a request.
 struct Opened {
     connection: Connection,
-    /// Nothing has been asked on it yet.
+    /// No request was sent on it yet.
     new_connection: bool,
 }
 
@@ -59,6 +59,7 @@
     nodes: Vec<Node>,
 }
 
+/// Sends requests to all nodes and follows orders until those end.
 pub async fn run(recorder: Recorder, role: ClientRole, mut orders: Orders) -> Result<(), String> {
     let new = |address: &SocketAddrV4| Node {
         address: *address,
@@ -121,7 +122,7 @@
 
     async fn send_one(self: Rc<Self>, node: usize) {
         let mut request = self.draw();
-        // A kept connection may be closed in the moment of its use; then the request goes again, on a new one.
+        // A node may close a kept connection just when it is used; then the request is sent again on a new one.
         let Some(Opened { mut connection, mut new_connection }) = self.open(node).await else { return };
         loop {
             match self.exchange(node, &request, &mut connection, new_connection).await {
@@ -136,7 +137,7 @@
         }
     }
 
-    /// A kept connection, or a new one.
+    /// Takes a kept connection, or opens a new one.
     async fn open(&self, node: usize) -> Option<Opened> {
         if let Some(connection) = self.take_idle(node) {
             return Some(Opened { connection, new_connection: false });
@@ -160,7 +161,7 @@
     fn take_idle(&self, node: usize) -> Option<Connection> {
         let mut idle = self.nodes[node].idle.borrow_mut();
         let count = idle.len();
-        // Any of them, so that some rest for long; often a new one although there are some, while there may be new ones.
+        // Picks at random, so that some connections stay idle for long; where new connections are allowed, often opens one all the same.
         let is_kept_used = !self.nodes[node].may_connect.get() || self.happens(0.8);
         (count > 0 && is_kept_used).then(|| idle.swap_remove(self.rng.borrow_mut().random_range(0..count)))
     }
--- a/crates/pearfront-soak/src/client/exchange.rs
+++ b/crates/pearfront-soak/src/client/exchange.rs
@@ -1,4 +1,4 @@
-//! One request on a connection, and its answer.
+//! One exchange on a connection: a client writes a request and reads the answer.
 
 use super::Client;
 use super::request::{Pace, Request};
@@ -9,56 +9,58 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
-/// How long behind a request the end of a kept connection may have crossed it, ms.
+/// How long after a request the close of a kept connection counts as having raced with it, ms.
 pub const CLOSE_RACE_MS: f64 = 50.0;
-/// How long a client waits beyond its deadline before it gives up for good.
+/// How long a client waits beyond the deadline for an answer to begin.
 const GIVE_UP_AFTER_DEADLINE: Duration = Duration::from_secs(3);
-/// The same once its answer has begun.
+/// How long a client goes on reading an answer that has begun.
 const MAX_ANSWER_TIME: Duration = Duration::from_secs(4);
-/// How long one that has stalled stays at the most.
+/// How long a stalled client keeps its connection open.
 pub const STALLED_TIMEOUT: Duration = Duration::from_secs(6);
-/// Longest that it takes to bring a body.
+/// Longest time for writing a body.
 const MAX_BODY_TIME: Duration = Duration::from_secs(8);
-/// Bytes written at a time, and the pause behind them where they come slowly: 64 kB a second and more.
+/// Bytes of a write; for slow bodies the bytes of a write and the pause after it: 64 kB a second and more.
 const BLOCK_BYTES: usize = 64 * 1024;
 const SLOW_BLOCK_BYTES: usize = 16 * 1024;
 const SLOW_PAUSE: Duration = Duration::from_millis(200);
-/// Pause between two pieces of an answer that is taken slowly.
+/// Pause between two reads of an answer that is read slowly.
 const READ_PAUSE: Duration = Duration::from_millis(100);
 
 /// A request that has been written.
 #[derive(Debug, Clone, Copy)]
 pub struct Sent {
-    /// When its last byte was.
+    /// When its last byte was written.
     pub at: f64,
-    /// On a new connection.
+    /// It is the first on its connection.
     pub new_connection: bool,
 }
 
+/// How an exchange ended.
 pub enum Outcome {
     Answered {
         kept: bool,
     },
-    /// The end of its connection crossed it.
+    /// The node closed the connection while the request was on its way.
     CloseRaced,
+    /// Any other end; the connection is not used again.
     Finished,
 }
 
 /// How the writing of a request went.
 enum Written {
-    /// Its last byte was written then.
+    /// Its last byte was written at this time.
     Complete(f64),
     Failed,
-    /// Its client stopped in the middle of the body then.
+    /// The client stopped half-way through the body at this time.
     Stopped(f64),
-    /// Something came before it was whole.
+    /// The node answered or closed the connection before the request was complete.
     AnsweredEarly,
 }
 
-/// The beginning of an answer: all of it, or as much as tells that it is not kept whole.
+/// The start of an answer: all of it, or enough to know that it is too large for a node to buffer.
 enum AnswerStart {
     Complete(Message),
-    /// Its first bytes came then.
+    /// Its first bytes came at `first`.
     Streamed {
         head: Message,
         rest: RemainingBody,
@@ -66,7 +68,7 @@
     },
 }
 
-/// Takes the beginning of an answer; nothing where the connection ends before.
+/// Reads the start of an answer; `None` if the connection ends first.
 async fn read_answer_start(connection: &mut Connection) -> Option<AnswerStart> {
     let head = connection.head().await?;
     let first = clock::now();
@@ -89,6 +91,7 @@
     answer.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"))
 }
 
+/// Returns when the client disconnects early, if it does.
 async fn disconnect_after(after: Option<f64>) {
     match after {
         Some(ms) => sleep(Duration::from_secs_f64(ms / 1000.0)).await,
@@ -96,7 +99,7 @@
     }
 }
 
-/// Has anything come, or has the node ended the connection?
+/// Waits until bytes have come or the node has closed the connection.
 async fn wait_readable(connection: &Connection) {
     let _ = connection.stream.readable().await;
 }
@@ -123,7 +126,7 @@
     if request.chunked && !stops { connection.write(b"0\r\n\r\n").await } else { Ok(()) }
 }
 
-/// Writes a request, as long as nothing comes before it is whole.
+/// Writes a request, and stops if anything comes before it is complete.
 async fn write(request: &Request, connection: &mut Connection) -> Written {
     if connection.write(&request.head()).await.is_err() {
         return Written::Failed;
@@ -131,7 +134,7 @@
     if request.length == 0 && !request.chunked {
         return Written::Complete(clock::now());
     }
-    // The stream takes writes and tells of reads at once: the other side of it is only looked at.
+    // A second handle of the socket waits for reads while the first one writes.
     let Some(other) = connection.writer() else { return Written::Failed };
     tokio::select! {
         biased;
@@ -145,7 +148,8 @@
     }
 }
 
-/// Did the connection's end cross a request? One that was new has shown it by the reset that its bytes met behind the end.
+/// Whether the close of the connection raced with a request. On a new connection that shows by the reset that its bytes met
+/// after the close.
 pub async fn has_close_raced(connection: &Connection, sent: Sent, ended: f64) -> bool {
     let is_unread = !sent.new_connection || connection.is_reset_after_close().await;
     ended - sent.at < CLOSE_RACE_MS && is_unread
@@ -164,7 +168,7 @@
             Written::Complete(at) => {
                 self.wait(node, request, connection, began, Sent { at, new_connection }).await
             }
-            // Not taken: its last byte was never written.
+            // The request does not count: its last byte was never written.
             Written::Failed if !new_connection && request.length == 0 => Outcome::CloseRaced,
             Written::Failed | Written::AnsweredEarly => Outcome::Finished,
             Written::Stopped(at) => {
@@ -174,7 +178,7 @@
         }
     }
 
-    /// Waits for what a client gets that has stopped in the middle of a request.
+    /// Waits for the answer or the close that a client gets which has stalled in a request.
     pub(super) async fn wait_for_end(&self, node: usize, connection: &mut Connection, at: f64) {
         let ended = timeout(STALLED_TIMEOUT, connection.message()).await.ok().map(|_| clock::now());
         self.recorder.write(&Record::Stalled { node, at, ended });
@@ -205,14 +209,14 @@
         tokio::select! {
             ended = self.read_answer(request, connection, sent) => ended,
             () = disconnect_after(request.disconnect_after_ms) => {
-                // It is written down before it can be seen.
+                // The record is written before the node can see the disconnection.
                 self.recorder.write(&Record::Disconnected { id, at: clock::now() });
                 Outcome::Finished
             }
         }
     }
 
-    /// Takes the answer to a request.
+    /// Reads and records the answer to a request.
     pub(super) async fn read_answer(
         &self,
         request: &Request,
@@ -247,7 +251,7 @@
         }
     }
 
-    /// Takes an answer that flows; whether it came whole.
+    /// Reads the rest of a streamed answer; whether it came complete.
     async fn read_stream(
         &self,
         request: &Request,
--- a/crates/pearfront-soak/src/client/patterns.rs
+++ b/crates/pearfront-soak/src/client/patterns.rs
@@ -1,5 +1,5 @@
-//! Clients that do more than ask and wait: several requests in one write, one request after the other without a pause, and
-//! crowds that only hold connections.
+//! Traffic of clients other than single requests: several requests in one write, requests without a pause, connections that are
+//! only held, and stalled requests.
 
 use super::exchange::{Outcome, Sent, closes_connection, has_close_raced};
 use super::request::Request;
@@ -12,15 +12,15 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
-/// How long a client waits beyond its deadline.
+/// How long a client waits beyond the deadline.
 const GIVE_UP_AFTER_DEADLINE: Duration = Duration::from_secs(3);
-/// How long a client asks without a pause at the most.
+/// Longest time for which a client sends requests without a pause.
 const BACK_TO_BACK_DURATION: Duration = Duration::from_secs(5);
-/// How often one of a crowd looks whether its connection stands, and tries again.
+/// Pause before a held connection that was closed is opened again.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(20);
 
 impl Client {
-    /// Several requests in one write on a new connection; their answers come in the same order.
+    /// Sends several requests in one write on a new connection; their answers come in the same order.
     pub(super) async fn burst(self: Rc<Self>, node: usize) {
         let Some(mut connection) = self.connect(node).await else { return };
         let requests: Vec<Request> = {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The connection has ended before these were answered.
+    /// Records that the connection ended before these were answered.
     fn record_unanswered(&self, requests: &[Request], end: End, close_raced: bool) {
         for request in requests {
             let (id, reset) = (request.id.clone(), end == End::Reset);
@@ -75,7 +75,7 @@
         }
     }
 
-    /// One request after the other on one connection, until that ends.
+    /// Sends requests one after the other on one connection, without a pause, until it ends.
     pub(super) async fn send_back_to_back(self: Rc<Self>, node: usize) {
         let Some(mut connection) = self.connect(node).await else { return };
         let until = Instant::now() + BACK_TO_BACK_DURATION;
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Holds a connection with nothing or half a head on it, and opens it anew where it is closed.
+    /// Holds a connection with nothing or half a head sent on it, and opens another when it is closed.
     pub(super) async fn fill_descriptors(self: Rc<Self>, node: usize, time: Duration) {
         let until = Instant::now() + time;
         let half = self.draw().head();
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Half a request, whose client stays.
+    /// Sends half a request and keeps the connection open.
     pub(super) async fn stall(self: Rc<Self>, node: usize) {
         let Some(mut connection) = self.connect(node).await else { return };
         let half = self.draw().head();
--- a/crates/pearfront-soak/src/client/pipeline.rs
+++ b/crates/pearfront-soak/src/client/pipeline.rs
@@ -1,4 +1,4 @@
-//! Requests that lie on one connection behind one whose answer takes long: it comes late, stops in its middle or drips.
+//! Requests that are pipelined behind one with a slow answer, which begins late, stops half-way or trickles.
 
 use super::exchange::{CLOSE_RACE_MS, Outcome, Sent};
 use super::request::Request;
@@ -16,23 +16,23 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Requests behind the first one.
+/// Number of requests behind the first one.
 pub const FOLLOWERS: RangeInclusive<usize> = 1..=3;
-/// What the first one's answer is like, and its length, bytes: more than a node keeps whole.
+/// Forms of the first one's answer, and its length, bytes: more than a node buffers.
 const SLOW_ANSWER_FORMS: [AnswerForm; 4] =
     [AnswerForm::Late, AnswerForm::Stalls, AnswerForm::Trickles, AnswerForm::Endless];
 const SLOW_LENGTH: RangeInclusive<usize> = 100_000..=300_000;
-/// Share of lines that come in one write, and the pause before each request of the others, ms.
+/// Share of pipelines that are sent in one write, and the pause after each write, ms.
 const SINGLE_WRITE_SHARE: f64 = 0.3;
 const WRITE_PAUSE_MS: Range<u64> = 0..300;
-/// How much of the clients' range of deadlines a request behind has, and where the first one's begins.
+/// The requests behind have deadlines from this lowest part of the clients' range, the first one from the highest part.
 const SHORT_DEADLINE_SHARE: f64 = 0.2;
 
-/// What has been written of a line.
+/// The requests of a pipeline that have been written, and when.
 type Written = Rc<RefCell<Vec<(Request, f64)>>>;
 
 impl Client {
-    /// A request with a slow answer and a long time, and others with a short time behind it.
+    /// Sends a request with a slow answer and a long deadline, and requests with short deadlines behind it.
     pub(super) async fn send_pipeline(self: Rc<Self>, node: usize) {
         let Some(Opened { mut connection, new_connection }) = self.open(node).await else { return };
         let Some(writer) = connection.writer() else { return };
@@ -58,7 +58,7 @@
         }
         writing.abort();
         let _ = writing.await;
-        // Where the answer before them never ended, those behind it are never answered either.
+        // If an answer never ended, the requests behind it are not answered either.
         if let Some(end) = connection.end() {
             written.borrow()[answered..]
                 .iter()
@@ -66,7 +66,7 @@
         }
     }
 
-    /// The connection has ended before this one was answered that was written then, behind others.
+    /// Records that the connection ended before this request, written at `written` behind others, was answered.
     fn record_unanswered_follower(&self, request: &Request, written: f64, end: End) {
         let (id, at, reset) = (request.id.clone(), clock::now(), end == End::Reset);
         self.recorder.write(&Record::Unanswered { id, at, close_raced: at - written < CLOSE_RACE_MS, reset });
@@ -94,7 +94,7 @@
         Request { deadline: rng.random_range(deadlines), answer_spec, disconnect_after_ms: None, ..plain }
     }
 
-    /// Writes the requests one after the other, or all at once, and what has been written in the records.
+    /// Writes the requests one after the other or all at once, and records each one that was written.
     async fn write_pipeline(
         self: Rc<Self>,
         node: usize,
--- a/crates/pearfront-soak/src/client/request.rs
+++ b/crates/pearfront-soak/src/client/request.rs
@@ -1,4 +1,4 @@
-//! Requests as clients draw them.
+//! The requests of clients, drawn at random.
 
 use crate::answer_spec::{AnswerSpec, draw_length};
 use crate::record::Effect;
@@ -7,35 +7,37 @@
 
 /// Share of requests with a body.
 const BODY_SHARE: f64 = 0.1;
-/// Share of bodies in chunks, of those that come slowly, and of those that stop in their middle.
+/// Shares of bodies that are chunked, that are sent slowly, and that stop half-way.
 const CHUNKED_SHARE: f64 = 0.3;
 const SLOW_BODY_SHARE: f64 = 0.15;
 const STALLING_BODY_SHARE: f64 = 0.05;
-/// Share of clients that take a long answer slowly.
+/// Share of clients that read a long answer slowly.
 const SLOW_READER_SHARE: f64 = 0.15;
 
-/// How a body comes.
+/// How fast a body is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Pace {
     AtOnce,
     Slowly,
-    /// Stops in its middle.
+    /// Stops half-way.
     Stalls,
 }
 
+/// One request.
 #[derive(Debug, Clone)]
 pub struct Request {
     pub id: String,
     pub effect: Effect,
-    /// How long its client waits, ms.
+    /// Its deadline, ms from its last byte.
     pub deadline: f64,
     /// Bytes of its body.
     pub length: usize,
     pub chunked: bool,
     pub pace: Pace,
+    /// The answer that it asks for, if not the server's default.
     pub answer_spec: Option<AnswerSpec>,
     pub reads_slowly: bool,
-    /// When its client leaves early, ms.
+    /// When its client disconnects early, ms from its last byte.
     pub disconnect_after_ms: Option<f64>,
 }
 
@@ -44,6 +46,7 @@
 }
 
 impl Request {
+    /// Draws a request of any kind.
     pub fn draw(rng: &mut impl Rng, role: &ClientRole) -> Self {
         let plain = Self::draw_plain(rng, role);
         let has_body = plain.effect != Effect::Idempotent && rng.random_bool(BODY_SHARE);
@@ -62,7 +65,7 @@
         }
     }
 
-    /// One without a body and with a short answer.
+    /// Draws one without a body and with a short answer.
     pub fn draw_plain(rng: &mut impl Rng, role: &ClientRole) -> Self {
         let effect = match rng.random_range(0..3) {
             0 => Effect::Idempotent,
@@ -85,11 +88,12 @@
         }
     }
 
-    /// Has another id from now on.
+    /// Gives it another id, to be sent again.
     pub fn renew_id(&mut self, rng: &mut impl Rng) {
         self.id = draw_id(rng);
     }
 
+    /// Its head, as it is written.
     pub fn head(&self) -> Vec<u8> {
         let (method, class, key) = match self.effect {
             Effect::Idempotent => ("GET", "read", String::new()),
--- a/crates/pearfront-soak/src/discovery.rs
+++ b/crates/pearfront-soak/src/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery: the list of servers, told to each process of a node at a place of that process's own, well or badly.
+//! The role of discovery: serves the list of servers to each process of a node at an address of that process's own, and injects
+//! faults into its answers.
 
 use crate::clock;
 use crate::http::{Connection, Message, answer};
@@ -16,12 +17,13 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Bytes of one piece, and the pause behind it, ms, where answers come in pieces.
+/// Bytes of a fragment of an answer, and the pause after it, ms.
 const FRAGMENT_BYTES: usize = 97;
 const FRAGMENT_PAUSE_MS: u64 = 15;
-/// How long a call waits, ms, before a crowded service says so; some are told at once.
+/// How long a call waits, ms, before overloaded discovery rejects it; some are rejected at once.
 const OVERLOAD_DELAY_MS: u64 = 600;
 
+/// A server in the list, and the version of its last change.
 struct ListEntry {
     version: u64,
     lifecycle: Lifecycle,
@@ -33,15 +35,16 @@
     recorder: Recorder,
     rng: RefCell<ChaCha8Rng>,
     mode: Cell<DiscoveryMode>,
-    /// Rises with each change of the mode.
+    /// Number of changes of the mode.
     epoch: Cell<u64>,
     version: Cell<u64>,
     entries: RefCell<BTreeMap<usize, ListEntry>>,
     moved: RefCell<Vec<bool>>,
-    /// Rung at each change of list or mode.
+    /// Notified at each change of the list or the mode.
     changed: Notify,
 }
 
+/// Serves the list to all subscribers until the orders end.
 pub async fn run(recorder: Recorder, role: DiscoveryRole, mut orders: Orders) -> Result<(), String> {
     let addresses = role.addresses.clone();
     let discovery = Rc::new(Discovery {
@@ -89,7 +92,7 @@
         }
     }
 
-    /// Is the first place of a caller no longer the one that is called?
+    /// Whether this is the first address of a subscriber that has moved to its second.
     fn has_moved_away(&self, subscriber: usize, address_index: usize) -> bool {
         address_index == 0 && self.moved.borrow()[subscriber]
     }
@@ -105,7 +108,7 @@
         }
     }
 
-    /// Answers the calls of a connection until it ends; is it to be reset?
+    /// Answers the calls on a connection until it ends; true if it is to be reset.
     async fn answer_calls(
         &self,
         connection: &mut Connection,
@@ -125,7 +128,7 @@
         }
     }
 
-    /// Waits until connections at this place are reset.
+    /// Waits until connections at this address are to be reset.
     async fn until_reset(&self, subscriber: usize, address_index: usize) {
         loop {
             let changed = self.changed.notified();
@@ -136,7 +139,7 @@
         }
     }
 
-    /// Answers a call; nothing if the connection is to be reset.
+    /// Answers a call; `None` if the connection is to be reset.
     async fn answer(
         &self,
         connection: &mut Connection,
@@ -159,7 +162,7 @@
                     return connection.write(&answer("503 Busy", "", b"")).await.ok();
                 }
                 DiscoveryMode::Silent => changed.await,
-                // Those that were open when it began hear nothing any more.
+                // Connections that were open when the mode began get no more answers.
                 DiscoveryMode::SilentOpen if opened < self.epoch.get() => changed.await,
                 _ if self.version.get() > from || Instant::now() >= until => break,
                 _ => tokio::select! {
@@ -179,7 +182,7 @@
     }
 
     async fn write(&self, connection: &mut Connection, from: u64, subscriber: usize) -> Option<()> {
-        // One that its caller has closed meanwhile tells nobody.
+        // The subscriber has closed the connection meanwhile, so nobody would get the list.
         if connection.has_ended() {
             return None;
         }
@@ -190,7 +193,7 @@
         self.recorder.write(&Record::ListSent { subscriber, version, at: clock::now(), whole: !cut });
         if cut {
             connection.write(&bytes[..bytes.len() - body.len() / 2]).await.ok()?;
-            // It is with the node before the end is.
+            // So that the truncated answer reaches the node before the reset does.
             sleep(Duration::from_millis(FRAGMENT_PAUSE_MS)).await;
             return None;
         }
@@ -222,12 +225,12 @@
     }
 }
 
-/// The cell of a server: repeats of a keyed request are dropped in one alone.
+/// The cell of a server: repeats of a keyed request are dropped only within one cell.
 pub fn cell_of(server: usize) -> usize {
     server % 2
 }
 
-/// A line of the list.
+/// An entry of the list, as nodes read it.
 pub fn entry(
     server: usize,
     address: std::net::SocketAddrV4,
--- a/crates/pearfront-soak/src/http.rs
+++ b/crates/pearfront-soak/src/http.rs
@@ -1,4 +1,4 @@
-//! As much of HTTP/1.1 as a soak's own clients, servers, discovery and relay need, with the times at which bytes came.
+//! As much of HTTP/1.1 as the soak's own clients, servers, discovery and relay need, with the times at which bytes arrive.
 
 use crate::clock;
 use std::cell::Cell;
@@ -12,21 +12,22 @@
 
 /// Bytes read at a time.
 const CHUNK: usize = 64 * 1024;
-/// Bytes of a line's end.
+/// Bytes of a line end.
 const LINE_END: u64 = 2;
-/// How long a reset may take that follows an end.
+/// How long to wait for a reset after the other side has closed.
 const RESET_AFTER_CLOSE_WAIT: Duration = Duration::from_millis(5);
 const END_OF_HEAD: &[u8] = b"\r\n\r\n";
 
-/// One message.
+/// A message: its head, and its body where that was read.
 #[derive(Debug, Clone)]
 pub struct Message {
-    /// As it came.
+    /// The bytes as they were received.
     pub bytes: Vec<u8>,
+    /// The request line or status line.
     pub start: String,
     /// Names in lower case.
     pub headers: HashMap<String, String>,
-    /// When its first byte came.
+    /// When its first byte was received.
     pub first_byte_at: f64,
 }
 
@@ -39,13 +40,13 @@
         self.start.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or_default()
     }
 
-    /// The value of a query's key, as it stands.
+    /// The value of a key of the query, as text.
     pub fn query_text(&self, key: &str) -> Option<&str> {
         let (_, rest) = self.start.split_once(&format!("{key}="))?;
         rest.split(['&', ' ']).next()
     }
 
-    /// The same where it is a number.
+    /// The value of a key of the query, as a number.
     pub fn query(&self, key: &str) -> Option<u64> {
         self.query_text(key)?.parse().ok()
     }
@@ -55,21 +56,21 @@
     }
 }
 
-/// What is still to come of a message's body.
+/// What remains to be read of a message's body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RemainingBody {
     Length(u64),
-    /// The line that tells a chunk's size, so much of a chunk with its line end, the lines behind the last.
+    /// A chunk's size line; the rest of a chunk, bytes with its line end; the trailers after the last chunk.
     Size,
     Chunk(u64),
     Trailers,
-    /// All until the connection ends.
+    /// All bytes until the connection ends.
     UntilEnd,
     Done,
 }
 
 impl RemainingBody {
-    /// Of a request's body.
+    /// The body of a request with this head.
     pub fn of_request(head: &Message) -> Self {
         match head.header("content-length").and_then(|length| length.parse().ok()) {
             _ if head.is_chunked() => Self::Size,
@@ -78,40 +79,40 @@
         }
     }
 
-    /// Of an answer's body.
+    /// The body of an answer with this head.
     pub fn of_answer(head: &Message) -> Self {
         let has_end = head.is_chunked() || head.header("content-length").is_some();
         if has_end { Self::of_request(head) } else { Self::UntilEnd }
     }
 }
 
-/// Some of a body, as it came.
+/// A part of a body, as it was received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Piece {
     pub raw: Vec<u8>,
-    /// So many bytes of it belong to the body itself.
+    /// Bytes of it that are content rather than chunk framing.
     pub content: usize,
 }
 
-/// Its connection ended before the body did.
+/// The connection ended before the body was complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Truncated;
 
-/// How the other side ended its sending.
+/// How the other side ended the connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
     Orderly,
-    /// Ends no message.
+    /// A reset, which is never the end of a message.
     Reset,
 }
 
-/// A connection, and what has been read of the next message.
+/// A connection, with the bytes that were received and not used yet.
 pub struct Connection {
     pub stream: TcpStream,
     buffer: Vec<u8>,
     first_byte_at: f64,
     end: Option<End>,
-    /// Has a write on it met its reset? The kernel tells of that once only, and shows an orderly end from then on.
+    /// A write on it has met a reset. The kernel reports a reset only once, and shows an orderly end from then on.
     write_saw_reset: Rc<Cell<bool>>,
 }
 
@@ -121,7 +122,7 @@
         Self { stream, buffer: Vec::new(), first_byte_at: 0.0, end: None, write_saw_reset: Rc::default() }
     }
 
-    /// Reads more; nothing if the other side has ended.
+    /// Receives more bytes; `None` if the other side has ended the connection.
     async fn read_more(&mut self) -> Option<()> {
         let mut chunk = vec![0; CHUNK];
         let count = match self.stream.read(&mut chunk).await {
@@ -138,7 +139,7 @@
         Some(())
     }
 
-    /// Reads a head; its message has no body yet. Nothing if the connection ends before.
+    /// Reads a head, without its body; `None` if the connection ends first.
     pub async fn head(&mut self) -> Option<Message> {
         let end = loop {
             let found = self.buffer.windows(END_OF_HEAD.len()).position(|bytes| bytes == END_OF_HEAD);
@@ -164,10 +165,10 @@
         })
     }
 
-    /// Reads some more of a body; nothing at its end. May be given up at any time.
+    /// Reads the next part of a body; `None` at its end. Cancel-safe.
     ///
     /// # Errors
-    /// Where the connection ends before the body does.
+    /// If the connection ends before the body does.
     pub async fn piece(&mut self, rest: &mut RemainingBody) -> Result<Option<Piece>, Truncated> {
         match *rest {
             RemainingBody::Done => Ok(None),
@@ -211,7 +212,7 @@
         }
     }
 
-    /// Some bytes, so many at the most.
+    /// Some bytes, at most this many.
     async fn read_bytes(&mut self, most: u64) -> Result<Vec<u8>, Truncated> {
         if self.buffer.is_empty() {
             self.read_more().await.ok_or(Truncated)?;
@@ -230,12 +231,12 @@
         }
     }
 
-    /// How the other side has ended it, once that has been read.
+    /// How the other side has ended the connection, once that was read.
     pub fn end(&self) -> Option<End> {
         self.end
     }
 
-    /// Has the other side ended it, as far as the kernel knows, with nothing left to read?
+    /// Whether the other side has ended the connection with nothing left to read, as far as the kernel knows.
     pub fn has_ended(&self) -> bool {
         let peeked = socket2::SockRef::from(&self.stream).peek(&mut [std::mem::MaybeUninit::uninit()]);
         match peeked {
@@ -244,14 +245,13 @@
         }
     }
 
-    /// Did a reset follow the end of the other side's sending? Without anything sent since, that tells of bytes that it has not
-    /// read.
+    /// Whether a reset followed the other side's close. If nothing was sent since, that means that it left bytes unread.
     pub async fn is_reset_after_close(&self) -> bool {
         sleep(RESET_AFTER_CLOSE_WAIT).await;
         self.stream.take_error().ok().flatten().is_some()
     }
 
-    /// The same connection to write on while this one is read.
+    /// A second handle of the connection, to write on while this one is read.
     pub fn writer(&self) -> Option<Self> {
         let socket = socket2::SockRef::from(&self.stream).try_clone().ok()?;
         let mut writer = TcpStream::from_std(socket.into()).ok().map(Self::new)?;
@@ -259,12 +259,12 @@
         Some(writer)
     }
 
-    /// Waits until the other side has closed or reset it, whatever lies unread.
+    /// Waits until the other side has closed or reset the connection, even with bytes unread.
     pub async fn closed(&self) {
         let _ = self.stream.ready(Interest::PRIORITY).await;
     }
 
-    /// Reads the body behind a head.
+    /// Reads the body that follows a head and has a content length.
     pub async fn body(&mut self, message: &mut Message) -> Option<()> {
         let length: usize = message.header("content-length").map_or(Some(0), |length| length.parse().ok())?;
         while self.buffer.len() < length {
@@ -282,13 +282,15 @@
         Some(message)
     }
 
-    /// Waits until the other side has ended, whatever else it sends.
+    /// Reads until the other side has ended the connection, and drops what comes.
     pub async fn read_to_end(&mut self) {
         while self.read_more().await.is_some() {}
     }
 
+    /// Writes all of the bytes.
+    ///
     /// # Errors
-    /// Where the connection has broken.
+    /// If the connection has broken.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         let written = self.stream.write_all(bytes).await;
         if written.as_ref().is_err_and(|error| error.kind() == io::ErrorKind::ConnectionReset) {
@@ -297,13 +299,13 @@
         written
     }
 
-    /// Ends it at once, with a reset.
+    /// Closes the connection with a reset.
     pub fn reset(self) {
         let _ = socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
 }
 
-/// An answer with a length.
+/// An answer with a content length.
 pub fn answer(status: &str, headers: &str, body: &[u8]) -> Vec<u8> {
     let head = format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n", body.len());
     [head.as_bytes(), body].concat()
--- a/crates/pearfront-soak/src/http/tests.rs
+++ b/crates/pearfront-soak/src/http/tests.rs
@@ -2,14 +2,15 @@
 use test_case::test_case;
 use tokio::net::TcpListener;
 
-/// Two ends of a connection.
+/// Both ends of a new connection.
 async fn pair() -> (Connection, Connection) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let stream = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
     (Connection::new(stream), Connection::new(listener.accept().await.unwrap().0))
 }
 
-/// What of an answer comes: as it was sent, how much of it is content, and whether it came to its end.
+/// Sends an answer and receives it: its bytes, how many of them are content, and whether it came complete. The sender closes
+/// the connection if `ends`, and resets it otherwise.
 fn receive(sent: &'static [u8], ends: bool) -> (Vec<u8>, usize, bool) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async move {
@@ -50,7 +51,8 @@
     assert_eq!((raw, content, is_whole), (sent.to_vec(), 4, false));
 }
 
-// A reset that a write met first looked like an orderly end to the reader, and a request that was shut unread like a lost one.
+// A reset that a write met first looked like an orderly end to the reader, so that a request whose connection was closed unread
+// counted as lost.
 #[test]
 fn a_reset_is_one_for_the_reader_although_a_write_met_it_first() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
--- a/crates/pearfront-soak/src/judge.rs
+++ b/crates/pearfront-soak/src/judge.rs
@@ -1,5 +1,5 @@
-//! The oracle: what clients, servers, discovery and the relay wrote down, held against the rules. Nothing that a node says of
-//! itself counts. Times are ms.
+//! The oracle: checks the records of the clients, the servers, discovery and the relay against the rules. Nothing that a node
+//! reports about itself counts. Times are ms. Used by `pearfront soak`.
 
 mod answers;
 mod attempts;
@@ -11,32 +11,40 @@
 use crate::record::Record;
 use history::History;
 
-/// A change counts as told so long after discovery had it and could be reached, whatever became of the calls.
+/// A change of the list counts as known to a node this long after discovery had it and could be reached, whatever became of
+/// the calls.
 const LIST_PROPAGATION_MS: f64 = 6000.0;
-/// What is measured on both sides may differ by so much.
+/// Tolerance for times that are measured in two processes.
 const SLACK_MS: f64 = 50.0;
-/// A process may be held up for so long between its clock and its write.
+/// How long a process may be delayed between reading its clock and writing.
 const DELAY_SLACK_MS: f64 = 150.0;
-/// A process serves so long after its start.
+/// How long after its start a process serves.
 const STARTUP_MS: f64 = 300.0;
-/// Bounds on the time that discovery's word for a connection's end is late.
+/// How late discovery may record the end of a connection.
 const WATCH_CLOSE_LAG_MS: f64 = 200.0;
 
-/// Which rule was broken.
+/// The rules that a run is checked against.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
+    /// Each request is answered in time, whole, or its connection is closed as it may be.
     Lost,
+    /// A request runs again only where its effect allows it.
     Duplicate,
+    /// No attempt goes to a draining server after the drain grace.
     Drain,
+    /// A server that comes back cold is not overloaded.
     Failback,
+    /// Retries stay within their budget.
     Budget,
+    /// No server is told more time than is left.
     Deadline,
-    /// What operators ask of a node.
+    /// A node does what operators call for.
     Operators,
+    /// No process of a node ends by itself.
     Crash,
 }
 
-/// One break, in words.
+/// One break of a rule.
 #[derive(Debug, Clone)]
 pub struct Break {
     pub rule: Rule,
@@ -44,7 +52,7 @@
     pub description: String,
 }
 
-/// What came of a play.
+/// The result of a run: counts and broken rules.
 #[derive(Debug, Default)]
 pub struct Verdict {
     pub breaks: Vec<Break>,
@@ -52,14 +60,15 @@
     pub attempts: usize,
     pub served: usize,
     pub refused: usize,
+    /// Requests whose client disconnected.
     pub left: usize,
-    /// Requests that came while no process of their node was there; what became of them is not judged.
+    /// Requests that came while no process of their node served; they are not judged.
     pub unserved: usize,
-    /// Requests whose connection a node shut in their time with nothing of them read.
+    /// Requests whose connection the node closed before their deadline without reading any of them.
     pub shut_unread: usize,
 }
 
-/// Holds a play's records against the rules.
+/// Checks the records of a run against the rules.
 pub fn judge(plan: &Plan, records: &[Record]) -> Verdict {
     let history = History::new(plan, records);
     let mut verdict = Verdict {
--- a/crates/pearfront-soak/src/judge/answers.rs
+++ b/crates/pearfront-soak/src/judge/answers.rs
@@ -1,21 +1,22 @@
-//! What is owed to clients: an answer in time, whole and not held back, or the end of the connection; and nothing once they have left.
+//! Rules on answers to clients: each request gets an answer in time, whole and without needless delay, or the end of its
+//! connection where that is allowed; no attempt begins after the client has disconnected.
 
 use super::history::{Attempt, History, Request, Unanswered};
 use super::{Break, DELAY_SLACK_MS, Rule, SLACK_MS, Verdict};
 use crate::record::{AnswerEnd, ReplyEnd};
 
-/// Later than its deadline by more than this an answer is lost.
+/// An answer that is later than its deadline by more than this counts as lost.
 const ANSWER_OVERDUE_MS: f64 = 500.0;
-/// Behind so long a pause a server may be taken to give no more of an answer whose time is over.
+/// After this long a pause in an answer past its deadline, a server may be taken to send no more of it.
 const SERVER_SILENCE_MS: f64 = 300.0;
-/// Nothing of an answer may be held back for so long.
+/// Most time that a node may take to forward the end of an answer.
 const FORWARD_DELAY_LIMIT_MS: f64 = 2000.0;
-/// No attempt may begin so long after its client has left.
+/// How long after its client has disconnected an attempt may still begin.
 const DISCONNECT_SLACK_MS: f64 = 100.0;
-/// A client that stalls is owed an error or the end of its connection within this time.
+/// A client that stalls in a request gets an error or the end of its connection within this time.
 const STALL_LIMIT_MS: f64 = 3000.0;
 
-/// Holds a request against its due answer; one whose connection was shut unread in its time is counted.
+/// Checks that a request was answered in time; counts those whose connection was closed unread before their deadline.
 pub(super) fn check_answered(
     history: &History,
     id: &str,
@@ -39,7 +40,7 @@
     match (request.answer, request.unanswered, request.disconnected_at) {
         (Some((at, _)), ..) if at > due => broken(at, format!("answered {:.0} ms after it", at - request.at)),
         (Some(_), ..) | (_, _, Some(_)) => {}
-        // What has been sent on to a server had been read, and did not cross the end of its connection.
+        // A request that was forwarded to a server had been read, so the close of its connection did not race with it.
         (_, Some(end), _) if has_close_raced(history, id, request, end) => {
             verdict.shut_unread += usize::from(request.new_connection);
         }
@@ -58,14 +59,15 @@
     }
 }
 
-/// Did the end of its connection cross the request? A new one is only ended where clients fill the node's descriptors.
+/// Whether the close of the connection raced with the request. A node closes a new connection only where clients use up its
+/// descriptors.
 fn has_close_raced(history: &History, id: &str, request: &Request, end: Unanswered) -> bool {
     let may_end = !request.new_connection || history.has_full_descriptors(request.node, end.at);
     end.close_raced && may_end && !history.may_have_been_read(id, request, end.reset)
 }
 
-/// Did the node shut the connection in the request's time with nothing of it read? A new one, on which no request came before,
-/// only where clients fill its descriptors.
+/// Whether the node closed the connection before the request's deadline without reading any of it. It may close a new
+/// connection, on which no request came before, only where clients use up its descriptors.
 fn is_shut_unread(history: &History, id: &str, request: &Request, end: Unanswered, delay_slack: f64) -> bool {
     let in_its_time = end.at
         <= history.due_while_running(request.node, request.at, request.deadline + SLACK_MS + delay_slack);
@@ -75,7 +77,8 @@
     end.reset && in_its_time && may_be_shut && !history.may_have_been_read(id, request, true)
 }
 
-/// The end of an answer that is passed on before it is whole: not while its server gives, and soon behind that and its time.
+/// Checks the end of a streamed answer: the node must not end it while the server sends, and must end it soon after the last
+/// bytes and the deadline.
 pub(super) fn check_streamed_answer(
     history: &History,
     id: &str,
@@ -86,7 +89,7 @@
     let Some(ended) = request.ended else { return };
     let node = request.node;
     let reply = attempts.iter().filter_map(|attempt| attempt.ended).max_by(|a, b| a.at.total_cmp(&b.at));
-    // What a client takes slowly has been cut off long before it sees that.
+    // A client that reads slowly sees that an answer was truncated long after the node did it.
     let cut = reply.map_or(ended.at, |reply| reply.at.min(ended.at));
     let is_excused = history.has_ended(node, cut - DELAY_SLACK_MS, cut + DELAY_SLACK_MS)
         || history.paused_ms(node, request.at, ended.at) > 0.0;
@@ -102,7 +105,7 @@
         (AnswerEnd::Truncated, Some(reply)) => {
             let gives = reply.end == ReplyEnd::NodeStoppedReading
                 || reply.end == ReplyEnd::NodeClosed && reply.at < reply.last + SERVER_SILENCE_MS;
-            // It may be broken off for the sake of a request behind it.
+            // It may be truncated for the sake of a request that is pipelined behind it.
             if gives && !history.has_pending_behind(id, ended.at) {
                 broken(format!(
                     "cut off {:.0} ms behind the last bytes of its server",
--- a/crates/pearfront-soak/src/judge/attempts.rs
+++ b/crates/pearfront-soak/src/judge/attempts.rs
@@ -1,4 +1,4 @@
-//! What each attempt is held to: the time that its server is told, whether the request may run again, and servers that drain.
+//! Rules on attempts: the remaining time that the server is told, whether the request may run again, and draining servers.
 
 use super::history::{Attempt, History, ProcessLifetime, Request};
 use super::{Break, DELAY_SLACK_MS, Rule, SLACK_MS};
@@ -13,7 +13,8 @@
     attempts: &[Attempt],
     breaks: &mut Vec<Break>,
 ) {
-    // What waited in a shared queue while its process was killed has the next one, which can't know since when.
+    // A request that waited in a shared listener's backlog while its process was killed goes to the next process, which can't know
+    // how long it has waited.
     let served_by_next = |attempt: &&Attempt| history.was_killed(request.node, request.at, attempt.at);
     let known = attempts.iter().filter(|attempt| !served_by_next(attempt));
     for attempt in known.filter(|_| !history.is_unserved(request.node, request.at)) {
@@ -73,7 +74,7 @@
     for attempt in attempts {
         let earlier =
             history.changes.iter().filter(|(_, server, _, at)| *server == attempt.server && *at < attempt.at);
-        // The first change since which it has not been ready.
+        // The first change since which the server has not been ready.
         let since = earlier.fold(None, |since, (version, _, lifecycle, at)| match lifecycle {
             Lifecycle::Ready => None,
             _ => since.or(Some((*version, *at))),
--- a/crates/pearfront-soak/src/judge/budgets.rs
+++ b/crates/pearfront-soak/src/judge/budgets.rs
@@ -1,4 +1,4 @@
-//! How many attempts there may be: further ones of a node, and those on a server that has come back cold.
+//! Rules on numbers of attempts: the retries of a node, and the attempts on a server that has come back cold.
 
 use super::history::History;
 use super::{Break, DELAY_SLACK_MS, Rule, SLACK_MS};
@@ -9,7 +9,7 @@
 use crate::plan::Plan;
 use std::collections::BTreeMap;
 
-/// Further attempts of a node, in each span that ends with one.
+/// Checks the retries of each node against its retry budget, in each window that ends with a retry.
 pub(super) fn check_retry_budget(history: &History, breaks: &mut Vec<Break>) {
     let mut further: BTreeMap<usize, Vec<f64>> = BTreeMap::new();
     let mut taken: BTreeMap<usize, Vec<f64>> = BTreeMap::new();
@@ -44,8 +44,8 @@
     }
 }
 
-/// Attempts on a server that has come back cold, from all nodes together. Its warm capacity is taken to be three times what
-/// comes to a server in the mean.
+/// Checks the attempts of all nodes together on a server that has come back cold. Its warm capacity is taken to be three times
+/// the mean load of a server.
 pub(super) fn check_cold_start(plan: &Plan, history: &History, breaks: &mut Vec<Break>) {
     let fleet = &plan.fleet;
     let arrivals = fleet.rate * mean_requests_per_arrival() * fleet.nodes as f64;
--- a/crates/pearfront-soak/src/judge/history.rs
+++ b/crates/pearfront-soak/src/judge/history.rs
@@ -1,30 +1,31 @@
-//! What happened in a play, put together from the records of clients, servers, discovery and the relay. Times are ms.
+//! The history of a run, put together from all its records, and the questions that the rules ask of it. Times are ms.
 
 use super::{Break, LIST_PROPAGATION_MS, Rule, SLACK_MS, STARTUP_MS, WATCH_CLOSE_LAG_MS};
 use crate::plan::{Fleet, KILL_AFTER_MS, Plan};
 use crate::record::{AnswerEnd, DiscoveryMode, Effect, Lifecycle, OperatorCall, Pipeline, Record, ReplyEnd};
 use std::collections::{BTreeMap, HashMap};
 
+/// What is known of one request.
 pub(super) struct Request {
     pub(super) node: usize,
     pub(super) effect: Effect,
-    /// When its first byte was written, and its last.
+    /// When its first byte was written, and (`at`) its last.
     pub(super) began: f64,
     pub(super) at: f64,
     pub(super) deadline: f64,
     pub(super) disconnected_at: Option<f64>,
     pub(super) answer: Option<(f64, u16)>,
     pub(super) unanswered: Option<Unanswered>,
-    /// On a new connection.
+    /// It is the first on its connection.
     pub(super) new_connection: bool,
-    /// How an answer ended that is too large to be kept whole.
+    /// How its answer ended, if that is too large for a node to buffer.
     pub(super) ended: Option<EndedAnswer>,
-    /// The requests that lie on its connection with it.
+    /// The requests that are pipelined with it.
     pub(super) pipeline: Option<Pipeline>,
 }
 
 impl Request {
-    /// Has its connection brought neither an answer nor its end by then, and its client not left?
+    /// Whether by that time it has neither an answer nor the end of its connection, and its client has not disconnected.
     pub(super) fn is_open(&self, at: f64) -> bool {
         let ends = [self.disconnected_at, self.answer.map(|(at, _)| at), self.unanswered.map(|end| end.at)];
         ends.into_iter().flatten().all(|end| end > at)
@@ -39,7 +40,7 @@
     pub(super) reset: bool,
 }
 
-/// What a client saw of the end of an answer.
+/// The end of a streamed answer as its client saw it.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct EndedAnswer {
     pub(super) at: f64,
@@ -48,7 +49,7 @@
     pub(super) slow: bool,
 }
 
-/// What the relay saw of it.
+/// The end of a streamed answer as the relay saw it.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct EndedReply {
     pub(super) at: f64,
@@ -56,6 +57,8 @@
     pub(super) last: f64,
 }
 
+/// An attempt as the relay saw it. `received_at` is when its last byte came, `reply` when its answer began and whether that says
+/// that the request did not run.
 pub(super) struct Attempt {
     pub(super) server: usize,
     pub(super) at: f64,
@@ -66,7 +69,7 @@
 }
 
 impl Attempt {
-    /// Could its server have begun the request, as far as the node could know at that time?
+    /// Whether the server may have run the request, as far as the node could know at that time.
     pub(super) fn may_have_run(&self, now: f64) -> bool {
         self.received_at.is_some_and(|received_at| received_at <= now)
             && !self.reply.is_some_and(|(at, never_ran)| never_ran && at <= now)
@@ -82,7 +85,7 @@
     pub(super) status: Option<u16>,
 }
 
-/// How many connections to a node a client holds idle.
+/// The number of idle connections to a node that a client process holds.
 pub(super) struct IdleConnections {
     pub(super) node: usize,
     pub(super) process: u32,
@@ -90,7 +93,7 @@
     pub(super) open: usize,
 }
 
-/// What `GET /up` at a node's address said.
+/// An answer to `GET /up` at a node's address.
 pub(super) struct UpAnswer {
     pub(super) node: usize,
     pub(super) process: u32,
@@ -98,14 +101,14 @@
     pub(super) status: Option<u16>,
 }
 
-/// A process of a node was killed, and had been told to end before, if it had.
+/// A process of a node was killed; `term_at` is when it got SIGTERM before, if it did.
 pub(super) struct Kill {
     node: usize,
     at: f64,
     term_at: Option<f64>,
 }
 
-/// A process of a node.
+/// When a process of a node started and ended.
 pub(super) struct ProcessLifetime {
     pub(super) node: usize,
     pub(super) subscriber: usize,
@@ -114,36 +117,44 @@
     pub(super) end: f64,
 }
 
+/// All that the rules need of a run's records.
 #[derive(Default)]
 pub(super) struct History {
     pub(super) requests: HashMap<String, Request>,
     pub(super) attempts: HashMap<String, Vec<Attempt>>,
-    /// The requests of each line by the first of them.
+    /// The requests of each pipeline, by the id of the first.
     pub(super) pipelines: HashMap<String, Vec<String>>,
     pub(super) lifetimes: Vec<ProcessLifetime>,
     pub(super) kills: Vec<Kill>,
-    /// When processes were told to end.
+    /// Processes, and when they got SIGTERM.
     pub(super) sigterms: Vec<(u32, f64)>,
-    /// Nodes whose descriptors clients fill, from when to when.
+    /// Nodes whose descriptors clients use up, from when to when.
     pub(super) descriptor_fills: Vec<(usize, f64, f64)>,
+    /// Nodes that were paused by SIGSTOP, from when to when.
     pub(super) pauses: Vec<(usize, f64, f64)>,
+    /// Changes of the list: version, server, its state and when.
     pub(super) changes: Vec<(u64, usize, Lifecycle, f64)>,
     pub(super) modes: Vec<(DiscoveryMode, f64)>,
+    /// Versions of the list that each subscriber was sent, and when.
     pub(super) lists_sent: BTreeMap<usize, Vec<(u64, f64)>>,
+    /// Openings (true) and ends of each subscriber's connections to discovery.
     pub(super) watches: BTreeMap<usize, Vec<(bool, f64)>>,
+    /// Changes of a node's drain grace: node, grace and when.
     pub(super) drain_graces: Vec<(usize, f64, f64)>,
+    /// Servers that came back cold, and when.
     pub(super) server_starts: Vec<(usize, f64)>,
+    /// Clients that stalled: node, when, and when the node answered or closed the connection.
     pub(super) stalled: Vec<(usize, f64, Option<f64>)>,
     pub(super) operator_calls: Vec<OperatorRequest>,
     pub(super) up_answers: Vec<UpAnswer>,
     pub(super) idle: Vec<IdleConnections>,
     pub(super) crashes: Vec<Break>,
-    /// So long after it was told to end a process has ended, ms.
+    /// Time after SIGTERM within which a process has to have ended, ms.
     pub(super) termination_ms: f64,
     pub(super) end: f64,
 }
 
-/// How long a crowd takes to go, ms.
+/// How long a node's descriptors may stay used up after clients stop, ms.
 const DESCRIPTORS_RECOVER_MS: f64 = 3500.0;
 
 impl History {
@@ -151,7 +162,7 @@
         let termination_ms = plan.fleet.deadlines.1 + KILL_AFTER_MS - SLACK_MS;
         let mut history =
             Self { termination_ms, end: records.last().map_or(0.0, Record::at), ..Self::default() };
-        // What the relay saw of one attempt comes in order; what different processes saw is sorted by time.
+        // The relay's records of one attempt come in order; records of different processes are sorted by time.
         records.iter().for_each(|record| history.add(record));
         history
     }
@@ -291,9 +302,9 @@
         attempts.filter(|attempt| attempt.server == server).last().map(change);
     }
 
-    /// Is it known, or possible, that a node has read the request? Of those that came in one write if any of them was begun: but
-    /// kernels reset a connection for what lies unread alone, and answers come in order, so where it was reset only if its turn may
-    /// have come.
+    /// Whether a node has or may have read the request. Of requests that were sent in one write, a node may have read all as soon as
+    /// it has begun any. But a kernel resets a connection only for unread bytes, and answers come in order: so after a reset the
+    /// request may have been read only if it may be the next to be answered.
     pub(super) fn may_have_been_read(&self, id: &str, request: &Request, reset: bool) -> bool {
         let pipeline = request.pipeline.as_ref().filter(|pipeline| pipeline.single_write);
         let single_write =
@@ -307,7 +318,7 @@
         self.attempts.contains_key(id) || may_be_read
     }
 
-    /// May it be the first of these requests, which came in one write, that has no answer?
+    /// Whether it may be the first of these requests, sent in one write, that has no complete answer.
     fn may_be_next(&self, id: &str, single_write: &[String]) -> bool {
         let Some(place) = single_write.iter().position(|other| other == id) else { return false };
         let is_whole = |request: &Request| {
@@ -317,7 +328,7 @@
         place.checked_sub(1).is_none_or(|ahead| is_answered(&single_write[ahead]))
     }
 
-    /// Is a request behind this one on its connection in its time then?
+    /// Whether a request that is pipelined behind this one is within its deadline at that time.
     pub(super) fn has_pending_behind(&self, id: &str, at: f64) -> bool {
         let others = self.pipelines.get(id).into_iter().flatten().filter(|other| *other != id);
         others
@@ -325,13 +336,13 @@
             .any(|behind| (behind.at..=behind.at + behind.deadline + SLACK_MS).contains(&at))
     }
 
-    /// How long the node stood still within a span.
+    /// How long the node was paused within a span.
     pub(super) fn paused_ms(&self, node: usize, from: f64, to: f64) -> f64 {
         let within = |(_, begun, ended): &(usize, f64, f64)| (ended.min(to) - begun.max(from)).max(0.0);
         self.pauses.iter().filter(|(paused, ..)| *paused == node).map(within).sum()
     }
 
-    /// When a node that may stand still meanwhile has run for so long from then on.
+    /// When a node has run for `span` since `from`, not counting its pauses.
     pub(super) fn due_while_running(&self, node: usize, from: f64, span: f64) -> f64 {
         let mut due = from + span;
         for (paused, begun, ended) in &self.pauses {
@@ -342,8 +353,8 @@
         due
     }
 
-    /// Was no process of the node there to take what came at that time? A listener that outlives its processes lets clients
-    /// connect all the same, and the next process can't know how long they have waited.
+    /// Whether no process of the node served at that time. Clients can connect all the same to a listener that outlives its
+    /// processes, and the next process can't know how long they have waited.
     pub(super) fn is_unserved(&self, node: usize, at: f64) -> bool {
         let serves = |lifetime: &&ProcessLifetime| {
             lifetime.node == node && (lifetime.start + STARTUP_MS..lifetime.end).contains(&at)
@@ -351,26 +362,26 @@
         self.lifetimes.iter().find(serves).is_none()
     }
 
-    /// Did the process run through all of that time?
+    /// Whether the process ran during all of that time.
     pub(super) fn is_running(&self, process: u32, from: f64, to: f64) -> bool {
         self.lifetimes
             .iter()
             .any(|lifetime| lifetime.process == process && lifetime.start <= from && to <= lifetime.end)
     }
 
-    /// Had the process been told to end by then?
+    /// Whether the process had got SIGTERM by then.
     pub(super) fn had_sigterm(&self, process: u32, by: f64) -> bool {
         self.sigterms.iter().any(|(terminated, at)| *terminated == process && *at <= by)
     }
 
-    /// Was no other process of the node there?
+    /// Whether no other process of the node ran at that time.
     pub(super) fn is_only_process(&self, node: usize, process: u32, at: f64) -> bool {
         let other = |lifetime: &&ProcessLifetime| lifetime.node == node && lifetime.process != process;
         !self.lifetimes.iter().filter(other).any(|lifetime| (lifetime.start..=lifetime.end).contains(&at))
     }
 
-    /// Was a process of the node killed in that time, of which nothing more can be asked? One that was told to end, and had
-    /// all its time since, has to have answered by then.
+    /// Whether a process of the node was killed in that time, which excuses missing answers. It does not excuse them where the
+    /// process had all its time since SIGTERM: it has to have answered by then.
     pub(super) fn was_killed(&self, node: usize, from: f64, to: f64) -> bool {
         self.kills.iter().any(|kill| {
             let had_time = kill.term_at.is_some_and(|term_at| {
@@ -380,18 +391,19 @@
         })
     }
 
-    /// Did a process of the node end in that time, whatever ended it?
+    /// Whether a process of the node ended in that time, for whatever reason.
     pub(super) fn has_ended(&self, node: usize, from: f64, to: f64) -> bool {
         self.lifetimes.iter().any(|lifetime| lifetime.node == node && (from..=to).contains(&lifetime.end))
     }
 
-    /// Do clients fill its descriptors, or have they just?
+    /// Whether clients use up its descriptors, or did so shortly before.
     pub(super) fn has_full_descriptors(&self, node: usize, at: f64) -> bool {
         let within = |(_, from, to): &(usize, f64, f64)| (*from..to + DESCRIPTORS_RECOVER_MS).contains(&at);
         self.descriptor_fills.iter().any(|fill| fill.0 == node && within(fill))
     }
 
-    /// From when on, at the latest, a time `from` on has been followed by a span in which discovery could be reached.
+    /// The end of the first span of this length, from `from` on, in which discovery could be reached throughout; infinite if there
+    /// is none.
     pub(super) fn reachable_for(&self, from: f64, span: f64) -> f64 {
         let mut since = from;
         let mut down = false;
@@ -409,7 +421,7 @@
         if down { f64::INFINITY } else { since + span }
     }
 
-    /// When a change counts as told to a process.
+    /// When a process counts as knowing a change of the list.
     pub(super) fn known_at(&self, lifetime: &ProcessLifetime, version: u64, at: f64, pushed: bool) -> f64 {
         let written = self.lists_sent.get(&lifetime.subscriber).into_iter().flatten();
         let written =
@@ -419,7 +431,7 @@
         written.min(latest).min(first_watch_gap)
     }
 
-    /// The first time from then on at which the process has no connection to a discovery that can be reached.
+    /// The first time from then on at which the process has no connection to discovery although that can be reached.
     pub(super) fn first_watch_gap(&self, lifetime: &ProcessLifetime, at: f64) -> f64 {
         let mut open_connections = 0;
         let mut none_since = Some(lifetime.start);
@@ -436,7 +448,8 @@
         none_since.map_or(f64::INFINITY, |since| self.reachable_for(since.max(at), WATCH_CLOSE_LAG_MS))
     }
 
-    /// The grace that binds a node at that time: a change of it is in force within a second.
+    /// The drain grace that a node is checked against at that time: a change takes effect within a second, and until then the longer
+    /// grace counts.
     pub(super) fn drain_grace(&self, fleet: &Fleet, node: usize, at: f64) -> f64 {
         let own: Vec<_> =
             self.drain_graces.iter().filter(|(reloaded, _, when)| *reloaded == node && *when <= at).collect();
--- a/crates/pearfront-soak/src/judge/operators.rs
+++ b/crates/pearfront-soak/src/judge/operators.rs
@@ -1,18 +1,18 @@
-//! Operators' calls, and what a node says at `GET /up` behind them.
+//! Rules on operators' calls: their answers, and what `GET /up` and clients' connections show after them.
 
 use super::history::{History, UpAnswer};
 use super::{Break, DELAY_SLACK_MS, Rule, SLACK_MS};
 use crate::record::OperatorCall;
 
-/// An operator waits so long for an answer, however busy the node is.
+/// Time within which a node answers an operator's call, however busy it is.
 const CALL_TIMEOUT_MS: f64 = 1000.0;
-/// So long after the call a node that drains says no.
+/// Time after the call by which a draining node says not ready and has released its clients' connections.
 const NOT_READY_DUE_MS: f64 = 4000.0;
-/// The last requests may come on a connection so long before.
+/// How long before that the last requests may come on a connection.
 const LAST_REQUESTS_MS: f64 = 2000.0;
-/// So long after the end of a drain it says yes.
+/// Time after the end of a drain by which a node says ready.
 const READY_DUE_MS: f64 = 2000.0;
-/// The status of a yes.
+/// The status that says ready, and that accepts a call.
 const READY_STATUS: u16 = 200;
 
 pub(super) fn check_operators(history: &History, breaks: &mut Vec<Break>) {
@@ -22,7 +22,7 @@
     check_ready_again(history, breaks);
 }
 
-/// Each call to a process that runs gets its yes in time; one that ends says no to the end of a drain.
+/// Checks that a running process accepts each call in time; one that was sent SIGTERM may refuse to end a drain.
 fn check_calls(history: &History, breaks: &mut Vec<Break>) {
     for call in &history.operator_calls {
         let due = history.due_while_running(call.node, call.at, CALL_TIMEOUT_MS);
@@ -42,7 +42,7 @@
     }
 }
 
-/// Calls to a process that said yes to them, in their order, and until when each holds.
+/// The calls that a process accepted, in order, and until when each is in force: node, process, from, to.
 fn effective_calls(
     history: &History,
     call: OperatorCall,
@@ -58,7 +58,7 @@
     })
 }
 
-/// What the process said of itself in that time, if no other process of its node can have said it.
+/// The answers of a process to `GET /up` in that time, where no other process of its node can have given them.
 fn up_answers_of<'a>(
     history: &'a History,
     process: u32,
@@ -80,7 +80,8 @@
     }
 }
 
-/// Behind that time no client's connection is held idle, or with a request that came on it in the last 2 s.
+/// Checks that at that time a draining node holds no idle connection of a client, and none with a request that came in the
+/// last 2 s.
 fn check_connections_released(history: &History, breaks: &mut Vec<Break>) {
     for (node, process, from, to) in effective_calls(history, OperatorCall::DrainOn) {
         let due = history.due_while_running(node, from, NOT_READY_DUE_MS) + SLACK_MS + DELAY_SLACK_MS;
--- a/crates/pearfront-soak/src/judge/tests.rs
+++ b/crates/pearfront-soak/src/judge/tests.rs
@@ -1,4 +1,4 @@
-//! The rules on the end of an answer that is passed on before it is whole.
+//! Tests of the judge: short histories of one request or one node, and the breaks that it finds in them.
 
 use super::*;
 use crate::plan::KILL_AFTER_MS;
@@ -7,7 +7,7 @@
 
 const ID: &str = "a request";
 
-/// What a client sees: at 100 ms it sends a request with 600 ms to wait, at 200 ms its answer begins.
+/// The breaks for a streamed answer: the request is sent at 100 ms with a deadline of 600 ms, its answer begins at 200 ms.
 fn breaks(end: AnswerEnd, at: f64, client_last: f64, reply: (ReplyEnd, f64, f64)) -> Vec<Break> {
     let plan = Plan::draw(1, 20_000.0);
     let (reply_end, reply_at, reply_last) = reply;
@@ -49,8 +49,8 @@
     }
 }
 
-// What a kill finds that came when a process had had all its time is lost; one in the middle of that, or with no word before,
-// is no fault of it.
+// A request that a kill leaves unanswered counts as lost only if the process had all its time since SIGTERM; a kill during that
+// time, or without SIGTERM before, excuses it.
 #[test_case(Some(0.0), true; "behind all its time")]
 #[test_case(Some(4000.0), false; "in the middle of it")]
 #[test_case(None, false; "with no word before")]
@@ -75,8 +75,8 @@
     assert_eq!(judge(&plan, &records).breaks.len(), usize::from(is_lost));
 }
 
-/// What the judge says of a node that is told to drain at 0 and to take clients again at 5000 ms: `calls` are the answers, and
-/// it is asked for `GET /up` at these times.
+/// The rules broken by a node that is told to drain at 0 ms and to end the drain at 5000 ms: `calls` are the statuses of the two
+/// answers, `up` the times and statuses of `GET /up`.
 fn rules_broken_by_drain(calls: [Option<u16>; 2], up: &[(f64, Option<u16>)]) -> Vec<Rule> {
     let (node, process) = (0, 1);
     let calls_made = [(OperatorCall::DrainOn, 0.0, calls[0]), (OperatorCall::DrainOff, 5000.0, calls[1])];
@@ -98,14 +98,14 @@
     assert_eq!(rules_broken_by_drain(calls, up), wanted);
 }
 
-/// How a connection ended with a request of 600 ms on it that was sent at 100 ms.
+/// How a connection ended that held a request with a deadline of 600 ms, sent at 100 ms.
 struct ClosedRequest {
     at: f64,
     reset: bool,
     new_connection: bool,
-    /// With another in one write, which was answered.
+    /// It was sent in one write behind another request, which was answered.
     behind_answered: bool,
-    /// That answer is large, and was broken off with the connection.
+    /// That answer is large, and was truncated with the connection.
     broken_off: bool,
     close_raced: bool,
     crowded: bool,
@@ -185,7 +185,7 @@
     assert_eq!(judge(&Plan::draw(1, 20_000.0), &records).breaks.is_empty(), is_allowed);
 }
 
-/// A node that was told to drain at 0 and a look at it 4.3 s later.
+/// A node is told to drain at 0 ms, and its clients' connections are counted 4.3 s later.
 #[test_case(Some(0), None, false; "all let go")]
 #[test_case(Some(1), None, true; "an idle connection")]
 #[test_case(None, Some(3900.0), true; "a request of the last 2 s")]
--- a/crates/pearfront-soak/src/lib.rs
+++ b/crates/pearfront-soak/src/lib.rs
@@ -1,6 +1,7 @@
-//! A randomized fault soak: node processes among clients, servers, discovery and a relay of our own, each a real process on
-//! loopback. Faults that overlap are drawn by seed (`plan`), played (`player`), and what clients, servers and the relay
-//! between wrote down is held against the rules (`judge`). Nothing that a node says of itself counts.
+//! A randomized fault soak: node processes run among clients, servers, a discovery service and a relay of this crate, each a
+//! real process on loopback. Overlapping faults are drawn from a seed (`plan`) and injected (`runner`); the records of the
+//! clients, the servers, discovery and the relay are then checked against the rules (`judge`). Nothing that a node reports
+//! about itself counts. Used by `pearfront soak`.
 
 mod answer_spec;
 mod client;
--- a/crates/pearfront-soak/src/node_file.rs
+++ b/crates/pearfront-soak/src/node_file.rs
@@ -1,10 +1,10 @@
-//! The configuration of the nodes of a play, and the figures in it that the judge holds records against.
+//! The configuration files of the nodes of a soak, and those of their values that the judge checks records against.
 
 use crate::plan::Fleet;
 use serde_json::{Value, json};
 use std::net::SocketAddrV4;
 
-/// A node's file.
+/// The configuration of a node.
 pub fn node_file(fleet: &Fleet, grace: f64, known: Value, discovery: SocketAddrV4) -> Value {
     let ns = |ms: f64| ms * 1e6;
     let profile = |name: &str, effect: &str| {
@@ -25,13 +25,14 @@
                 "extra_ratio": BUDGET_RATIO, "resend_span": ns(BUDGET_SPAN_MS)}}})
 }
 
-/// Figures of the settings that the judge holds records against.
+/// Initial capacity of a cold server, as a share of its warm capacity.
 pub const COLD_FROM: f64 = 0.2;
+/// Multiple of a server's capacity beyond which it is overloaded.
 pub const TIP_MULTIPLE: f64 = 3.0;
-/// Span in which a cold server may be overloaded, and time that it takes to be warm, ms.
+/// Span in which a cold server may be overloaded, and time that it takes to warm up, ms.
 pub const OVERLOAD_FOR_MS: f64 = 2000.0;
 pub const COLD_MS: f64 = 5000.0;
-/// Further attempts that are free, as a share of requests, and the span that both count in, ms.
+/// Retry budget: free retries, further retries as a share of requests, and the sliding window in which both count, ms.
 pub const BUDGET_FREE: f64 = 10.0;
 pub const BUDGET_RATIO: f64 = 0.3;
 pub const BUDGET_SPAN_MS: f64 = 5000.0;
--- a/crates/pearfront-soak/src/plan.rs
+++ b/crates/pearfront-soak/src/plan.rs
@@ -1,4 +1,5 @@
-//! What befalls a fleet, drawn by seed: its size, its settings, and faults that overlap in time.
+//! The plan of one seed: the size and settings of a fleet, and faults that overlap in time. The runner carries it out, and the
+//! judge reads the fleet's settings.
 
 use crate::record::DiscoveryMode;
 use crate::role::RelayMode;
@@ -8,146 +9,107 @@
 use rand_chacha::ChaCha8Rng;
 use std::ops::Range;
 
-/// Times are ms from the start of a play.
+/// When the first fault comes, ms. Times are from the start of the run.
 const FIRST_FAULT_MS: f64 = 1500.0;
-/// Quiet time at the end, ms: every deadline and its patience fit.
+/// Time without new faults at the end, ms: long enough for every deadline and the time that clients wait beyond it.
 pub const QUIET_MS: f64 = 5500.0;
-/// Mean time between two faults, ms.
+/// Mean time between two faults, ms; the times are exponentially distributed.
 const MEAN_FAULT_INTERVAL_MS: f64 = 450.0;
-/// Share of plays in which discovery is crowded from beginning to end, and a server drains meanwhile.
+/// Share of runs in which discovery is overloaded from the first fault to the end, and a server drains meanwhile.
 const INCIDENT_SHARE: f64 = 0.3;
-/// SIGKILL comes no sooner than the longest deadline and so much more after SIGTERM, ms.
+/// SIGKILL follows SIGTERM no sooner than the longest deadline plus this, ms.
 pub const KILL_AFTER_MS: f64 = 700.0;
-/// Share of plays in which nodes have few descriptors, and clients fill them; how many they have then, and else.
+/// Share of runs in which nodes have few descriptors and clients use them up, and the number of descriptors then and otherwise.
 const FEW_SOCKETS_SHARE: f64 = 0.25;
 const FEW_SOCKETS: usize = 128;
 const SOCKETS: usize = 1024;
-/// Time between two drains by operators, ms, and how long each lasts: some end before clients are let go, some behind that.
+/// Time between two drains by operators, ms, and how long each lasts, ms: some end before the node releases its clients'
+/// connections, some after that.
 const OPERATOR_DRAIN_INTERVAL_MS: Range<f64> = 300.0..2500.0;
 const OPERATOR_DRAIN_MS: Range<u64> = 300..5500;
 const OPERATOR_RNG_STREAM: u64 = 1;
-/// Share of operators' calls around which system calls fail, which, from when on, ms, and for how long.
+/// Share of operators' drains around which system calls fail; which faults, how long before the call they begin, ms, and how
+/// long they last, ms.
 const OPERATOR_FAULT_SHARE: f64 = 0.5;
 const OPERATOR_FAULTS: [Fault; 3] = [Fault::Interrupted, Fault::Short, Fault::NoBuffers];
 const FAULT_LEAD_MS: f64 = 50.0;
 const OPERATOR_FAULT_MS: u64 = 300;
-/// Servers that stay as they are.
+/// The first servers, which faults of single servers leave alone.
 const UNDISTURBED_SERVERS: usize = 2;
 
-/// The fleet of one seed.
+/// The fleet of one seed: sizes, settings and traffic.
 #[derive(Debug, Clone)]
 pub struct Fleet {
     pub nodes: usize,
-    /// So many of the nodes, the first ones, have a listener that outlives their processes.
+    /// The number of nodes, the first ones, whose processes inherit a listener that outlives them.
     pub shared_listeners: usize,
     pub servers: usize,
     pub clients: usize,
+    /// Discovery pushes changes of the list; otherwise nodes ask for it on request.
     pub pushed: bool,
+    /// Discovery answers with full lists rather than changes.
     pub whole_lists: bool,
-    /// Servers report how many requests they hold, and nodes ask them before each draw.
+    /// Servers report how many requests they hold, and nodes probe them before each choice of a server.
     pub probes_first: bool,
-    /// Grace of drains, ms.
+    /// Drain grace, ms.
     pub grace: f64,
-    /// How long repeats of keyed requests are dropped, ms.
+    /// How long servers drop repeats of keyed requests, ms.
     pub dedup_window: f64,
-    /// Shortest and longest time that clients wait, ms.
+    /// Shortest and longest deadline of requests, ms.
     pub deadlines: (f64, f64),
     /// Requests a second to each node.
     pub rate: f64,
-    /// Share of requests whose client leaves.
+    /// Share of requests whose client disconnects before its deadline.
     pub disconnect_share: f64,
-    /// Descriptors that a node may have.
+    /// Most descriptors that a node may use.
     pub sockets: usize,
 }
 
-/// One fault.
+/// One fault, or one action of an operator.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Event {
-    /// SIGTERM, SIGKILL as early as it may come, and a new process. So many clients go on asking without a pause.
-    Term {
-        node: usize,
-        pressing_clients: usize,
-    },
-    /// The same with SIGTERM, SIGHUP and SIGSTOP together, twice, and SIGCONT after so long.
-    SignalSeries {
-        node: usize,
-        ms: u64,
-    },
-    /// Clients hold all descriptors of a node that they can get.
-    FillDescriptors {
-        node: usize,
-        ms: u64,
-    },
-    /// Told by an operator to drain, and so long after to take clients again.
-    DrainNode {
-        node: usize,
-        ms: u64,
-    },
-    Kill {
-        node: usize,
-    },
-    Stop {
-        node: usize,
-        ms: u64,
-    },
-    /// SIGHUP with other settings.
-    Reload {
-        node: usize,
-    },
-    /// SIGHUP with another place of discovery.
-    MoveDiscovery {
-        node: usize,
-    },
-    HandOver {
-        node: usize,
-    },
-    Discovery {
-        mode: DiscoveryMode,
-        ms: u64,
-    },
-    DrainServer {
-        server: usize,
-    },
-    /// Killed, and back after so long, cold.
-    RestartServer {
-        server: usize,
-        ms: u64,
-    },
-    PauseServer {
-        server: usize,
-        ms: u64,
-    },
-    Relay {
-        server: usize,
-        relay_mode: RelayMode,
-        ms: u64,
-    },
-    /// No server takes bodies as they should be.
-    SlowBodies {
-        relay_mode: RelayMode,
-        ms: u64,
-    },
-    Flood {
-        node: usize,
-        count: usize,
-    },
-    Stall {
-        node: usize,
-    },
-    WallClockStep {
-        node: usize,
-        ns: i64,
-    },
-    FailSystemCalls {
-        node: usize,
-        fault: Fault,
-        per_million: u32,
-        ms: u64,
-    },
+    /// SIGTERM, SIGKILL as early as it may come, and a new process, while this many clients send requests without a pause.
+    Term { node: usize, pressing_clients: usize },
+    /// The same, with SIGTERM, SIGHUP and SIGSTOP together, each time followed by SIGCONT after `ms`, twice.
+    SignalSeries { node: usize, ms: u64 },
+    /// Clients hold as many connections to a node as its descriptors allow.
+    FillDescriptors { node: usize, ms: u64 },
+    /// An operator drains the node, and ends the drain after `ms`.
+    DrainNode { node: usize, ms: u64 },
+    /// SIGKILL, and a new process.
+    Kill { node: usize },
+    /// SIGSTOP, and SIGCONT after `ms`.
+    Stop { node: usize, ms: u64 },
+    /// SIGHUP with another drain grace.
+    Reload { node: usize },
+    /// SIGHUP with another address of discovery.
+    MoveDiscovery { node: usize },
+    /// A second process takes over the inherited listener before the first one ends.
+    HandOver { node: usize },
+    /// Discovery answers in this mode for `ms`.
+    Discovery { mode: DiscoveryMode, ms: u64 },
+    /// A server drains, and is gone at the end of that.
+    DrainServer { server: usize },
+    /// A server is killed, and started again after `ms`, cold.
+    RestartServer { server: usize, ms: u64 },
+    /// A server gets SIGSTOP, and SIGCONT after `ms`.
+    PauseServer { server: usize, ms: u64 },
+    /// The relay treats one server's connections in this mode for `ms`.
+    Relay { server: usize, relay_mode: RelayMode, ms: u64 },
+    /// The relay treats all servers' connections in this mode for `ms`, one that reads bodies slowly or not at all.
+    SlowBodies { relay_mode: RelayMode, ms: u64 },
+    /// A client sends this many requests at once.
+    Flood { node: usize, count: usize },
+    /// A client sends half a request and keeps the connection open.
+    Stall { node: usize },
+    /// The wall clock of a node's processes steps.
+    WallClockStep { node: usize, ns: i64 },
+    /// The shim injects a fault into so many calls in a million, for `ms`.
+    FailSystemCalls { node: usize, fault: Fault, per_million: u32, ms: u64 },
 }
 
 impl Event {
-    /// What it is called in reports.
+    /// Its name in reports.
     pub fn name(self) -> &'static str {
         match self {
             Self::Term { pressing_clients: 0, .. } => "SIGTERM and SIGKILL",
@@ -190,18 +152,19 @@
     }
 }
 
-/// A play: what befalls which fleet, and when.
+/// The plan of a run: a fleet, and what happens to it when.
 #[derive(Debug, Clone)]
 pub struct Plan {
     pub seed: u64,
     pub fleet: Fleet,
-    /// Length, ms.
+    /// Length of the run, ms.
     pub length: f64,
+    /// Times, ms from the start, and events, in the order of the times.
     pub events: Vec<(f64, Event)>,
 }
 
 impl Plan {
-    /// Draws a play of this length, ms.
+    /// Draws the plan of a run of this length, ms.
     pub fn draw(seed: u64, length: f64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let fleet = Fleet { probes_first: !seed.is_multiple_of(2), ..draw_fleet(&mut rng) };
@@ -211,7 +174,7 @@
             events.push((at, draw_event(&mut rng, &fleet)));
             at -= rng.random_range(f64::EPSILON..1.0_f64).ln() * MEAN_FAULT_INTERVAL_MS;
         }
-        // What the incident was: a drain while discovery is crowded for long, beside whatever else happens.
+        // An incident of the past: a server drained while discovery was overloaded for long, beside whatever else happened.
         if rng.random_bool(INCIDENT_SHARE) {
             let drained = UNDISTURBED_SERVERS;
             events.retain(|(_, event)| {
@@ -223,7 +186,7 @@
             events.push((FIRST_FAULT_MS, Event::Discovery { mode, ms }));
             events.push((FIRST_FAULT_MS + 300.0, Event::DrainServer { server: drained }));
         }
-        // A request is taken with its last byte, whether or not any server takes that.
+        // A node has received a request with its last byte, whether or not any server reads that.
         let slowly = RelayMode::ReadsSlowly(rng.random_range(50..500));
         let relay_mode = if rng.random_bool(0.5) { RelayMode::StopsReading } else { slowly };
         let at = rng.random_range(FIRST_FAULT_MS..(length - QUIET_MS).max(FIRST_FAULT_MS + 1.0));
@@ -241,7 +204,7 @@
         Self { seed, fleet, length, events }
     }
 
-    /// Are processes held up now and then?
+    /// Whether the shim delays processes at system calls.
     pub fn has_delays(&self) -> bool {
         self.events
             .iter()
@@ -249,7 +212,7 @@
     }
 }
 
-/// Drains by operators, from a stream of their own: what else befalls the fleet of a seed stays as it is.
+/// Draws the drains by operators from a random stream of their own, so that they do not change the other faults of a seed.
 fn draw_operator_drains(seed: u64, fleet: &Fleet, length: f64) -> Vec<(f64, Event)> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     rng.set_stream(OPERATOR_RNG_STREAM);
--- a/crates/pearfront-soak/src/record.rs
+++ b/crates/pearfront-soak/src/record.rs
@@ -1,4 +1,5 @@
-//! What each process of a soak writes down, one JSON line an entry. All times are ms of the machine's monotonic clock.
+//! The records that each process of a soak writes, one JSON line each, and that the judge reads. All times are ms of the
+//! machine's monotonic clock.
 
 use serde::{Deserialize, Serialize};
 use std::fs::File;
@@ -6,7 +7,7 @@
 use std::path::Path;
 use std::sync::{Arc, Mutex};
 
-/// May a request run more than once?
+/// Whether a request may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
@@ -15,7 +16,7 @@
     NonIdempotent,
 }
 
-/// How a server stands in discovery's list.
+/// The state of a server in discovery's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Lifecycle {
@@ -24,52 +25,52 @@
     Gone,
 }
 
-/// How discovery deals with calls.
+/// How discovery answers calls.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DiscoveryMode {
     Normal,
-    /// Answers so much later, ms.
+    /// Delays answers by this many ms.
     Slow(u64),
-    /// Says nothing more on connections that are open; new ones are answered.
+    /// Is silent on the connections that are open at its start; new connections are answered.
     SilentOpen,
-    /// Says nothing to anybody.
+    /// Is silent on all connections.
     Silent,
-    /// 503 to this share of calls, in percent.
+    /// Answers 503 to this share of calls, percent.
     #[serde(rename = "crowded")]
     Overloaded(u8),
-    /// Resets what is open and what comes.
+    /// Resets open and new connections.
     Down,
-    /// Answers in small pieces.
+    /// Sends answers in small fragments.
     #[serde(rename = "pieces")]
     Fragmented,
-    /// Answers break off in the middle, in this share of calls, in percent.
+    /// Breaks answers off half-way, for this share of calls, percent.
     #[serde(rename = "cut")]
     Truncated(u8),
 }
 
 impl DiscoveryMode {
-    /// Can nobody reach it?
+    /// Whether no call reaches discovery.
     pub fn is_unreachable(self) -> bool {
         matches!(self, Self::Down)
     }
 }
 
-/// How an answer ended that is too large to be kept whole.
+/// How an answer too large for a node to buffer ended at its client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AnswerEnd {
     #[serde(rename = "whole")]
     Complete,
-    /// Its connection ended before it did.
+    /// The connection ended before the answer was complete.
     #[serde(rename = "broken")]
     Truncated,
-    /// Its client waits no longer.
+    /// The client gave up waiting.
     #[serde(rename = "given_up")]
     TimedOut,
 }
 
-/// How an answer ended on its way to a node.
+/// How an answer ended at the relay, on its way from a server to a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReplyEnd {
@@ -77,25 +78,25 @@
     Complete,
     #[serde(rename = "server_broke")]
     ServerClosed,
-    /// The node ended it while its server gave nothing.
+    /// The node closed the connection while the server sent nothing.
     #[serde(rename = "left_by_node")]
     NodeClosed,
-    /// The node ended it while there was more that it did not take.
+    /// The node closed the connection with bytes of the answer still unread.
     #[serde(rename = "cut_by_node")]
     NodeStoppedReading,
 }
 
-/// The requests that lie on one connection together.
+/// The requests that are pipelined on one connection.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pipeline {
-    /// The first of them.
+    /// Id of the first of them.
     pub first: String,
-    /// All of them came in one write.
+    /// All of them were sent in one write.
     #[serde(rename = "together")]
     pub single_write: bool,
 }
 
-/// What an operator tells a process of a node.
+/// A call of an operator to a process of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OperatorCall {
@@ -103,12 +104,12 @@
     DrainOff,
 }
 
-/// One entry.
+/// One record.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "what")]
 pub enum Record {
-    // Of clients.
-    /// A request has been sent whole, its first byte at `began`; its client waits so long, ms.
+    // Written by clients.
+    /// A request has been sent, its first byte at `began` and its last byte at `at`; `deadline` is how long its client waits, ms.
     Request {
         id: String,
         node: usize,
@@ -121,7 +122,7 @@
         #[serde(rename = "line")]
         pipeline: Option<Pipeline>,
     },
-    /// Its client closes the connection.
+    /// The client closes the connection before it has an answer.
     #[serde(rename = "left")]
     Disconnected {
         id: String,
@@ -132,8 +133,8 @@
         at: f64,
         status: u16,
     },
-    /// An answer that is too large to be kept whole has ended behind its first bytes, or was not waited for any longer. Its
-    /// last bytes came at `last`; `slow` if its client takes it slowly.
+    /// An answer too large for a node to buffer has ended, or its client gave up. Its last bytes came at `last`; `slow` if
+    /// the client reads it slowly.
     AnswerEnded {
         id: String,
         at: f64,
@@ -141,8 +142,8 @@
         last: f64,
         slow: bool,
     },
-    /// The connection has ended without an answer. `crossed` if that end crossed the request, `reset` if it was no
-    /// orderly end.
+    /// The connection has ended without an answer: `close_raced` if the close raced with the request, `reset` if it was a reset
+    /// rather than an orderly end.
     Unanswered {
         id: String,
         at: f64,
@@ -150,21 +151,22 @@
         close_raced: bool,
         reset: bool,
     },
-    /// So many idle connections to a node are open; this process was the one to close them.
+    /// The number of idle connections to a node that are still open; this process was to close them.
     Idle {
         node: usize,
         process: u32,
         at: f64,
         open: usize,
     },
-    /// A client has sent half a request and stays; its connection was ended, or not within the time given.
+    /// A client has sent half a request and keeps the connection open. `ended` is when the node answered or closed it, if it did
+    /// in time.
     Stalled {
         node: usize,
         at: f64,
         ended: Option<f64>,
     },
-    // Of the relay before the servers.
-    /// The first byte of an attempt has come.
+    // Written by the relay between nodes and servers.
+    /// The first byte of an attempt has arrived; `deadline_sent` is the remaining time that the node announced, ms.
     Attempt {
         id: String,
         server: usize,
@@ -172,21 +174,21 @@
         #[serde(rename = "told")]
         deadline_sent: f64,
     },
-    /// Its last byte.
+    /// The last byte of an attempt has arrived.
     #[serde(rename = "whole")]
     RequestComplete {
         id: String,
         server: usize,
         at: f64,
     },
-    /// Its answer goes back to the node.
+    /// The answer to an attempt starts back to the node; `never_ran` if the server says that the request did not run.
     Reply {
         id: String,
         server: usize,
         at: f64,
         never_ran: bool,
     },
-    /// An answer that is too large to be kept whole goes no further. Its last bytes went to the node at `last`.
+    /// An answer too large for a node to buffer has ended. Its last bytes went to the node at `last`.
     ReplyEnded {
         id: String,
         server: usize,
@@ -194,18 +196,20 @@
         end: ReplyEnd,
         last: f64,
     },
+    /// A node has sent a probe to a server.
     Probe {
         server: usize,
         at: f64,
     },
-    // Of servers.
+    // Written by servers.
+    /// A server begins to run a request.
     Ran {
         id: String,
         server: usize,
         at: f64,
     },
-    // Of discovery.
-    /// An answer with what this version had begins to be written to a node.
+    // Written by discovery.
+    /// Discovery begins to send a node's process the list as of this version; `whole` unless the answer is to be truncated.
     #[serde(rename = "told")]
     ListSent {
         #[serde(rename = "caller")]
@@ -214,15 +218,15 @@
         at: f64,
         whole: bool,
     },
-    /// A connection of a caller has been opened or has ended.
+    /// A subscriber's connection has been opened or has ended.
     Watch {
         #[serde(rename = "caller")]
         subscriber: usize,
         open: bool,
         at: f64,
     },
-    // Of the player.
-    /// The list changes.
+    // Written by the runner.
+    /// The list of servers changes.
     Change {
         version: u64,
         server: usize,
@@ -230,11 +234,12 @@
         lifecycle: Lifecycle,
         at: f64,
     },
+    /// Discovery goes to another mode.
     Discovery {
         mode: DiscoveryMode,
         at: f64,
     },
-    /// A process of a node starts; it is this caller of discovery.
+    /// A process of a node starts; `subscriber` is its number at discovery.
     Start {
         node: usize,
         process: u32,
@@ -242,17 +247,19 @@
         subscriber: usize,
         at: f64,
     },
-    /// It is told to end, killed, or found to have ended.
+    /// A process of a node gets SIGTERM.
     Term {
         node: usize,
         process: u32,
         at: f64,
     },
+    /// A process of a node gets SIGKILL.
     Kill {
         node: usize,
         process: u32,
         at: f64,
     },
+    /// A process of a node is found to have ended, `by_itself` if it was sent no signal to end.
     Exit {
         node: usize,
         process: u32,
@@ -260,13 +267,13 @@
         by_itself: bool,
         code: Option<i32>,
     },
-    /// It stood still.
+    /// A node was paused by SIGSTOP.
     Stop {
         node: usize,
         from: f64,
         to: f64,
     },
-    /// An operator has called a process, and was answered with this status, or not in time.
+    /// An operator has called a process; `status` is that of the answer, if one came in time.
     Operator {
         node: usize,
         process: u32,
@@ -274,36 +281,37 @@
         at: f64,
         status: Option<u16>,
     },
-    /// What `GET /up` at the node's address said; this process was the one to ask for.
+    /// The answer to `GET /up` at the node's address; this process was the one to be checked.
     Up {
         node: usize,
         process: u32,
         at: f64,
         status: Option<u16>,
     },
-    /// Clients hold all the descriptors of a node that they can get.
+    /// Clients hold as many connections to a node as its descriptors allow.
     #[serde(rename = "crowd")]
     FillDescriptors {
         node: usize,
         from: f64,
         to: f64,
     },
-    /// A node goes by another grace of drains, ms.
+    /// A node's drain grace was changed, ms.
     Reloaded {
         node: usize,
         grace: f64,
         at: f64,
     },
-    /// A node is told that discovery has moved.
+    /// A node's settings name another address of discovery.
     Moved {
         node: usize,
         at: f64,
     },
-    /// A server's process has started, cold.
+    /// A server's process was started again and is cold.
     ServerStart {
         server: usize,
         at: f64,
     },
+    /// A server's process was killed.
     ServerKill {
         server: usize,
         at: f64,
@@ -311,7 +319,7 @@
 }
 
 impl Record {
-    /// When it happened.
+    /// When it happened, or began.
     pub fn at(&self) -> f64 {
         match self {
             Self::Request { at, .. }
@@ -347,18 +355,21 @@
     }
 }
 
-/// Where a process writes its entries: each goes to the file at once, so that a kill leaves all but the last.
+/// The file to which a process appends its records. Each is written at once, so that a kill loses at most the last one.
 #[derive(Clone)]
 pub struct Recorder(Arc<Mutex<File>>);
 
 impl Recorder {
+    /// Opens the file for appending.
+    ///
     /// # Errors
-    /// Where the file can't be written.
+    /// If the file can't be opened.
     pub fn new(path: &Path) -> io::Result<Self> {
         let file = File::options().create(true).append(true).open(path)?;
         Ok(Self(Arc::new(Mutex::new(file))))
     }
 
+    /// Appends a record.
     pub fn write(&self, record: &Record) {
         let mut line = serde_json::to_vec(record).expect("entries are plain");
         line.push(b'\n');
@@ -366,10 +377,10 @@
     }
 }
 
-/// All entries of a folder, in the order of their times. A line that a kill cut short is left out.
+/// Reads all records of a folder, ordered by time. A line that a kill cut short is skipped.
 ///
 /// # Errors
-/// Where the folder can't be read.
+/// If the folder or a file can't be read.
 pub fn read_all(folder: &Path) -> io::Result<Vec<Record>> {
     let mut all = Vec::new();
     for entry in std::fs::read_dir(folder)? {
--- a/crates/pearfront-soak/src/relay.rs
+++ b/crates/pearfront-soak/src/relay.rs
@@ -1,5 +1,5 @@
-//! The way from nodes to servers: each connection goes through here, and what passes is written down, whoever of both stands
-//! still or dies.
+//! The role of the relay between nodes and servers: each connection goes through it, so that attempts and answers are recorded
+//! even if the node or the server is paused or killed. It also injects faults of the network.
 
 use crate::answer_spec::MAX_BUFFERED_BYTES;
 use crate::clock;
@@ -17,7 +17,7 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// The way to one server.
+/// The relay in front of one server.
 struct ServerRelay {
     number: usize,
     server: SocketAddrV4,
@@ -26,16 +26,16 @@
     rng: Rc<RefCell<ChaCha8Rng>>,
 }
 
-/// How an answer was passed on.
+/// How the forwarding of an answer ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ReplyOutcome {
     Complete,
-    /// The connection ends with it.
+    /// Complete, and ended by the end of the server's connection.
     CompleteAtClose,
-    /// The node has ended the connection while nothing more came, or while it did not take what came.
+    /// The node closed the connection while the server sent nothing, or with bytes of the answer unread.
     NodeClosed,
     NodeStoppedReading,
-    /// The server's connection broke in its middle.
+    /// The server's connection broke before the answer was complete.
     ServerClosed,
 }
 
@@ -50,6 +50,7 @@
     }
 }
 
+/// Relays connections to all servers until the orders end.
 pub async fn run(recorder: Recorder, role: RelayRole, mut orders: Orders) -> Result<(), String> {
     let rng = Rc::new(RefCell::new(ChaCha8Rng::seed_from_u64(role.seed)));
     let mut relays = Vec::new();
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Does something of this share, in percent, happen now?
+    /// Draws whether something with this probability, percent, happens.
     fn happens(&self, percent: u8) -> bool {
         self.rng.borrow_mut().random_range(0..100) < percent
     }
@@ -99,7 +100,7 @@
                 return;
             }
             if self.relay_mode.get() == RelayMode::Blackhole {
-                // Nothing more comes through on this connection; the node gives it up.
+                // Nothing more comes through on this connection, until the node closes it.
                 return node.closed().await;
             }
             match self.forward_answer(id.as_deref(), &mut node, &mut server).await {
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Passes a request on as it comes; false if a side has ended before it was whole.
+    /// Forwards a request as it comes; false if either side ended before it was complete.
     async fn forward_request(
         &self,
         id: Option<&str>,
@@ -128,7 +129,7 @@
         let mut rest = RemainingBody::of_request(head);
         let mut bytes = head.bytes.clone();
         loop {
-            // It has come with its last byte, whether or not its server takes that.
+            // The request is complete with its last byte, whether or not the server reads that.
             if rest == RemainingBody::Done
                 && let Some(id) = id
             {
@@ -187,7 +188,7 @@
         outcome
     }
 
-    /// Passes an answer on as it comes; so many bytes of it went to the node, the last ones then.
+    /// Forwards an answer as it comes; counts the bytes of its content and notes when the last ones went to the node.
     async fn forward_body(
         &self,
         head: &Message,
@@ -225,7 +226,7 @@
         }
     }
 
-    /// The head of the server's answer; nothing where the connection breaks.
+    /// The head of the server's answer, after the delay of this mode; `None` if the connection breaks.
     async fn answer_head(&self, server: &mut Connection) -> Option<Message> {
         let head = server.head().await?;
         match self.relay_mode.get() {
--- a/crates/pearfront-soak/src/role.rs
+++ b/crates/pearfront-soak/src/role.rs
@@ -1,5 +1,5 @@
-//! The processes of a soak beside the nodes: each is told what it is by one JSON line on its standard input, and then what to do
-//! by one line an order. It ends with its standard input.
+//! The roles of the processes that a soak runs beside the nodes, and the orders that they take from the runner. A process reads
+//! its role as the first JSON line of standard input, then one order a line; it ends at the end of its input.
 
 use crate::record::{DiscoveryMode, Lifecycle, Recorder};
 use crate::{client, discovery, relay, server};
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 use tokio::io::{AsyncBufReadExt, BufReader, Lines, Stdin};
 
-/// What a process is.
+/// The role of a process.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
@@ -18,65 +18,69 @@
     Client(ClientRole),
 }
 
+/// A server behind the nodes.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ServerRole {
     pub records: PathBuf,
     pub number: usize,
     pub address: SocketAddrV4,
-    /// It goes on to serve while it drains, and says only to probes that it does.
+    /// It goes on to serve requests while it drains, and reports the drain to probes alone.
     pub serves_on: bool,
     pub seed: u64,
 }
 
+/// The relay between the nodes and all servers.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RelayRole {
     pub records: PathBuf,
-    /// For each server, where the relay listens for it, and where it is.
+    /// For each server, the address at which the relay listens for it, and the server's own.
     pub servers: Vec<(SocketAddrV4, SocketAddrV4)>,
     pub seed: u64,
 }
 
+/// The discovery service.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct DiscoveryRole {
     pub records: PathBuf,
-    /// For each process of a node its first and its second place: calls tell by that whose they are.
+    /// For each process of a node the first and the second address at which it calls discovery, by which its calls are known.
     #[serde(rename = "places")]
     pub addresses: Vec<[SocketAddrV4; 2]>,
-    /// For each server, where nodes reach it.
+    /// For each server, the address at which nodes reach it.
     pub servers: Vec<SocketAddrV4>,
-    /// Answers are whole lists without what drains, rather than changes.
+    /// Answers are full lists without draining servers, rather than changes.
     pub whole_lists: bool,
     pub seed: u64,
 }
 
+/// A process of clients.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ClientRole {
     pub records: PathBuf,
     pub nodes: Vec<SocketAddrV4>,
     /// Requests a second to each node.
     pub rate: f64,
-    /// Share of requests whose client leaves early.
+    /// Share of requests whose client disconnects before its deadline.
     #[serde(rename = "leaves")]
     pub disconnect_share: f64,
-    /// Longest that clients wait, ms, and shortest.
+    /// Shortest and longest deadline of requests, ms.
     pub deadlines: (f64, f64),
     pub seed: u64,
 }
 
-/// What a process is told to do.
+/// An order of the runner to a process.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Order {
-    /// A server turns away what is new from now on.
+    /// A server drains from now on.
     Drain,
-    /// The relay deals so with one server's connections.
+    /// The relay treats the connections of one server in this mode.
     #[serde(rename = "way")]
     RelayMode {
         server: usize,
         #[serde(rename = "way")]
         relay_mode: RelayMode,
     },
-    /// The list changes.
+    /// Discovery's list changes.
     Publish {
         server: usize,
         version: u64,
@@ -84,88 +88,73 @@
         lifecycle: Lifecycle,
         started_unix: f64,
     },
-    Discovery {
-        mode: DiscoveryMode,
-    },
-    /// A caller's first place says nothing any more: it has been told to call the second.
+    /// Discovery goes to this mode.
+    Discovery { mode: DiscoveryMode },
+    /// Discovery no longer serves the first address of a subscriber, which is told to call the second.
     Moved {
         #[serde(rename = "caller")]
         subscriber: usize,
     },
-    /// Clients make new connections to a node, or only use those that they have.
+    /// Clients may open new connections to a node, or only use those that they have.
     #[serde(rename = "connects")]
     AllowConnections {
         node: usize,
         #[serde(rename = "yes")]
         allowed: bool,
     },
-    /// Clients count the connections to a node that they hold idle; this process was the one to close them.
-    CountIdle {
-        node: usize,
-        process: u32,
-    },
-    /// So many requests at once to a node.
-    Flood {
-        node: usize,
-        count: usize,
-    },
-    /// Half a request to a node, whose client stays.
-    Stall {
-        node: usize,
-    },
-    /// So many connections on which requests follow one another without a pause until they end.
+    /// Clients record how many idle connections to a node they hold; this process was to close them.
+    CountIdle { node: usize, process: u32 },
+    /// Clients send this many requests to a node at once.
+    Flood { node: usize, count: usize },
+    /// A client sends half a request to a node and keeps the connection open.
+    Stall { node: usize },
+    /// Clients open this many connections and send requests on each without a pause until it ends.
     #[serde(rename = "press")]
-    SendBackToBack {
-        node: usize,
-        count: usize,
-    },
-    /// So many connections that are only held, for so long.
+    SendBackToBack { node: usize, count: usize },
+    /// Clients hold this many connections, idle or with half a head, for this time.
     #[serde(rename = "crowd")]
-    FillDescriptors {
-        node: usize,
-        count: usize,
-        ms: u64,
-    },
+    FillDescriptors { node: usize, count: usize, ms: u64 },
 }
 
-/// How the relay deals with a server's connections.
+/// How the relay treats a server's connections.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RelayMode {
+    /// Forwards both ways.
     #[serde(rename = "open")]
     Forward,
-    /// Nothing comes through, and nothing is said.
+    /// Forwards nothing and closes nothing.
     #[serde(rename = "vanished")]
     Blackhole,
-    /// Requests are reset once their first bytes have come, in this share of cases, in percent.
+    /// Resets this share of requests after their head, percent.
     Resets(u8),
-    /// Kept connections are closed behind an answer, in this share of cases, in percent.
+    /// Closes the connection after this share of answers, percent.
     ClosesIdle(u8),
-    /// Answers are held back so long, ms.
+    /// Delays answers by this many ms.
     Slow(u64),
-    /// Nothing of a body is taken.
+    /// Reads nothing of a request's body.
     #[serde(rename = "takes_nothing")]
     StopsReading,
-    /// A piece of a body is taken only so often, ms.
+    /// Waits this many ms between two reads of a request's body.
     #[serde(rename = "takes_slowly")]
     ReadsSlowly(u64),
 }
 
-/// The orders of this process.
+/// The orders that come to this process on standard input.
 pub struct Orders(Lines<BufReader<Stdin>>);
 
 impl Orders {
-    /// The next one; nothing once the player has ended.
+    /// The next order; `None` once the runner has ended or a line can't be read.
     pub async fn next(&mut self) -> Option<Order> {
         let line = self.0.next_line().await.ok()??;
         serde_json::from_str(&line).ok()
     }
 }
 
-/// Plays the role that standard input names, to its end.
+/// Runs the role that standard input names, until the input ends.
 ///
 /// # Errors
-/// Where the role can't be read, an address be bound or the records be written.
+/// If the role can't be read, an address can't be bound or the record file can't be opened.
 pub async fn run() -> Result<(), String> {
     let mut lines = BufReader::new(tokio::io::stdin()).lines();
     let line = lines.next_line().await.map_err(|error| error.to_string())?.ok_or("no role")?;
@@ -181,15 +170,15 @@
     }
 }
 
-/// Bytes that the kernel keeps of what a process has not read, about.
+/// Size of the kernel's receive buffer of a connection, bytes.
 const RECEIVE_BUFFER_BYTES: u32 = 64 * 1024;
 
-/// Listens at an address.
+/// Listens at an address, with a small receive buffer.
 pub fn listen(address: SocketAddrV4) -> Result<tokio::net::TcpListener, String> {
     let bind = || {
         let socket = tokio::net::TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
-        // What is not taken is soon seen by whoever sends it.
+        // With a small buffer a sender soon notices that its bytes are not read.
         socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES)?;
         socket.bind(address.into())?;
         socket.listen(1024)
--- a/crates/pearfront-soak/src/role_process.rs
+++ b/crates/pearfront-soak/src/role_process.rs
@@ -1,4 +1,4 @@
-//! The processes of a play that are no nodes, as the player sees them.
+//! The processes of a soak that are not nodes, as the runner starts them and gives them orders.
 
 use crate::role::{Order, Role};
 use crate::runner::Setup;
@@ -6,14 +6,14 @@
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 use tokio::task::spawn_local;
 
-/// One of the processes that are no nodes.
+/// A running process with a role.
 pub struct RoleProcess {
     pub child: Child,
     orders: UnboundedSender<Vec<u8>>,
 }
 
 impl RoleProcess {
-    /// Has the process do something.
+    /// Sends the process an order.
     pub fn order(&self, order: &Order) {
         let mut line = serde_json::to_vec(order).expect("orders are plain");
         line.push(b'\n');
@@ -21,7 +21,7 @@
     }
 }
 
-/// Starts a process that plays a role.
+/// Starts a process with a role.
 pub fn start(setup: &Setup, role: &Role) -> Result<RoleProcess, String> {
     let (program, argument) = &setup.role_command;
     let mut child = Command::new(program)
@@ -37,7 +37,7 @@
     let _ = orders.send(line);
     spawn_local(async move {
         use std::io::Write;
-        // A few short lines: the pipe takes them at once.
+        // The lines are few and short, so the pipe takes them without blocking.
         while let Some(line) = lines.recv().await {
             if input.write_all(&line).is_err() {
                 return;
--- a/crates/pearfront-soak/src/runner.rs
+++ b/crates/pearfront-soak/src/runner.rs
@@ -1,4 +1,5 @@
-//! Plays a plan: starts the processes, lets the faults happen, and ends what it started.
+//! Carries out a plan: starts the processes of the fleet, injects the faults at their times, and ends what it started. Used by
+//! `pearfront soak`.
 
 mod faults;
 mod operators;
@@ -23,38 +24,39 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Processes that one node may have in a play.
+/// Most processes, one after the other, that a node may have in a run.
 const MAX_PROCESSES_PER_NODE: usize = 12;
-/// How long the fleet has to come up.
+/// How long nodes have to start before clients do.
 const STARTUP_TIME: Duration = Duration::from_millis(1200);
 
-/// What a play is made with.
+/// The programs and the folder of a run.
 #[derive(Debug, Clone)]
 pub struct Setup {
     /// The node program.
     pub node: PathBuf,
-    /// The program that plays the other roles, and the argument that tells it so.
+    /// The program that runs the other roles, and the argument that makes it do so.
     pub role_command: (PathBuf, String),
-    /// Where files and records go.
+    /// The folder for files and records.
     pub folder: PathBuf,
-    /// The fault shim; without one no system calls fail.
+    /// The fault shim's library; without one, no faults of system calls are injected.
     pub shim: Option<PathBuf>,
 }
 
-/// What a play was like.
+/// What happened in a run, beside its records.
 #[derive(Debug, Default)]
 pub struct RunSummary {
+    /// Processes that were started.
     pub processes: usize,
     /// How often each fault happened.
     pub faults: BTreeMap<&'static str, u64>,
-    /// What the nodes counted themselves; no part of the verdict.
+    /// Violations that the nodes logged themselves; no part of the verdict.
     pub violations: u64,
 }
 
-/// Plays the plan and leaves its records in the folder.
+/// Carries out the plan and leaves the records in the folder.
 ///
 /// # Errors
-/// Where a process can't be started or a file not be written.
+/// If a process can't be started or a file can't be written.
 pub async fn run(plan: &Plan, setup: Setup) -> Result<RunSummary, String> {
     std::fs::create_dir_all(&setup.folder).map_err(|error| format!("{}: {error}", setup.folder.display()))?;
     let runner = Runner::start(plan, setup).await?;
@@ -73,24 +75,24 @@
     subscriber: usize,
     child: RefCell<Child>,
     file: PathBuf,
-    /// Where operators call it.
+    /// The address for operators' calls.
     admin: SocketAddrV4,
     ended: Cell<bool>,
-    /// It has been told to end, or killed.
+    /// It has been sent SIGTERM or SIGKILL.
     is_ending: Cell<bool>,
 }
 
 struct Node {
     listen: SocketAddrV4,
-    /// Where its processes inherit their listener, if they do.
+    /// The listener that its processes inherit, if they do.
     listener: Option<TcpListener>,
     processes: RefCell<Vec<Rc<Process>>>,
     processes_started: Cell<usize>,
     grace: Cell<f64>,
     has_moved: Cell<bool>,
-    /// Something that changes its processes is on.
+    /// A fault that changes its processes is under way.
     busy: Cell<bool>,
-    /// An operator's drain is on.
+    /// A drain by an operator is under way.
     operator_drain: Cell<bool>,
     control: Option<Control>,
 }
@@ -113,7 +115,7 @@
     discovery: RefCell<RoleProcess>,
     clients: RefCell<Vec<RoleProcess>>,
     version: Cell<u64>,
-    /// Rises with each change of discovery's mode, so that an end is that of the last one.
+    /// Number of changes of discovery's mode, by which the end of a mode knows whether another one has replaced it.
     mode_changes: Cell<u64>,
     counts: RefCell<BTreeMap<&'static str, u64>>,
     processes: Cell<usize>,
@@ -252,7 +254,7 @@
         self.discovery.borrow().order(&Order::Publish { server, version, lifecycle, started_unix });
     }
 
-    /// A node's file, which knows the servers that are ready now.
+    /// The configuration of a node's process, whose known servers are those that are ready now.
     fn config(&self, node: usize, subscriber: usize) -> Value {
         let states = self.states.borrow();
         let ready = states.iter().enumerate().filter(|(_, state)| state.lifecycle == Lifecycle::Ready);
@@ -268,7 +270,7 @@
         config
     }
 
-    /// Starts one more process of a node.
+    /// Starts another process of a node.
     fn start_process(&self, node: usize) -> Result<Rc<Process>, String> {
         let state = &self.nodes[node];
         let process_index = state.processes_started.get();
@@ -317,7 +319,7 @@
         Ok(process)
     }
 
-    /// Has the process ended? Written down once.
+    /// Whether the process has ended; its exit is recorded once.
     fn has_ended(&self, node: usize, process: &Process) -> bool {
         if process.ended.get() {
             return true;
@@ -343,13 +345,13 @@
         *self.counts.borrow_mut().entry(name).or_default() += 1;
     }
 
-    /// The process of a node that was started last, if it runs and is not told to end.
+    /// The latest process of a node, if it runs and was not sent a signal to end.
     fn current(&self, node: usize) -> Option<Rc<Process>> {
         let process = self.nodes[node].processes.borrow().last().cloned()?;
         (!self.has_ended(node, &process) && !process.is_ending.get()).then_some(process)
     }
 
-    /// Ends all processes; nodes by SIGKILL, as what was owed has been answered by now.
+    /// Ends all processes; nodes by SIGKILL, as all requests that are due have been answered by now.
     fn end(&self) -> RunSummary {
         for (number, node) in self.nodes.iter().enumerate() {
             for process in node.processes.borrow().iter() {
@@ -387,7 +389,7 @@
     }
 }
 
-/// What nodes that ended by themselves counted, and what they said of it.
+/// The number of violations in the logs of the nodes.
 fn violations(folder: &Path) -> u64 {
     let logs = std::fs::read_dir(folder).into_iter().flatten().flatten().map(|entry| entry.path());
     let texts = logs.filter(|path| path.extension().is_some_and(|it| it == "log"));
@@ -401,7 +403,7 @@
     SocketAddrV4::new(Ipv4Addr::new(127, network[0], network[1], host as u8), port)
 }
 
-/// Where a process of a node calls discovery, at first and once that has moved.
+/// The address at which a process of a node calls discovery: the first one, or the second once discovery has moved.
 fn subscriber_address(network: [u8; 2], subscriber: usize, second: bool) -> SocketAddrV4 {
     loopback_address(network, subscriber % 200 + 1, 7100 + (subscriber / 200) as u16 * 10 + u16::from(second))
 }
--- a/crates/pearfront-soak/src/runner/faults.rs
+++ b/crates/pearfront-soak/src/runner/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a plan, each as it happens.
+//! Carries out the events of a plan.
 
 use super::{MAX_PROCESSES_PER_NODE, Process, Runner, pid};
 use crate::clock;
@@ -11,17 +11,18 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-/// How long after SIGTERM new connections go on coming, ms.
+/// How long after SIGTERM clients go on to open new connections, ms.
 const CONNECTIONS_AFTER_TERM_MS: u64 = 400;
-/// How long two processes of a node are there beside each other in a hand-over: the new one says that it is ready within 2.5 s
-/// whatever discovery does, and only then the old one is told to end.
+/// How long both processes of a node run in a hand-over: the new one reports ready within 2.5 s whatever discovery does, and
+/// only then the old one gets SIGTERM.
 const HANDOVER_OVERLAP: Duration = Duration::from_millis(3000);
-/// How often the player looks whether a process has ended.
+/// How often the runner checks whether a process has ended or is up.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// How long a server drains before it goes, ms.
+/// How long a server drains before it is gone, ms.
 const SERVER_DRAIN_MS: u64 = 9000;
 
 impl Runner {
+    /// Carries out one event; what lasts goes on in a task.
     pub(super) fn apply(self: Rc<Self>, event: Event) {
         match event {
             Event::Term { node, pressing_clients } => {
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Lets something happen to a node's processes, unless something does already.
+    /// Runs a fault that changes a node's processes, unless one is under way or the node has had all its processes.
     fn change_processes<F: Future<Output = ()> + 'static>(
         self: Rc<Self>,
         node: usize,
@@ -109,6 +110,7 @@
         }
     }
 
+    /// Lets clients open new connections to a node, or forbids it.
     pub(super) fn allow_connections(&self, node: usize, allowed: bool) {
         self.clients
             .borrow()
@@ -116,7 +118,7 @@
             .for_each(|client| client.order(&Order::AllowConnections { node, allowed }));
     }
 
-    /// SIGTERM, and SIGKILL as early as it may come.
+    /// SIGTERM, and SIGKILL as early as it may come; clients stop connecting if no other process of the node serves (`is_last`).
     async fn term(&self, node: usize, process: &Process, is_last: bool) {
         process.is_ending.set(true);
         self.recorder.write(&Record::Term { node, process: process.number, at: clock::now() });
@@ -156,7 +158,7 @@
         self.start_again(node).await;
     }
 
-    /// Signals together, twice, the second time right behind the SIGCONT of the first.
+    /// Sends the signals together, twice, the second time right after the first SIGCONT.
     fn signal_in_series(self: &Rc<Self>, node: usize, ms: u64) {
         let Some(process) = self.current(node) else { return };
         let runner = self.clone();
@@ -173,7 +175,7 @@
         });
     }
 
-    /// An operator's drain, whatever else happens to the node's processes.
+    /// A drain by an operator, whatever other faults of the node's processes are under way.
     fn drain_by_operator(self: Rc<Self>, event: Event, node: usize, ms: u64) {
         if self.current(node).is_none() || self.nodes[node].operator_drain.replace(true) {
             return;
@@ -231,7 +233,7 @@
         let state = &self.nodes[node];
         let Some(process) = self.current(node).filter(|_| !state.busy.get()) else { return };
         self.count(event.name());
-        // To a longer grace and back: what was worked out under the longer one must not go on.
+        // To a longer grace and back: times computed with the longer grace must not stay in force.
         let grace =
             if state.grace.get() > self.fleet.grace { self.fleet.grace } else { self.fleet.grace * 2.0 };
         state.grace.set(grace);
@@ -312,7 +314,7 @@
         let _ = kill_process(process, Signal::STOP);
         spawn_local(async move {
             sleep(Duration::from_millis(ms)).await;
-            // Another process may have that number only once this one was waited for.
+            // The pid is reused only after this process was waited for.
             let same =
                 self.servers.borrow()[server].as_ref().and_then(|role_process| pid(&role_process.child))
                     == Some(process);
--- a/crates/pearfront-soak/src/runner/operators.rs
+++ b/crates/pearfront-soak/src/runner/operators.rs
@@ -1,4 +1,4 @@
-//! Operators' calls at a node's `admin` address, and what `GET /up` says behind them.
+//! Operators' calls at a node's `admin` address, and the checks of `GET /up` after them.
 
 use super::{Process, Runner};
 use crate::clock;
@@ -11,18 +11,19 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// How long an operator waits for an answer.
+/// How long an operator waits for an answer to a call.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1000);
-/// The front sends new connections for so long after `GET /up` says no, which it asks this often.
+/// The load balancer in front of the nodes goes on sending new connections for this time after `GET /up` says not ready, and
+/// calls it at this interval.
 const FRONT_STOP_DELAY: Duration = Duration::from_millis(200);
 const FRONT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// So long after a call to drain `GET /up` is asked whether it says no, and clients what they still hold: 4 s, and some slack.
+/// When after the call to drain `GET /up` has to say not ready, and clients count their idle connections: 4 s and some slack.
 const DRAIN_CHECK_DELAY: Duration = Duration::from_millis(4300);
-/// So long after the end of a drain it has to say yes.
+/// How long after the end of a drain `GET /up` may take to say ready.
 const READY_TIMEOUT: Duration = Duration::from_millis(2000);
 
 impl Runner {
-    /// Has the node's process drain for so long, and take clients again.
+    /// Drains the node's process for this time, and ends the drain.
     pub(super) async fn drain_node(&self, node: usize, drain_duration: Duration) {
         let Some(process) = self.current(node) else { return };
         let begun = Instant::now();
@@ -44,7 +45,8 @@
         self.set_front_connections(node, &process, true);
     }
 
-    /// Clients make new connections to the node from now on, or none; where its process ends, that decides.
+    /// Lets clients open new connections to the node, or forbids it; no effect once the process is no longer the node's current
+    /// one, since the fault that ends it decides then.
     fn set_front_connections(&self, node: usize, process: &Rc<Process>, allowed: bool) {
         let is_current = self.current(node).is_some_and(|current| Rc::ptr_eq(&current, process));
         if is_current {
@@ -63,7 +65,7 @@
         self.recorder.write(&Record::Operator { node, process, call, at, status });
     }
 
-    /// Does the node say that it takes clients?
+    /// Whether the node says that it is ready; the answer is recorded.
     async fn check_up(&self, node: usize, process: &Process) -> bool {
         let at = clock::now();
         let status = call_status(self.nodes[node].listen, "GET /up").await;
@@ -72,7 +74,7 @@
     }
 }
 
-/// The status of the answer to a call without a body, if one comes in time.
+/// The status of the answer to a call without a body, if one comes within `CALL_TIMEOUT`.
 async fn call_status(address: SocketAddrV4, call: &str) -> Option<u16> {
     let head = format!("{call} HTTP/1.1\r\nHost: node\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
     let answer = async {
--- a/crates/pearfront-soak/src/server.rs
+++ b/crates/pearfront-soak/src/server.rs
@@ -1,5 +1,5 @@
-//! A server: serves requests after some time, now and then with an error or at great length, and turns them away once it
-//! drains.
+//! The role of a server: answers requests after a service time, now and then with an error or a long answer, and rejects them
+//! once it drains.
 
 use crate::answer_spec::{AnswerForm, AnswerSpec};
 use crate::clock;
@@ -15,19 +15,19 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Shortest and longest time for a request, ms; one in twenty takes ten times as long.
+/// Shortest and longest service time of a request, ms; one in twenty takes ten times as long.
 const SERVICE_TIME_MS: (f64, f64) = (2.0, 40.0);
 const LONG_SHARE: f64 = 0.05;
 /// Share of requests that end in an error.
 const ERROR_SHARE: f64 = 0.01;
 /// Bytes written at a time.
 const BLOCK_BYTES: usize = 64 * 1024;
-/// What drips: so many bytes, with this pause.
+/// Bytes of a block of a trickling answer, and the pause between two.
 const TRICKLE_BYTES: usize = 2048;
 const TRICKLE_PAUSE: Duration = Duration::from_millis(150);
-/// An answer that begins late does so after this time.
+/// Delay of an answer that begins late.
 const LATE_DELAY: Duration = Duration::from_millis(2000);
-/// So many drops of an answer that has an end.
+/// Most blocks of a trickling answer that has an end.
 const MAX_TRICKLE_BLOCKS: usize = 20;
 
 struct Server {
@@ -35,17 +35,18 @@
     recorder: Recorder,
     rng: RefCell<ChaCha8Rng>,
     drains: Cell<bool>,
-    /// Requests that it holds.
+    /// Requests in work.
     held: Cell<usize>,
 }
 
-/// Does the connection go on behind an answer?
+/// What becomes of the connection after an answer.
 #[derive(PartialEq, Eq)]
 enum NextStep {
     KeepAlive,
     Close,
 }
 
+/// Serves requests until the orders end.
 pub async fn run(recorder: Recorder, role: ServerRole, mut orders: Orders) -> Result<(), String> {
     let listener = listen(role.address)?;
     let rng = RefCell::new(ChaCha8Rng::seed_from_u64(role.seed));
@@ -96,7 +97,7 @@
         Ok(NextStep::KeepAlive)
     }
 
-    /// Runs a request: whether it is served.
+    /// Runs a request; false if it fails.
     async fn execute(&self, id: &str) -> bool {
         let ran = Record::Ran { id: id.to_string(), server: self.role.number, at: clock::now() };
         self.recorder.write(&ran);
@@ -112,7 +113,7 @@
     }
 }
 
-/// Gives an answer in the form that is wanted.
+/// Writes an answer in the form that the request asks for.
 async fn write_answer(answer_spec: AnswerSpec, connection: &mut Connection) -> io::Result<NextStep> {
     let framing = match answer_spec.form {
         AnswerForm::Length | AnswerForm::Stalls | AnswerForm::Trickles | AnswerForm::Late => {
--- a/crates/pearfront-soak/src/shim.rs
+++ b/crates/pearfront-soak/src/shim.rs
@@ -1,4 +1,5 @@
-//! The fault shim: a small library in front of the C library of one node process, and the shared file that tells it what to do.
+//! The fault shim: a small library that is preloaded into a node process, wraps system calls and injects faults, and the shared
+//! file that controls it. Used by the runner and by the node's own tests.
 
 use rand::Rng;
 use std::fs::{File, OpenOptions};
@@ -7,10 +8,10 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// Its source, compiled when a soak begins.
+/// Source of the shim, compiled when a soak begins.
 const SOURCE: &str = include_str!("../shim/fault_shim.c");
 
-/// The faults that it knows, in the order of its control file.
+/// The faults that the shim injects, in the order of the control file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Fault {
     Socket,
@@ -22,7 +23,7 @@
     Delay,
 }
 
-/// All of them.
+/// All faults, with their names in reports.
 pub const FAULTS: [(Fault, &str); 7] = [
     (Fault::Socket, "socket() failed"),
     (Fault::Connect, "connect() failed"),
@@ -33,9 +34,10 @@
     (Fault::Delay, "held up 0.15 s at a system call"),
 ];
 
-/// How long one hold-up lasts, us.
+/// Length of one injected delay, us.
 pub const DELAY_US: u32 = 150_000;
 
+// Offsets in the control file, bytes: the same layout as `struct control` of fault_shim.c.
 const WALL_OFFSET: u64 = 0;
 const SEED: u64 = 8;
 const PER_MILLION: u64 = 16;
@@ -43,10 +45,10 @@
 const COUNTS: u64 = DELAY + 4;
 const LENGTH: u64 = COUNTS + 8 * FAULTS.len() as u64;
 
-/// Compiles the library into this folder.
+/// Compiles the shim into this folder and returns the library's path.
 ///
 /// # Errors
-/// Where there is no C compiler (`cc`), or the file can't be written.
+/// If there is no C compiler (`cc`), or the source can't be written or compiled.
 pub fn build(folder: &Path) -> io::Result<PathBuf> {
     let (source, library) = (folder.join("fault_shim.c"), folder.join("fault_shim.so"));
     std::fs::write(&source, SOURCE)?;
@@ -58,15 +60,17 @@
     }
 }
 
-/// What one process's shim is told.
+/// The control file of one node's shim.
 pub struct Control {
     file: File,
     pub path: PathBuf,
 }
 
 impl Control {
+    /// Creates the file, with no faults.
+    ///
     /// # Errors
-    /// Where the file can't be written.
+    /// If the file can't be written.
     pub fn new(path: PathBuf, seed: u64) -> io::Result<Self> {
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(&path)?;
         file.set_len(LENGTH)?;
@@ -75,23 +79,23 @@
         Ok(Self { file, path })
     }
 
-    /// From now on this happens to so many calls in a million.
+    /// Sets how many calls in a million meet this fault.
     ///
     /// # Errors
-    /// Where the file can't be written.
+    /// If the file can't be written.
     pub fn set(&self, fault: Fault, per_million: u32) -> io::Result<()> {
         self.file.write_all_at(&per_million.to_ne_bytes(), PER_MILLION + 4 * fault as u64)
     }
 
-    /// Steps the wall clock to so far from the machine's, ns.
+    /// Sets the offset of the process's wall clock from the machine's, ns.
     ///
     /// # Errors
-    /// Where the file can't be written.
+    /// If the file can't be written.
     pub fn step_wall_clock(&self, offset_ns: i64) -> io::Result<()> {
         self.file.write_all_at(&offset_ns.to_ne_bytes(), WALL_OFFSET)
     }
 
-    /// How often each fault happened so far.
+    /// How often each fault has been injected so far.
     pub fn counts(&self) -> [u64; FAULTS.len()] {
         let mut counts = [0; FAULTS.len()];
         for (at, count) in counts.iter_mut().enumerate() {
@@ -104,7 +108,7 @@
     }
 }
 
-/// A step of the wall clock: seconds or an hour, either way.
+/// Draws a step of the wall clock, ns: seconds or an hour, forwards or backwards.
 pub fn draw_wall_clock_step(rng: &mut impl Rng) -> i64 {
     const SECOND: i64 = 1_000_000_000;
     let size = if rng.random_bool(0.5) { 3600 * SECOND } else { rng.random_range(1..20) * SECOND };
