--- a/crates/pearfront-soak/src/client.rs
+++ b/crates/pearfront-soak/src/client.rs
@@ -35,8 +35,8 @@
 /// Mean number of requests at each arrival.
 pub fn mean_requests_per_arrival() -> f64 {
     let in_a_burst = (BURST_SIZE.start() + BURST_SIZE.end()) as f64 / 2.0;
-    let behind = (pipeline::FOLLOWERS.start() + pipeline::FOLLOWERS.end()) as f64 / 2.0;
-    1.0 + BURST_SHARE * (in_a_burst - 1.0) + PIPELINE_SHARE * behind
+    let followers = (pipeline::FOLLOWERS.start() + pipeline::FOLLOWERS.end()) as f64 / 2.0;
+    1.0 + BURST_SHARE * (in_a_burst - 1.0) + PIPELINE_SHARE * followers
 }
 
 struct Node {
@@ -162,8 +162,8 @@
         let mut idle = self.nodes[node].idle.borrow_mut();
         let count = idle.len();
         // Picks at random, so that some connections stay idle for long; where new connections are allowed, often opens one all the same.
-        let is_kept_used = !self.nodes[node].may_connect.get() || self.happens(0.8);
-        (count > 0 && is_kept_used).then(|| idle.swap_remove(self.rng.borrow_mut().random_range(0..count)))
+        let reuses_idle = !self.nodes[node].may_connect.get() || self.happens(0.8);
+        (count > 0 && reuses_idle).then(|| idle.swap_remove(self.rng.borrow_mut().random_range(0..count)))
     }
 
     async fn connect(&self, node: usize) -> Option<Connection> {
--- a/crates/pearfront-soak/src/client/exchange.rs
+++ b/crates/pearfront-soak/src/client/exchange.rs
@@ -106,8 +106,8 @@
 
 async fn write_body(request: &Request, connection: &mut Connection) -> std::io::Result<()> {
     let block = [b'x'; BLOCK_BYTES];
-    let stops = request.pace == Pace::Stalls;
-    let mut left = if stops { request.length / 2 } else { request.length };
+    let stalls = request.pace == Pace::Stalls;
+    let mut left = if stalls { request.length / 2 } else { request.length };
     while left > 0 {
         let most = if request.pace == Pace::AtOnce { BLOCK_BYTES } else { SLOW_BLOCK_BYTES };
         let count = left.min(most);
@@ -123,7 +123,7 @@
             sleep(SLOW_PAUSE).await;
         }
     }
-    if request.chunked && !stops { connection.write(b"0\r\n\r\n").await } else { Ok(()) }
+    if request.chunked && !stalls { connection.write(b"0\r\n\r\n").await } else { Ok(()) }
 }
 
 /// Writes a request, and stops if anything comes before it is complete.
@@ -135,7 +135,7 @@
         return Written::Complete(clock::now());
     }
     // A second handle of the socket waits for reads while the first one writes.
-    let Some(other) = connection.writer() else { return Written::Failed };
+    let Some(reader) = connection.writer() else { return Written::Failed };
     tokio::select! {
         biased;
         written = timeout(MAX_BODY_TIME, write_body(request, connection)) => match written {
@@ -144,7 +144,7 @@
             Ok(Err(_)) => Written::Failed,
             Err(_) => Written::AnsweredEarly,
         },
-        () = wait_readable(&other) => Written::AnsweredEarly,
+        () = wait_readable(&reader) => Written::AnsweredEarly,
     }
 }
 
@@ -166,7 +166,7 @@
         let began = clock::now();
         match write(request, connection).await {
             Written::Complete(at) => {
-                self.wait(node, request, connection, began, Sent { at, new_connection }).await
+                self.wait_for_answer(node, request, connection, began, Sent { at, new_connection }).await
             }
             // The request does not count: its last byte was never written.
             Written::Failed if !new_connection && request.length == 0 => Outcome::CloseRaced,
@@ -185,7 +185,7 @@
     }
 
     /// Waits for the answer to a request whose first byte was written at `began`.
-    async fn wait(
+    async fn wait_for_answer(
         &self,
         node: usize,
         request: &Request,
@@ -234,8 +234,8 @@
             }
             Ok(Some(AnswerStart::Streamed { head, rest, first })) => {
                 answered(first, head.status());
-                let is_whole = self.read_stream(request, connection, rest).await;
-                if is_whole {
+                let is_complete = self.read_stream(request, connection, rest).await;
+                if is_complete {
                     Outcome::Answered { kept: !closes_connection(&head) }
                 } else {
                     Outcome::Finished
--- a/crates/pearfront-soak/src/client/patterns.rs
+++ b/crates/pearfront-soak/src/client/patterns.rs
@@ -28,9 +28,9 @@
             let count = rng.random_range(BURST_SIZE);
             (0..count).map(|_| Request::draw_plain(rng, &self.role)).collect()
         };
-        let all: Vec<u8> = requests.iter().flat_map(Request::head).collect();
+        let bytes: Vec<u8> = requests.iter().flat_map(Request::head).collect();
         let began = clock::now();
-        if connection.write(&all).await.is_err() {
+        if connection.write(&bytes).await.is_err() {
             return;
         }
         let at = clock::now();
--- a/crates/pearfront-soak/src/client/pipeline.rs
+++ b/crates/pearfront-soak/src/client/pipeline.rs
@@ -104,8 +104,11 @@
         written: Written,
     ) {
         let single_write = self.happens(SINGLE_WRITE_SHARE);
-        let writes: Vec<Vec<Request>> =
-            if single_write { vec![pipeline] } else { pipeline.into_iter().map(|one| vec![one]).collect() };
+        let writes: Vec<Vec<Request>> = if single_write {
+            vec![pipeline]
+        } else {
+            pipeline.into_iter().map(|request| vec![request]).collect()
+        };
         let mut first = None;
         for requests in writes {
             let bytes: Vec<u8> = requests.iter().flat_map(Request::head).collect();
--- a/crates/pearfront-soak/src/http/tests.rs
+++ b/crates/pearfront-soak/src/http/tests.rs
@@ -40,21 +40,21 @@
 #[test_case(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", 0; "with none")]
 #[test_case(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x=1\r\nfin\r\n1\r\ne\r\n0\r\nA: b\r\n\r\n", 4; "in chunks")]
 #[test_case(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nfine", 4; "to the end of its connection")]
-fn an_answer_is_passed_on_as_it_came(sent: &'static [u8], length: usize) {
+fn an_answer_is_received_byte_for_byte(sent: &'static [u8], length: usize) {
     assert_eq!(receive(sent, true), (sent.to_vec(), length, true));
 }
 
 #[test_case(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfine", true; "with a length")]
 #[test_case(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n", true; "in chunks")]
-fn an_answer_that_breaks_off_is_not_whole(sent: &'static [u8], ends: bool) {
-    let (raw, content, is_whole) = receive(sent, ends);
-    assert_eq!((raw, content, is_whole), (sent.to_vec(), 4, false));
+fn a_truncated_answer_is_not_complete(sent: &'static [u8], ends: bool) {
+    let (raw, content, is_complete) = receive(sent, ends);
+    assert_eq!((raw, content, is_complete), (sent.to_vec(), 4, false));
 }
 
 // A reset that a write met first looked like an orderly end to the reader, so that a request whose connection was closed unread
 // counted as lost.
 #[test]
-fn a_reset_is_one_for_the_reader_although_a_write_met_it_first() {
+fn the_reader_sees_a_reset_that_a_write_met_first() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
         let (mut client, server) = pair().await;
--- a/crates/pearfront-soak/src/judge/answers.rs
+++ b/crates/pearfront-soak/src/judge/answers.rs
@@ -45,7 +45,7 @@
             verdict.shut_unread += usize::from(request.new_connection);
         }
         (_, Some(end), _) if history.was_killed(request.node, request.at - SLACK_MS, end.at + SLACK_MS) => {}
-        (_, Some(end), _) if is_shut_unread(history, id, request, end, delay_slack) => {
+        (_, Some(end), _) if was_closed_unread(history, id, request, end, delay_slack) => {
             verdict.shut_unread += 1
         }
         (_, Some(end), _) => {
@@ -68,13 +68,19 @@
 
 /// Whether the node closed the connection before the request's deadline without reading any of it. It may close a new
 /// connection, on which no request came before, only where clients use up its descriptors.
-fn is_shut_unread(history: &History, id: &str, request: &Request, end: Unanswered, delay_slack: f64) -> bool {
-    let in_its_time = end.at
+fn was_closed_unread(
+    history: &History,
+    id: &str,
+    request: &Request,
+    end: Unanswered,
+    delay_slack: f64,
+) -> bool {
+    let within_deadline = end.at
         <= history.due_while_running(request.node, request.at, request.deadline + SLACK_MS + delay_slack);
     let is_behind = request.pipeline.as_ref().is_some_and(|pipeline| pipeline.first != id);
-    let may_be_shut =
+    let may_be_closed =
         !request.new_connection || is_behind || history.has_full_descriptors(request.node, end.at);
-    end.reset && in_its_time && may_be_shut && !history.may_have_been_read(id, request, true)
+    end.reset && within_deadline && may_be_closed && !history.may_have_been_read(id, request, true)
 }
 
 /// Checks the end of a streamed answer: the node must not end it while the server sends, and must end it soon after the last
@@ -90,8 +96,8 @@
     let node = request.node;
     let reply = attempts.iter().filter_map(|attempt| attempt.ended).max_by(|a, b| a.at.total_cmp(&b.at));
     // A client that reads slowly sees that an answer was truncated long after the node did it.
-    let cut = reply.map_or(ended.at, |reply| reply.at.min(ended.at));
-    let is_excused = history.has_ended(node, cut - DELAY_SLACK_MS, cut + DELAY_SLACK_MS)
+    let ended_at = reply.map_or(ended.at, |reply| reply.at.min(ended.at));
+    let is_excused = history.has_ended(node, ended_at - DELAY_SLACK_MS, ended_at + DELAY_SLACK_MS)
         || history.paused_ms(node, request.at, ended.at) > 0.0;
     if is_excused || history.is_unserved(node, request.at) {
         return;
@@ -103,10 +109,10 @@
     };
     match (ended.end, reply) {
         (AnswerEnd::Truncated, Some(reply)) => {
-            let gives = reply.end == ReplyEnd::NodeStoppedReading
+            let server_sends = reply.end == ReplyEnd::NodeStoppedReading
                 || reply.end == ReplyEnd::NodeClosed && reply.at < reply.last + SERVER_SILENCE_MS;
             // It may be truncated for the sake of a request that is pipelined behind it.
-            if gives && !history.has_pending_behind(id, ended.at) {
+            if server_sends && !history.has_pending_behind(id, ended.at) {
                 broken(format!(
                     "cut off {:.0} ms behind the last bytes of its server",
                     reply.at - reply.last
@@ -114,11 +120,16 @@
             }
         }
         (AnswerEnd::TimedOut, reply) if !ended.slow => {
-            let given = reply.map_or(ended.last, |reply| reply.last.max(ended.last));
-            let due =
-                (request.at + request.deadline).max(given) + ANSWER_OVERDUE_MS + SLACK_MS + DELAY_SLACK_MS;
+            let last_bytes = reply.map_or(ended.last, |reply| reply.last.max(ended.last));
+            let due = (request.at + request.deadline).max(last_bytes)
+                + ANSWER_OVERDUE_MS
+                + SLACK_MS
+                + DELAY_SLACK_MS;
             if ended.at > due {
-                broken(format!("held open {:.0} ms behind the last bytes of its server", ended.at - given));
+                broken(format!(
+                    "held open {:.0} ms behind the last bytes of its server",
+                    ended.at - last_bytes
+                ));
             }
         }
         (AnswerEnd::Complete, Some(reply))
--- a/crates/pearfront-soak/src/judge/budgets.rs
+++ b/crates/pearfront-soak/src/judge/budgets.rs
@@ -11,14 +11,14 @@
 
 /// Checks the retries of each node against its retry budget, in each window that ends with a retry.
 pub(super) fn check_retry_budget(history: &History, breaks: &mut Vec<Break>) {
-    let mut further: BTreeMap<usize, Vec<f64>> = BTreeMap::new();
-    let mut taken: BTreeMap<usize, Vec<f64>> = BTreeMap::new();
+    let mut retries: BTreeMap<usize, Vec<f64>> = BTreeMap::new();
+    let mut requests: BTreeMap<usize, Vec<f64>> = BTreeMap::new();
     for (id, request) in &history.requests {
-        taken.entry(request.node).or_default().push(request.at);
+        requests.entry(request.node).or_default().push(request.at);
         let attempts = history.attempts.get(id).map_or(&[][..], Vec::as_slice);
-        further.entry(request.node).or_default().extend(attempts.iter().skip(1).map(|attempt| attempt.at));
+        retries.entry(request.node).or_default().extend(attempts.iter().skip(1).map(|attempt| attempt.at));
     }
-    for (node, times) in &mut further {
+    for (node, times) in &mut retries {
         times.sort_by(f64::total_cmp);
         let within = |times: &[f64], from: f64, to: f64| {
             times.iter().filter(|at| (from..=to).contains(*at)).count() as f64
@@ -31,7 +31,7 @@
                 .filter(|lifetime| lifetime.node == *node && lifetime.start < *at && lifetime.end > from)
                 .count();
             let allowed = BUDGET_FREE * lifetimes.max(1) as f64
-                + BUDGET_RATIO * within(&taken[node], from - DELAY_SLACK_MS, *at);
+                + BUDGET_RATIO * within(&requests[node], from - DELAY_SLACK_MS, *at);
             let used = within(times, from + SLACK_MS, *at);
             if used > allowed {
                 let description = format!(
--- a/crates/pearfront-soak/src/judge/history.rs
+++ b/crates/pearfront-soak/src/judge/history.rs
@@ -307,25 +307,28 @@
     /// request may have been read only if it may be the next to be answered.
     pub(super) fn may_have_been_read(&self, id: &str, request: &Request, reset: bool) -> bool {
         let pipeline = request.pipeline.as_ref().filter(|pipeline| pipeline.single_write);
-        let single_write =
+        let written_together =
             pipeline.and_then(|pipeline| self.pipelines.get(&pipeline.first)).map_or(&[][..], Vec::as_slice);
         let is_begun = |id: &String| {
             let is_answered = self.requests.get(id).is_some_and(|request| request.answer.is_some());
             is_answered || self.attempts.contains_key(id)
         };
-        let may_be_read =
-            if reset { self.may_be_next(id, single_write) } else { single_write.iter().any(is_begun) };
+        let may_be_read = if reset {
+            self.may_be_next(id, written_together)
+        } else {
+            written_together.iter().any(is_begun)
+        };
         self.attempts.contains_key(id) || may_be_read
     }
 
     /// Whether it may be the first of these requests, sent in one write, that has no complete answer.
-    fn may_be_next(&self, id: &str, single_write: &[String]) -> bool {
-        let Some(place) = single_write.iter().position(|other| other == id) else { return false };
+    fn may_be_next(&self, id: &str, written_together: &[String]) -> bool {
+        let Some(index) = written_together.iter().position(|other| other == id) else { return false };
         let is_whole = |request: &Request| {
             request.answer.is_some() && request.ended.is_none_or(|ended| ended.end == AnswerEnd::Complete)
         };
         let is_answered = |id: &String| self.requests.get(id).is_some_and(is_whole);
-        place.checked_sub(1).is_none_or(|ahead| is_answered(&single_write[ahead]))
+        index.checked_sub(1).is_none_or(|ahead| is_answered(&written_together[ahead]))
     }
 
     /// Whether a request that is pipelined behind this one is within its deadline at that time.
--- a/crates/pearfront-soak/src/judge/operators.rs
+++ b/crates/pearfront-soak/src/judge/operators.rs
@@ -47,11 +47,11 @@
     history: &History,
     call: OperatorCall,
 ) -> impl Iterator<Item = (usize, u32, f64, f64)> + '_ {
-    let wanted = history
+    let accepted = history
         .operator_calls
         .iter()
         .filter(move |other| other.call == call && other.status == Some(READY_STATUS));
-    wanted.map(|call| {
+    accepted.map(|call| {
         let next =
             history.operator_calls.iter().find(|other| other.process == call.process && other.at > call.at);
         (call.node, call.process, call.at, next.map_or(f64::INFINITY, |next| next.at))
@@ -98,8 +98,8 @@
             breaks.push(Break { rule: Rule::Lost, at: idle.at, description });
         }
         for (id, request) in history.requests.iter().filter(|(_, request)| request.node == node) {
-            let came_late = (due - LAST_REQUESTS_MS..due - SLACK_MS).contains(&request.began);
-            if came_late && !request.new_connection && request.pipeline.is_none() && request.is_open(due) {
+            let is_recent = (due - LAST_REQUESTS_MS..due - SLACK_MS).contains(&request.began);
+            if is_recent && !request.new_connection && request.pipeline.is_none() && request.is_open(due) {
                 let description = format!("node {node} drains, and holds the connection of request {id}");
                 breaks.push(Break { rule: Rule::Lost, at: due, description });
             }
--- a/crates/pearfront-soak/src/judge/tests.rs
+++ b/crates/pearfront-soak/src/judge/tests.rs
@@ -32,18 +32,23 @@
     judge(&plan, &records).breaks
 }
 
-#[test_case(AnswerEnd::Complete, 900.0, (ReplyEnd::Complete, 890.0, 890.0), None; "whole")]
-#[test_case(AnswerEnd::Complete, 3000.0, (ReplyEnd::Complete, 890.0, 890.0), Some("held back"); "whole, and held back")]
-#[test_case(AnswerEnd::Truncated, 1100.0, (ReplyEnd::NodeClosed, 1100.0, 700.0), None; "its server gave nothing more")]
-#[test_case(AnswerEnd::Truncated, 900.0, (ReplyEnd::NodeClosed, 900.0, 700.0), Some("cut off"); "cut off in a pause")]
-#[test_case(AnswerEnd::Truncated, 900.0, (ReplyEnd::NodeStoppedReading, 900.0, 500.0), Some("cut off"); "cut off with more to come")]
-#[test_case(AnswerEnd::Truncated, 900.0, (ReplyEnd::ServerClosed, 900.0, 899.0), None; "its server broke")]
-#[test_case(AnswerEnd::TimedOut, 4000.0, (ReplyEnd::NodeClosed, 4000.0, 400.0), Some("held open"); "held open")]
-#[test_case(AnswerEnd::TimedOut, 4000.0, (ReplyEnd::NodeClosed, 4000.0, 3900.0), None; "its server still gives")]
-fn an_answer_ends_as_it_should(end: AnswerEnd, at: f64, reply: (ReplyEnd, f64, f64), wanted: Option<&str>) {
+#[test_case(AnswerEnd::Complete, 900.0, (ReplyEnd::Complete, 890.0, 890.0), None; "complete")]
+#[test_case(AnswerEnd::Complete, 3000.0, (ReplyEnd::Complete, 890.0, 890.0), Some("held back"); "complete, but delayed")]
+#[test_case(AnswerEnd::Truncated, 1100.0, (ReplyEnd::NodeClosed, 1100.0, 700.0), None; "the server sent nothing more")]
+#[test_case(AnswerEnd::Truncated, 900.0, (ReplyEnd::NodeClosed, 900.0, 700.0), Some("cut off"); "truncated in a pause")]
+#[test_case(AnswerEnd::Truncated, 900.0, (ReplyEnd::NodeStoppedReading, 900.0, 500.0), Some("cut off"); "truncated with more to come")]
+#[test_case(AnswerEnd::Truncated, 900.0, (ReplyEnd::ServerClosed, 900.0, 899.0), None; "the server closed")]
+#[test_case(AnswerEnd::TimedOut, 4000.0, (ReplyEnd::NodeClosed, 4000.0, 400.0), Some("held open"); "kept open")]
+#[test_case(AnswerEnd::TimedOut, 4000.0, (ReplyEnd::NodeClosed, 4000.0, 3900.0), None; "the server still sends")]
+fn a_streamed_answer_ends_as_it_should(
+    end: AnswerEnd,
+    at: f64,
+    reply: (ReplyEnd, f64, f64),
+    expected: Option<&str>,
+) {
     let found = breaks(end, at, reply.2, reply);
     let descriptions: Vec<&str> = found.iter().map(|broken| broken.description.as_str()).collect();
-    match wanted {
+    match expected {
         None => assert!(descriptions.is_empty(), "{descriptions:?}"),
         Some(text) => assert!(descriptions.len() == 1 && descriptions[0].contains(text), "{descriptions:?}"),
     }
@@ -51,10 +56,13 @@
 
 // A request that a kill leaves unanswered counts as lost only if the process had all its time since SIGTERM; a kill during that
 // time, or without SIGTERM before, excuses it.
-#[test_case(Some(0.0), true; "behind all its time")]
-#[test_case(Some(4000.0), false; "in the middle of it")]
-#[test_case(None, false; "with no word before")]
-fn what_a_kill_finds_unanswered_is_lost_behind_all_the_time(term_at: Option<f64>, is_lost: bool) {
+#[test_case(Some(0.0), true; "after the full time")]
+#[test_case(Some(4000.0), false; "within that time")]
+#[test_case(None, false; "without SIGTERM")]
+fn a_request_unanswered_at_a_kill_is_lost_only_after_the_full_termination_time(
+    term_at: Option<f64>,
+    is_lost: bool,
+) {
     let plan = Plan::draw(1, 20_000.0);
     let kill = plan.fleet.deadlines.1 + KILL_AFTER_MS + 10.0;
     let mut records = vec![Record::Start { node: 0, process: 1, subscriber: 0, at: -1000.0 }];
@@ -79,9 +87,15 @@
 /// answers, `up` the times and statuses of `GET /up`.
 fn rules_broken_by_drain(calls: [Option<u16>; 2], up: &[(f64, Option<u16>)]) -> Vec<Rule> {
     let (node, process) = (0, 1);
-    let calls_made = [(OperatorCall::DrainOn, 0.0, calls[0]), (OperatorCall::DrainOff, 5000.0, calls[1])];
+    let operator_calls = [(OperatorCall::DrainOn, 0.0, calls[0]), (OperatorCall::DrainOff, 5000.0, calls[1])];
     let mut records = vec![Record::Start { node, process, subscriber: 0, at: -1000.0 }];
-    records.extend(calls_made.map(|(call, at, status)| Record::Operator { node, process, call, at, status }));
+    records.extend(operator_calls.map(|(call, at, status)| Record::Operator {
+        node,
+        process,
+        call,
+        at,
+        status,
+    }));
     records.extend(up.iter().map(|(at, status)| Record::Up { node, process, at: *at, status: *status }));
     judge(&Plan::draw(1, 20_000.0), &records).breaks.iter().map(|broken| broken.rule).collect()
 }
@@ -92,10 +106,10 @@
 #[test_case([READY, READY], &[(3900.0, READY), (5100.0, NOT_READY), (6900.0, READY)], &[]; "in time")]
 #[test_case([NOT_READY, READY], &[], &[Rule::Operators]; "a drain that is refused")]
 #[test_case([READY, None], &[], &[Rule::Operators]; "a call that is not answered")]
-#[test_case([READY, READY], &[(4000.0, READY)], &[Rule::Lost]; "still yes 4 s after the call")]
-#[test_case([READY, READY], &[(5100.0, NOT_READY), (6900.0, NOT_READY)], &[Rule::Operators]; "no yes 2 s after the end of a drain")]
-fn a_node_does_what_operators_ask(calls: [Option<u16>; 2], up: &[(f64, Option<u16>)], wanted: &[Rule]) {
-    assert_eq!(rules_broken_by_drain(calls, up), wanted);
+#[test_case([READY, READY], &[(4000.0, READY)], &[Rule::Lost]; "still ready 4 s after the call")]
+#[test_case([READY, READY], &[(5100.0, NOT_READY), (6900.0, NOT_READY)], &[Rule::Operators]; "not ready 2 s after the end of a drain")]
+fn a_node_does_what_operators_ask(calls: [Option<u16>; 2], up: &[(f64, Option<u16>)], expected: &[Rule]) {
+    assert_eq!(rules_broken_by_drain(calls, up), expected);
 }
 
 /// How a connection ended that held a request with a deadline of 600 ms, sent at 100 ms.
@@ -106,9 +120,9 @@
     /// It was sent in one write behind another request, which was answered.
     behind_answered: bool,
     /// That answer is large, and was truncated with the connection.
-    broken_off: bool,
+    answer_truncated: bool,
     close_raced: bool,
-    crowded: bool,
+    descriptors_full: bool,
 }
 
 const CLOSED: ClosedRequest = ClosedRequest {
@@ -116,9 +130,9 @@
     reset: true,
     new_connection: false,
     behind_answered: false,
-    broken_off: false,
+    answer_truncated: false,
     close_raced: false,
-    crowded: false,
+    descriptors_full: false,
 };
 
 fn request(id: &str, new_connection: bool, pipeline: Option<Pipeline>) -> Record {
@@ -135,31 +149,39 @@
     }
 }
 
-#[test_case(&CLOSED, true; "unread in its time")]
+#[test_case(&CLOSED, true; "unread within its deadline")]
 #[test_case(&ClosedRequest { reset: false, ..CLOSED }, false; "an orderly end")]
-#[test_case(&ClosedRequest { at: 800.0, ..CLOSED }, false; "behind its time")]
-#[test_case(&ClosedRequest { behind_answered: true, ..CLOSED }, false; "read with another")]
-#[test_case(&ClosedRequest { behind_answered: true, broken_off: true, ..CLOSED }, true; "behind an answer that is broken off")]
-#[test_case(&ClosedRequest { behind_answered: true, broken_off: true, new_connection: true, ..CLOSED }, true; "the same on a connection that was new")]
-#[test_case(&ClosedRequest { behind_answered: true, broken_off: true, reset: false, ..CLOSED }, false; "the same, an orderly end")]
-#[test_case(&ClosedRequest { new_connection: true, ..CLOSED }, false; "new, without a crowd")]
-#[test_case(&ClosedRequest { new_connection: true, close_raced: true, reset: false, ..CLOSED }, false; "new, crossed without a crowd")]
-#[test_case(&ClosedRequest { behind_answered: true, close_raced: true, reset: false, ..CLOSED }, false; "crossed, and read with another")]
-#[test_case(&ClosedRequest { new_connection: true, close_raced: true, crowded: true, reset: false, ..CLOSED }, true; "new, crossed in a crowd")]
-#[test_case(&ClosedRequest { new_connection: true, crowded: true, ..CLOSED }, true; "new, in a crowd")]
-#[test_case(&ClosedRequest { new_connection: true, crowded: true, reset: false, ..CLOSED }, false; "new, an orderly end in a crowd")]
-fn a_request_is_shut_unread_by_a_reset_in_its_time_alone(closed: &ClosedRequest, is_excused: bool) {
+#[test_case(&ClosedRequest { at: 800.0, ..CLOSED }, false; "after its deadline")]
+#[test_case(&ClosedRequest { behind_answered: true, ..CLOSED }, false; "read with another request")]
+#[test_case(&ClosedRequest { behind_answered: true, answer_truncated: true, ..CLOSED }, true; "behind a truncated answer")]
+#[test_case(&ClosedRequest { behind_answered: true, answer_truncated: true, new_connection: true, ..CLOSED }, true; "behind a truncated answer on a new connection")]
+#[test_case(&ClosedRequest { behind_answered: true, answer_truncated: true, reset: false, ..CLOSED }, false; "behind a truncated answer, an orderly end")]
+#[test_case(&ClosedRequest { new_connection: true, ..CLOSED }, false; "new, with descriptors left")]
+#[test_case(&ClosedRequest { new_connection: true, close_raced: true, reset: false, ..CLOSED }, false; "new, close raced, with descriptors left")]
+#[test_case(&ClosedRequest { behind_answered: true, close_raced: true, reset: false, ..CLOSED }, false; "close raced, read with another request")]
+#[test_case(&ClosedRequest { new_connection: true, close_raced: true, descriptors_full: true, reset: false, ..CLOSED }, true; "new, close raced, descriptors used up")]
+#[test_case(&ClosedRequest { new_connection: true, descriptors_full: true, ..CLOSED }, true; "new, descriptors used up")]
+#[test_case(&ClosedRequest { new_connection: true, descriptors_full: true, reset: false, ..CLOSED }, false; "new, an orderly end, descriptors used up")]
+fn a_request_counts_as_closed_unread_only_after_a_reset_within_its_deadline(
+    closed: &ClosedRequest,
+    is_excused: bool,
+) {
     let first = "the first";
     let pipeline = closed.behind_answered.then(|| Pipeline { first: first.into(), single_write: true });
     let mut records = vec![Record::Start { node: 0, process: 1, subscriber: 0, at: -1000.0 }];
-    records.extend(closed.crowded.then_some(Record::FillDescriptors { node: 0, from: 0.0, to: 1000.0 }));
+    records.extend(closed.descriptors_full.then_some(Record::FillDescriptors {
+        node: 0,
+        from: 0.0,
+        to: 1000.0,
+    }));
     if closed.behind_answered {
         records.push(request(first, false, pipeline.clone()));
         records.push(Record::Answer { id: first.into(), at: 200.0, status: 200 });
     }
     let (id, at) = (first.to_string(), closed.at);
-    let broken_off = Record::AnswerEnded { id, at, end: AnswerEnd::Truncated, last: 200.0, slow: false };
-    records.extend(closed.broken_off.then_some(broken_off));
+    let answer_truncated =
+        Record::AnswerEnded { id, at, end: AnswerEnd::Truncated, last: 200.0, slow: false };
+    records.extend(closed.answer_truncated.then_some(answer_truncated));
     records.push(request(ID, closed.new_connection, pipeline));
     let ClosedRequest { at, reset, close_raced, .. } = *closed;
     records.push(Record::Unanswered { id: ID.into(), at, close_raced, reset });
@@ -167,9 +189,12 @@
     assert_eq!((verdict.breaks.is_empty(), verdict.shut_unread), (is_excused, usize::from(is_excused)));
 }
 
-#[test_case(300.0, true; "in its time")]
-#[test_case(800.0, false; "behind its time")]
-fn a_dripping_answer_is_broken_off_for_a_request_behind_it_in_its_time(at: f64, is_allowed: bool) {
+#[test_case(300.0, true; "within its deadline")]
+#[test_case(800.0, false; "after its deadline")]
+fn a_trickling_answer_may_be_truncated_for_a_request_behind_it_within_its_deadline(
+    at: f64,
+    is_allowed: bool,
+) {
     let pipeline = |single_write| Some(Pipeline { first: ID.into(), single_write });
     let behind = "the one behind";
     let records = [
@@ -186,10 +211,10 @@
 }
 
 /// A node is told to drain at 0 ms, and its clients' connections are counted 4.3 s later.
-#[test_case(Some(0), None, false; "all let go")]
+#[test_case(Some(0), None, false; "none left")]
 #[test_case(Some(1), None, true; "an idle connection")]
 #[test_case(None, Some(3900.0), true; "a request of the last 2 s")]
-#[test_case(None, Some(1000.0), false; "a request of before, whose last byte is of the last 2 s")]
+#[test_case(None, Some(1000.0), false; "an earlier request whose last byte came in the last 2 s")]
 fn a_drained_node_holds_no_connection(idle: Option<usize>, began: Option<f64>, is_broken: bool) {
     let (node, process) = (0, 1);
     let mut records = vec![Record::Start { node, process, subscriber: 0, at: -1000.0 }];
--- a/crates/pearfront-soak/src/node_file.rs
+++ b/crates/pearfront-soak/src/node_file.rs
@@ -29,10 +29,13 @@
 pub const COLD_FROM: f64 = 0.2;
 /// Multiple of a server's capacity beyond which it is overloaded.
 pub const TIP_MULTIPLE: f64 = 3.0;
-/// Span in which a cold server may be overloaded, and time that it takes to warm up, ms.
+/// Span in which a cold server may be overloaded, ms.
 pub const OVERLOAD_FOR_MS: f64 = 2000.0;
+/// Time that a cold server takes to warm up, ms.
 pub const COLD_MS: f64 = 5000.0;
-/// Retry budget: free retries, further retries as a share of requests, and the sliding window in which both count, ms.
+/// Retries of a node in a sliding window that are free.
 pub const BUDGET_FREE: f64 = 10.0;
+/// Further retries in the window, as a share of its requests.
 pub const BUDGET_RATIO: f64 = 0.3;
+/// Length of the window in which retries and requests count, ms.
 pub const BUDGET_SPAN_MS: f64 = 5000.0;
--- a/crates/pearfront-soak/src/plan.rs
+++ b/crates/pearfront-soak/src/plan.rs
@@ -174,7 +174,7 @@
             events.push((at, draw_event(&mut rng, &fleet)));
             at -= rng.random_range(f64::EPSILON..1.0_f64).ln() * MEAN_FAULT_INTERVAL_MS;
         }
-        // An incident of the past: a server drained while discovery was overloaded for long, beside whatever else happened.
+        // Reproduces an incident: a server drains while discovery is overloaded for long, beside whatever else happens.
         if rng.random_bool(INCIDENT_SHARE) {
             let drained = UNDISTURBED_SERVERS;
             events.retain(|(_, event)| {
--- a/crates/pearfront-soak/src/runner/faults.rs
+++ b/crates/pearfront-soak/src/runner/faults.rs
@@ -48,14 +48,18 @@
             }
             Event::HandOver { .. } => {}
             Event::Stop { node, ms } => {
-                self.change_processes(node, event, move |runner| async move { runner.stop(node, ms).await })
+                self.change_processes(
+                    node,
+                    event,
+                    move |runner| async move { runner.pause_node(node, ms).await },
+                )
             }
             Event::Reload { node } => self.reload(node, event),
             Event::MoveDiscovery { node } => self.move_discovery(node, event),
-            Event::Discovery { mode, ms } => self.set_mode(event, mode, ms),
+            Event::Discovery { mode, ms } => self.set_discovery_mode(event, mode, ms),
             Event::DrainServer { server } => self.drain_server(event, server),
             Event::RestartServer { server, ms } => self.restart_server(event, server, ms),
-            Event::PauseServer { server, ms } => self.hang(event, server, ms),
+            Event::PauseServer { server, ms } => self.pause_server(event, server, ms),
             Event::Relay { server, relay_mode, ms } => self.set_relay_mode(event, server, relay_mode, ms),
             Event::SlowBodies { relay_mode, ms } => {
                 self.count(event.name());
@@ -143,7 +147,7 @@
 
     async fn start_again(&self, node: usize) {
         if let Err(problem) = self.start_process(node) {
-            eprintln!("node {node} was not started: {problem}");
+            eprintln!("node {node} could not be started: {problem}");
         }
         let is_up = async || tokio::net::TcpStream::connect(self.nodes[node].listen).await.is_ok();
         while self.current(node).is_some() && !is_up().await {
@@ -213,7 +217,7 @@
         }
     }
 
-    async fn stop(&self, node: usize, ms: u64) {
+    async fn pause_node(&self, node: usize, ms: u64) {
         let Some(process) = self.current(node) else { return };
         let from = clock::now();
         self.signal(&process, Signal::STOP);
@@ -253,7 +257,7 @@
         self.recorder.write(&Record::Moved { node, at: clock::now() });
     }
 
-    fn set_mode(self: Rc<Self>, event: Event, mode: DiscoveryMode, ms: u64) {
+    fn set_discovery_mode(self: Rc<Self>, event: Event, mode: DiscoveryMode, ms: u64) {
         self.count(event.name());
         let number = self.mode_changes.get() + 1;
         self.mode_changes.set(number);
@@ -306,7 +310,7 @@
         });
     }
 
-    fn hang(self: Rc<Self>, event: Event, server: usize, ms: u64) {
+    fn pause_server(self: Rc<Self>, event: Event, server: usize, ms: u64) {
         let process =
             self.servers.borrow()[server].as_ref().and_then(|role_process| pid(&role_process.child));
         let Some(process) = process else { return };
--- a/crates/pearfront-soak/src/server.rs
+++ b/crates/pearfront-soak/src/server.rs
@@ -34,9 +34,9 @@
     role: ServerRole,
     recorder: Recorder,
     rng: RefCell<ChaCha8Rng>,
-    drains: Cell<bool>,
+    draining: Cell<bool>,
     /// Requests in work.
-    held: Cell<usize>,
+    in_flight: Cell<usize>,
 }
 
 /// What becomes of the connection after an answer.
@@ -50,7 +50,7 @@
 pub async fn run(recorder: Recorder, role: ServerRole, mut orders: Orders) -> Result<(), String> {
     let listener = listen(role.address)?;
     let rng = RefCell::new(ChaCha8Rng::seed_from_u64(role.seed));
-    let server = Rc::new(Server { role, recorder, rng, drains: Cell::new(false), held: Cell::new(0) });
+    let server = Rc::new(Server { role, recorder, rng, draining: Cell::new(false), in_flight: Cell::new(0) });
     let accepting = server.clone();
     spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
@@ -59,7 +59,7 @@
     });
     while let Some(order) = orders.next().await {
         if matches!(order, Order::Drain) {
-            server.drains.set(true);
+            server.draining.set(true);
         }
     }
     Ok(())
@@ -82,7 +82,7 @@
 
     async fn answer(&self, message: &Message, connection: &mut Connection) -> io::Result<NextStep> {
         let answer = match message.header("x-trace-id") {
-            Some(id) if self.role.serves_on || !self.drains.get() => {
+            Some(id) if self.role.serves_on || !self.draining.get() => {
                 let is_served = self.execute(id).await;
                 match AnswerSpec::decode(message) {
                     Some(answer_spec) if is_served => return write_answer(answer_spec, connection).await,
@@ -90,8 +90,8 @@
                     _ => answer("500 Oops", "", b""),
                 }
             }
-            _ if self.drains.get() => answer("503 Draining", "X-Never-Ran: 1\r\n", b""),
-            _ => answer("200 OK", "", format!("TEXT util=0.30,inflight={}", self.held.get()).as_bytes()),
+            _ if self.draining.get() => answer("503 Draining", "X-Never-Ran: 1\r\n", b""),
+            _ => answer("200 OK", "", format!("TEXT util=0.30,inflight={}", self.in_flight.get()).as_bytes()),
         };
         connection.write(&answer).await?;
         Ok(NextStep::KeepAlive)
@@ -101,14 +101,14 @@
     async fn execute(&self, id: &str) -> bool {
         let ran = Record::Ran { id: id.to_string(), server: self.role.number, at: clock::now() };
         self.recorder.write(&ran);
-        let (takes, fails) = {
+        let (service_time, fails) = {
             let mut rng = self.rng.borrow_mut();
             let times = if rng.random_bool(LONG_SHARE) { 10.0 } else { 1.0 };
             (rng.random_range(SERVICE_TIME_MS.0..SERVICE_TIME_MS.1) * times, rng.random_bool(ERROR_SHARE))
         };
-        self.held.set(self.held.get() + 1);
-        sleep(Duration::from_secs_f64(takes / 1000.0)).await;
-        self.held.set(self.held.get() - 1);
+        self.in_flight.set(self.in_flight.get() + 1);
+        sleep(Duration::from_secs_f64(service_time / 1000.0)).await;
+        self.in_flight.set(self.in_flight.get() - 1);
         !fails
     }
 }
