--- a/crates/pearfront-node/src/accept_queue.rs
+++ b/crates/pearfront-node/src/accept_queue.rs
@@ -7,34 +7,34 @@
 use tokio::time::Instant;
 
 /// After so many accepted connections the time is kept once more.
-const STEP: usize = 64;
+const CHECKPOINT_STEP: usize = 64;
 
 /// What was established no longer ago, by a clock of up to 10 ms a tick, has not waited.
-const AT_ONCE: Duration = Duration::from_millis(20);
+const NOT_QUEUED: Duration = Duration::from_millis(20);
 
 /// Follows the accepts from one queue.
 pub struct AcceptQueue {
     /// So many connections wait in it at the most.
-    most: usize,
+    max_waiting: usize,
     /// What was accepted last came after this time.
     earliest: Cell<Instant>,
     /// The last look found nothing, and what comes next is accepted at once.
-    is_watched: Cell<bool>,
+    was_empty: Cell<bool>,
     /// How many were accepted so far.
     accepted: Cell<usize>,
     /// How many had been accepted at which times: whatever the queue could not hold by then came later.
-    marks: RefCell<VecDeque<(usize, Instant)>>,
+    checkpoints: RefCell<VecDeque<(usize, Instant)>>,
 }
 
 impl AcceptQueue {
     /// A queue that holds so many at the most, none of which came before this time.
-    pub fn since(most: usize, opened: Instant) -> Self {
+    pub fn new(max_waiting: usize, opened: Instant) -> Self {
         Self {
-            most,
+            max_waiting,
             earliest: Cell::new(opened),
-            is_watched: Cell::new(false),
+            was_empty: Cell::new(false),
             accepted: Cell::new(0),
-            marks: RefCell::default(),
+            checkpoints: RefCell::default(),
         }
     }
 
@@ -44,51 +44,51 @@
     }
 
     /// What waits now came after this time.
-    pub fn of_waiting(&self) -> Instant {
-        if self.is_watched.get() { Instant::now() } else { self.earliest.get() }
+    pub fn waiting_since(&self) -> Instant {
+        if self.was_empty.get() { Instant::now() } else { self.earliest.get() }
     }
 
     /// Nothing waited.
     pub fn found_nothing(&self) {
-        self.is_watched.set(true);
+        self.was_empty.set(true);
     }
 
     /// Nobody accepts for a while: what comes is not accepted at once any more.
-    pub fn looks_away(&self, now: Instant) {
-        if self.is_watched.take() {
-            self.begin(now);
+    pub fn suspend(&self, now: Instant) {
+        if self.was_empty.take() {
+            self.restart(now);
         }
     }
 
     /// One more was accepted, which was established after that time, where that is known: so was what waits behind it. Whatever
     /// else is known may be wrong, as the process may have stood still, or another one have accepted before.
     pub fn accepted(&self, now: Instant, established: Option<Instant>) {
-        let was_watched = self.is_watched.take();
-        if was_watched {
-            self.begin(now);
+        let found_empty = self.was_empty.take();
+        if found_empty {
+            self.restart(now);
         }
         let count = self.accepted.get() + 1;
         self.accepted.set(count);
-        let mut marks = self.marks.borrow_mut();
-        while let Some((before, at)) = marks.front().copied()
-            && count > before + self.most
+        let mut checkpoints = self.checkpoints.borrow_mut();
+        while let Some((checkpoint, at)) = checkpoints.front().copied()
+            && count > checkpoint + self.max_waiting
         {
             self.earliest.set(at);
-            marks.pop_front();
+            checkpoints.pop_front();
         }
-        if count.is_multiple_of(STEP) {
-            marks.push_back((count, now));
+        if count.is_multiple_of(CHECKPOINT_STEP) {
+            checkpoints.push_back((count, now));
         }
-        let at_once =
-            |established: Instant| was_watched && now.saturating_duration_since(established) <= AT_ONCE;
-        if let Some(established) = established.filter(|established| !at_once(*established)) {
+        let is_not_queued =
+            |established: Instant| found_empty && now.saturating_duration_since(established) <= NOT_QUEUED;
+        if let Some(established) = established.filter(|established| !is_not_queued(*established)) {
             self.earliest.set(established);
         }
     }
 
-    fn begin(&self, earliest: Instant) {
+    fn restart(&self, earliest: Instant) {
         self.earliest.set(earliest);
-        self.marks.borrow_mut().clear();
+        self.checkpoints.borrow_mut().clear();
     }
 }
 
--- a/crates/pearfront-node/src/accept_queue/tests.rs
+++ b/crates/pearfront-node/src/accept_queue/tests.rs
@@ -5,24 +5,24 @@
 }
 
 #[test]
-fn what_is_waited_for_comes_when_it_is_accepted_and_the_rest_may_have_come_right_behind_it() {
+fn a_connection_accepted_at_once_is_new_and_the_next_ones_may_be_as_old() {
     let opened = Instant::now();
-    let queue = AcceptQueue::since(100, opened);
+    let queue = AcceptQueue::new(100, opened);
     queue.accepted(at(opened, 50), None);
     assert_eq!(queue.earliest(), opened);
     queue.found_nothing();
     queue.accepted(at(opened, 700), None);
     queue.accepted(at(opened, 900), None);
-    assert_eq!((queue.earliest(), queue.of_waiting()), (at(opened, 700), at(opened, 700)));
+    assert_eq!((queue.earliest(), queue.waiting_since()), (at(opened, 700), at(opened, 700)));
 }
 
 #[test]
-fn what_comes_while_nobody_accepts_may_have_come_from_the_beginning_of_that() {
+fn connections_may_have_arrived_as_soon_as_accepting_was_suspended() {
     let opened = Instant::now();
-    let queue = AcceptQueue::since(100, opened);
+    let queue = AcceptQueue::new(100, opened);
     queue.found_nothing();
-    queue.looks_away(at(opened, 100));
-    queue.looks_away(at(opened, 300));
+    queue.suspend(at(opened, 100));
+    queue.suspend(at(opened, 300));
     queue.accepted(at(opened, 400), None);
     assert_eq!(queue.earliest(), at(opened, 100));
 }
@@ -30,33 +30,36 @@
 // A queue that is never empty, one accepted each millisecond: none has waited for more than the queue holds, and none is
 // taken to have come later than it may have.
 #[test]
-fn what_the_queue_could_not_hold_came_later() {
-    const MOST: usize = 100;
+fn connections_that_the_queue_could_not_hold_arrived_later() {
+    const MAX_WAITING: usize = 100;
     let opened = Instant::now();
-    let queue = AcceptQueue::since(MOST, opened);
+    let queue = AcceptQueue::new(MAX_WAITING, opened);
     for number in 1..1000_usize {
         queue.accepted(at(opened, number as u64), None);
-        let can_have_come = at(opened, number.saturating_sub(MOST + 1) as u64);
-        assert!(queue.earliest() <= can_have_come, "{number}");
-        assert!(queue.earliest() + Duration::from_millis(STEP as u64) >= can_have_come, "{number}");
+        let can_have_arrived = at(opened, number.saturating_sub(MAX_WAITING + 1) as u64);
+        assert!(queue.earliest() <= can_have_arrived, "{number}");
+        assert!(
+            queue.earliest() + Duration::from_millis(CHECKPOINT_STEP as u64) >= can_have_arrived,
+            "{number}"
+        );
     }
 }
 
 // A queue that is never empty, from which few are accepted: what came in a moment ago was taken for as old as the queue is long.
 #[test]
-fn what_the_kernel_says_of_one_holds_for_those_behind_it() {
+fn the_age_that_the_kernel_reports_holds_for_later_connections() {
     let opened = Instant::now();
-    let queue = AcceptQueue::since(100, opened);
+    let queue = AcceptQueue::new(100, opened);
     queue.accepted(at(opened, 500), Some(at(opened, 400)));
     queue.accepted(at(opened, 600), None);
-    assert_eq!((queue.earliest(), queue.of_waiting()), (at(opened, 400), at(opened, 400)));
+    assert_eq!((queue.earliest(), queue.waiting_since()), (at(opened, 400), at(opened, 400)));
 }
 
 // The last look before a stop of the process found nothing, and behind it the next connection was taken for a new one.
 #[test]
-fn what_came_while_the_process_stood_still_is_as_old_as_the_kernel_says() {
+fn connections_from_a_process_stall_are_as_old_as_the_kernel_reports() {
     let opened = Instant::now();
-    let queue = AcceptQueue::since(100, opened);
+    let queue = AcceptQueue::new(100, opened);
     queue.found_nothing();
     queue.accepted(at(opened, 2000), Some(at(opened, 300)));
     assert_eq!(queue.earliest(), at(opened, 300));
@@ -64,20 +67,20 @@
 
 // The same where the process looked away right behind the stop, as it had no place: that is not when the queue was empty last.
 #[test]
-fn what_came_before_the_process_looked_away_is_as_old_as_the_kernel_says() {
+fn connections_from_before_a_suspension_are_as_old_as_the_kernel_reports() {
     let opened = Instant::now();
-    let queue = AcceptQueue::since(100, opened);
+    let queue = AcceptQueue::new(100, opened);
     queue.found_nothing();
-    queue.looks_away(at(opened, 2000));
+    queue.suspend(at(opened, 2000));
     queue.accepted(at(opened, 2010), Some(at(opened, 300)));
     assert_eq!(queue.earliest(), at(opened, 300));
 }
 
 // The process before died, and what it left waited for longer than a process that serves leaves anything.
 #[test]
-fn what_was_left_by_others_is_as_old_as_the_kernel_says() {
+fn connections_left_by_another_process_are_as_old_as_the_kernel_reports() {
     let started = Instant::now();
-    let queue = AcceptQueue::since(100, at(started, 1000));
+    let queue = AcceptQueue::new(100, at(started, 1000));
     queue.accepted(at(started, 1500), Some(started));
     assert_eq!(queue.earliest(), started);
     queue.accepted(at(started, 1500), Some(at(started, 200)));
--- a/crates/pearfront-node/src/answer_sender.rs
+++ b/crates/pearfront-node/src/answer_sender.rs
@@ -8,21 +8,21 @@
 
 /// Where a job's answer goes; takes the first one only.
 pub struct AnswerSender {
-    caller: RefCell<Option<oneshot::Sender<Answer>>>,
+    receiver: RefCell<Option<oneshot::Sender<Answer>>>,
     /// Rung when it has its answer, or its caller has left.
     closed: Notify,
-    book: Rc<Counters>,
+    counters: Rc<Counters>,
 }
 
 impl AnswerSender {
-    pub fn new(book: Rc<Counters>) -> (Self, oneshot::Receiver<Answer>) {
-        let (caller, answer) = oneshot::channel();
-        (Self { caller: RefCell::new(Some(caller)), closed: Notify::new(), book }, answer)
+    pub fn new(counters: Rc<Counters>) -> (Self, oneshot::Receiver<Answer>) {
+        let (receiver, answer) = oneshot::channel();
+        (Self { receiver: RefCell::new(Some(receiver)), closed: Notify::new(), counters }, answer)
     }
 
     /// Still without an answer, and its caller still there.
     pub fn is_open(&self) -> bool {
-        self.caller.borrow().is_some()
+        self.receiver.borrow().is_some()
     }
 
     /// Waits until no answer is owed any more.
@@ -33,9 +33,9 @@
     }
 
     fn take(&self) -> Option<oneshot::Sender<Answer>> {
-        let caller = self.caller.take();
+        let receiver = self.receiver.take();
         self.closed.notify_waiters();
-        caller
+        receiver
     }
 
     /// The caller has left: no answer is owed any more.
@@ -43,16 +43,16 @@
         self.take().is_some()
     }
 
-    pub fn give(&self, answer: Answer) {
-        let Some(caller) = self.take() else { return };
+    pub fn send(&self, answer: Answer) {
+        let Some(receiver) = self.take() else { return };
         match answer {
-            Answer::Served(_) => self.book.served.add(),
-            Answer::Rejected(_) => self.book.rejected.add(),
-            Answer::Failed => self.book.failed.add(),
-            Answer::TurnedDown => self.book.turned_down.add(),
+            Answer::Served(_) => self.counters.served.add(),
+            Answer::Rejected(_) => self.counters.rejected.add(),
+            Answer::Failed => self.counters.failed.add(),
+            Answer::TurnedDown => self.counters.turned_down.add(),
         }
-        if caller.send(answer).is_err() {
-            self.book.answer_unsent.add();
+        if receiver.send(answer).is_err() {
+            self.counters.answer_unsent.add();
         }
     }
 }
--- a/crates/pearfront-node/src/arrival.rs
+++ b/crates/pearfront-node/src/arrival.rs
@@ -6,16 +6,16 @@
 
 /// The kernels at both ends of a connection hold no more than so many bytes that nobody has read: what lies further behind
 /// was not written yet when these were.
-const UNREAD: usize = 8 * 1024 * 1024;
+const MAX_UNREAD_BYTES: usize = 8 * 1024 * 1024;
 
 /// Follows the reads of one connection.
 pub struct Arrival {
     /// What was read last came after this.
     earliest: Cell<Instant>,
     /// The last read found nothing, and what comes next is read at once.
-    waits: Cell<bool>,
+    was_empty: Cell<bool>,
     /// When what came next was read.
-    waited_until: Cell<Instant>,
+    last_empty_at: Cell<Instant>,
     /// A time since `earliest`, and how many bytes were read from it on.
     checkpoint: Cell<Instant>,
     read: Cell<usize>,
@@ -23,11 +23,11 @@
 
 impl Arrival {
     /// Nothing came before this time.
-    pub fn since(opened: Instant) -> Self {
+    pub fn new(opened: Instant) -> Self {
         Self {
             earliest: Cell::new(opened),
-            waits: Cell::new(false),
-            waited_until: Cell::new(opened),
+            was_empty: Cell::new(false),
+            last_empty_at: Cell::new(opened),
             checkpoint: Cell::new(opened),
             read: Cell::new(0),
         }
@@ -39,44 +39,44 @@
     }
 
     /// What has not been read came after this time.
-    pub fn of_unread(&self) -> Instant {
-        if self.waits.get() { Instant::now() } else { self.earliest.get() }
+    pub fn unread_since(&self) -> Instant {
+        if self.was_empty.get() { Instant::now() } else { self.earliest.get() }
     }
 
     /// The last time at which there was nothing to read: all that has been read since may have come right behind it.
-    pub fn waited_until(&self) -> Instant {
-        self.waited_until.get()
+    pub fn last_empty_at(&self) -> Instant {
+        self.last_empty_at.get()
     }
 
     /// There was nothing to read.
     pub fn found_nothing(&self) {
-        self.waits.set(true);
+        self.was_empty.set(true);
     }
 
     /// Nobody reads for a while: what comes is not read at once any more.
-    pub fn looks_away(&self, now: Instant) {
-        if self.waits.take() {
-            self.begin(now, now);
+    pub fn suspend(&self, now: Instant) {
+        if self.was_empty.take() {
+            self.restart(now, now);
         }
     }
 
     /// So many bytes were read; of a body whose length is known so many are still to come.
-    pub fn read(&self, now: Instant, count: usize, to_come: Option<u64>) {
-        let waited = self.waits.take();
-        if waited {
-            self.waited_until.set(now);
+    pub fn record_read(&self, now: Instant, count: usize, to_come: Option<u64>) {
+        let found_empty = self.was_empty.take();
+        if found_empty {
+            self.last_empty_at.set(now);
         }
-        if waited || to_come.is_some_and(|left| left > UNREAD as u64) {
-            self.begin(now, now);
+        if found_empty || to_come.is_some_and(|left| left > MAX_UNREAD_BYTES as u64) {
+            self.restart(now, now);
             return;
         }
         self.read.set(self.read.get() + count);
-        if self.read.get() >= UNREAD {
-            self.begin(self.checkpoint.get(), now);
+        if self.read.get() >= MAX_UNREAD_BYTES {
+            self.restart(self.checkpoint.get(), now);
         }
     }
 
-    fn begin(&self, earliest: Instant, checkpoint: Instant) {
+    fn restart(&self, earliest: Instant, checkpoint: Instant) {
         self.earliest.set(earliest);
         self.checkpoint.set(checkpoint);
         self.read.set(0);
--- a/crates/pearfront-node/src/arrival/tests.rs
+++ b/crates/pearfront-node/src/arrival/tests.rs
@@ -6,47 +6,47 @@
 }
 
 #[test]
-fn what_is_waited_for_comes_when_it_is_read() {
+fn data_read_at_once_arrived_when_it_was_read() {
     let opened = Instant::now();
-    let arrival = Arrival::since(opened);
+    let arrival = Arrival::new(opened);
     arrival.found_nothing();
-    arrival.read(at(opened, 700), 100, None);
+    arrival.record_read(at(opened, 700), 100, None);
     assert_eq!(arrival.earliest(), at(opened, 700));
 }
 
 #[test]
-fn what_is_read_later_may_have_come_right_behind_the_last_wait() {
+fn data_read_late_may_have_arrived_right_after_the_last_empty_read() {
     let opened = Instant::now();
-    let arrival = Arrival::since(opened);
-    arrival.read(at(opened, 50), 100, None);
+    let arrival = Arrival::new(opened);
+    arrival.record_read(at(opened, 50), 100, None);
     assert_eq!(arrival.earliest(), opened);
     arrival.found_nothing();
-    arrival.read(at(opened, 100), 100, None);
-    arrival.read(at(opened, 900), 100, Some(UNREAD as u64));
+    arrival.record_read(at(opened, 100), 100, None);
+    arrival.record_read(at(opened, 900), 100, Some(MAX_UNREAD_BYTES as u64));
     assert_eq!(arrival.earliest(), at(opened, 100));
 }
 
 #[test]
-fn what_comes_while_nobody_reads_may_have_come_from_the_beginning_of_that() {
+fn data_may_have_arrived_as_soon_as_reading_was_suspended() {
     let opened = Instant::now();
-    let arrival = Arrival::since(opened);
+    let arrival = Arrival::new(opened);
     arrival.found_nothing();
-    arrival.looks_away(at(opened, 100));
-    arrival.looks_away(at(opened, 300));
-    assert_eq!(arrival.of_unread(), at(opened, 100));
-    arrival.read(at(opened, 400), 1, None);
+    arrival.suspend(at(opened, 100));
+    arrival.suspend(at(opened, 300));
+    assert_eq!(arrival.unread_since(), at(opened, 100));
+    arrival.record_read(at(opened, 400), 1, None);
     assert_eq!(arrival.earliest(), at(opened, 100));
 }
 
 // More than the kernels can hold was not there yet.
 #[test]
-fn what_is_further_behind_came_later() {
+fn data_beyond_the_kernel_buffers_arrived_later() {
     let opened = Instant::now();
-    let arrival = Arrival::since(opened);
-    arrival.read(at(opened, 100), 1, Some(UNREAD as u64 + 1));
-    assert_eq!((arrival.earliest(), arrival.waited_until()), (at(opened, 100), opened));
-    arrival.read(at(opened, 200), UNREAD, None);
+    let arrival = Arrival::new(opened);
+    arrival.record_read(at(opened, 100), 1, Some(MAX_UNREAD_BYTES as u64 + 1));
+    assert_eq!((arrival.earliest(), arrival.last_empty_at()), (at(opened, 100), opened));
+    arrival.record_read(at(opened, 200), MAX_UNREAD_BYTES, None);
     assert_eq!(arrival.earliest(), at(opened, 100));
-    arrival.read(at(opened, 300), UNREAD, None);
+    arrival.record_read(at(opened, 300), MAX_UNREAD_BYTES, None);
     assert_eq!(arrival.earliest(), at(opened, 200));
 }
--- a/crates/pearfront-node/src/capacity.rs
+++ b/crates/pearfront-node/src/capacity.rs
@@ -12,27 +12,27 @@
 use tokio::time::{sleep, timeout};
 
 /// Descriptors kept for what is no caller, server or probe: standard streams, listener, poll, signals, discovery.
-const FIXED: usize = 24;
+const FIXED_DESCRIPTORS: usize = 24;
 /// Connections above the ordinary most that are still accepted, to reject their jobs at once; as a share of
 /// all, and at most.
-const LAST_RESORT: (usize, usize) = (8, 64);
+const RESERVE: (usize, usize) = (8, 64);
 /// Connections that a job takes at the least: its caller's and a server's.
-const CONNECTIONS: usize = 2;
+const CONNECTIONS_PER_REQUEST: usize = 2;
 /// Part of the connections that callers leave to servers and probes, whatever they do: after a list that replaces many
 /// servers new connections are needed at once.
-const SERVERS_PART: usize = 4;
+const SERVERS_DIVISOR: usize = 4;
 /// Connections that are left beside those of jobs and callers: a probe's, where answers are never read.
-const PROBES: usize = 1;
+const PROBE_CONNECTIONS: usize = 1;
 /// How often callers are looked through for that.
-const LOOK: Duration = Duration::from_millis(200);
+const SCAN_INTERVAL: Duration = Duration::from_millis(200);
 /// How often whoever waits for a place looks whether some caller can go.
-const LOOK_FOR_SPARE: Duration = Duration::from_millis(5);
+const EVICTION_INTERVAL: Duration = Duration::from_millis(5);
 /// Share of the memory limit that bodies may take; the rest is for connections' buffers and answers.
-const BODIES: f64 = 0.3;
+const BODY_MEMORY_FRACTION: f64 = 0.3;
 /// Part of the room left to bodies that are read ahead which one of them may have.
-const READ_AHEAD_PART: usize = 4;
+const READ_AHEAD_DIVISOR: usize = 4;
 /// Least bytes a job counts for: its answer takes room as well.
-const LEAST_BODY: usize = 4 * 1024;
+const MIN_REQUEST_BYTES: usize = 4 * 1024;
 
 /// What a process uses of the limits that all processes of a node share.
 #[derive(Debug, Default, Clone, Copy)]
@@ -47,48 +47,48 @@
     memory: Cell<usize>,
     /// What other processes of this node use.
     others: RefCell<Vec<Usage>>,
-    most_open: Cell<usize>,
-    last_resort: Cell<usize>,
+    max_open: Cell<usize>,
+    reserve: Cell<usize>,
     open: Cell<usize>,
     /// Callers' ones among them.
-    callers_open: Cell<usize>,
-    most_bytes: Cell<usize>,
+    clients_open: Cell<usize>,
+    max_bytes: Cell<usize>,
     bytes: Cell<usize>,
     /// Jobs taken in, or being read, and not answered.
-    jobs: Cell<usize>,
+    requests: Cell<usize>,
     /// Attempts that wait for a connection: callers stand back for them.
-    waiting: Cell<usize>,
+    waiters: Cell<usize>,
     freed: Notify,
-    callers: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
-    numbered: Cell<u64>,
+    clients: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
+    next_number: Cell<u64>,
 }
 
 impl Capacity {
     pub fn new(sockets: usize, memory_mb: f64) -> Rc<Self> {
-        let room = Self {
+        let capacity = Self {
             sockets: Cell::new(0),
             memory: Cell::new(0),
             others: RefCell::default(),
-            most_open: Cell::new(0),
-            last_resort: Cell::new(0),
+            max_open: Cell::new(0),
+            reserve: Cell::new(0),
             open: Cell::new(0),
-            callers_open: Cell::new(0),
-            most_bytes: Cell::new(0),
+            clients_open: Cell::new(0),
+            max_bytes: Cell::new(0),
             bytes: Cell::new(0),
-            jobs: Cell::new(0),
-            waiting: Cell::new(0),
+            requests: Cell::new(0),
+            waiters: Cell::new(0),
             freed: Notify::new(),
-            callers: RefCell::default(),
-            numbered: Cell::new(0),
+            clients: RefCell::default(),
+            next_number: Cell::new(0),
         };
-        room.set_limits(sockets, memory_mb);
-        Rc::new(room)
+        capacity.set_limits(sockets, memory_mb);
+        Rc::new(capacity)
     }
 
     /// The limits from now on; what is over them already is not cut off.
     pub fn set_limits(&self, sockets: usize, memory_mb: f64) {
         self.sockets.set(sockets);
-        self.memory.set((memory_mb * 1024.0 * 1024.0 * BODIES) as usize);
+        self.memory.set((memory_mb * 1024.0 * 1024.0 * BODY_MEMORY_FRACTION) as usize);
         self.divide();
     }
 
@@ -109,199 +109,201 @@
             let theirs = all / (others.len() + 1) * others.len();
             all.saturating_sub(used.max(theirs))
         };
-        let kept = FIXED * (others.len() + 1) + crate::admin::DESCRIPTORS * others.len();
-        let last_resort = (self.sockets.get() / LAST_RESORT.0).min(LAST_RESORT.1) / (others.len() + 1);
-        let connections = self.sockets.get().saturating_sub(kept + last_resort * (others.len() + 1));
+        let reserved = FIXED_DESCRIPTORS * (others.len() + 1) + crate::admin::DESCRIPTORS * others.len();
+        let reserve = (self.sockets.get() / RESERVE.0).min(RESERVE.1) / (others.len() + 1);
+        let connections = self.sockets.get().saturating_sub(reserved + reserve * (others.len() + 1));
         let used = |what: fn(&Usage) -> usize| others.iter().map(what).sum();
-        self.last_resort.set(last_resort);
-        self.most_open.set(part(connections, used(|other| other.connections)).max(CONNECTIONS));
-        self.most_bytes.set(part(self.memory.get(), used(|other| other.bytes)));
+        self.reserve.set(reserve);
+        self.max_open.set(part(connections, used(|other| other.connections)).max(CONNECTIONS_PER_REQUEST));
+        self.max_bytes.set(part(self.memory.get(), used(|other| other.bytes)));
     }
 
     /// Room for one more connection.
     pub fn has_slot(&self) -> bool {
-        self.open.get() < self.most_open.get()
+        self.open.get() < self.max_open.get()
     }
 
     /// The same, if it is only to reject a job, or stands in for one that is being closed.
     pub fn has_reserve_slot(&self) -> bool {
-        self.open.get() < self.most_open.get() + self.last_resort.get()
+        self.open.get() < self.max_open.get() + self.reserve.get()
     }
 
     pub fn take_slot(self: &Rc<Self>) -> ConnectionSlot {
         self.open.set(self.open.get() + 1);
-        ConnectionSlot { room: Some(self.clone()), caller: false }
+        ConnectionSlot { capacity: Some(self.clone()), is_client: false }
     }
 
     pub fn take_client_slot(self: &Rc<Self>) -> ConnectionSlot {
-        self.callers_open.set(self.callers_open.get() + 1);
-        let mut place = self.take_slot();
-        place.caller = true;
-        place
+        self.clients_open.set(self.clients_open.get() + 1);
+        let mut slot = self.take_slot();
+        slot.is_client = true;
+        slot
     }
 
     /// Most callers beside the last resort: servers have a part of their own, and where they use more of it one is left.
-    fn most_callers(&self) -> usize {
-        let servers = self.open.get() - self.callers_open.get() + PROBES;
-        self.most_open.get().saturating_sub(servers.max(self.most_open.get() / SERVERS_PART))
+    fn max_clients(&self) -> usize {
+        let servers = self.open.get() - self.clients_open.get() + PROBE_CONNECTIONS;
+        self.max_open.get().saturating_sub(servers.max(self.max_open.get() / SERVERS_DIVISOR))
     }
 
     /// Room for one more caller.
     pub fn has_client_slot(&self) -> bool {
-        self.callers_open.get() < self.most_callers()
+        self.clients_open.get() < self.max_clients()
     }
 
     /// The same for one whose jobs are rejected, or who stands in for one that is being closed.
     pub fn has_reserve_client_slot(&self) -> bool {
-        self.callers_open.get() < self.most_callers() + self.last_resort.get()
+        self.clients_open.get() < self.max_clients() + self.reserve.get()
     }
 
-    pub fn is_waited_for(&self) -> bool {
-        self.waiting.get() > 0
+    pub fn has_waiters(&self) -> bool {
+        self.waiters.get() > 0
     }
 
     /// An attempt waits for a connection, as long as this is kept.
     pub fn register_waiter(self: &Rc<Self>) -> Waiter {
-        self.waiting.set(self.waiting.get() + 1);
+        self.waiters.set(self.waiters.get() + 1);
         Waiter(self.clone())
     }
 
     /// Waits until some connection, or some wait for one, has ended, or a caller may have become one that can go: nothing
     /// rings for that.
     pub async fn slot_may_be_free(&self) {
-        let _ = timeout(LOOK_FOR_SPARE, self.freed.notified()).await;
+        let _ = timeout(EVICTION_INTERVAL, self.freed.notified()).await;
     }
 
     /// Takes room for a job whose body has this length; none if bodies or connections would not fit.
-    pub fn job(self: &Rc<Self>, body: usize) -> Option<RequestReservation> {
-        let bytes = body.max(LEAST_BODY);
-        let connected = (self.jobs.get() + 1) * CONNECTIONS + PROBES <= self.most_open.get();
-        (connected && self.bytes.get() + bytes <= self.most_bytes.get()).then(|| {
-            self.jobs.set(self.jobs.get() + 1);
-            RequestReservation(self.hold(bytes))
+    pub fn reserve_request(self: &Rc<Self>, body: usize) -> Option<RequestReservation> {
+        let bytes = body.max(MIN_REQUEST_BYTES);
+        let has_connections =
+            (self.requests.get() + 1) * CONNECTIONS_PER_REQUEST + PROBE_CONNECTIONS <= self.max_open.get();
+        (has_connections && self.bytes.get() + bytes <= self.max_bytes.get()).then(|| {
+            self.requests.set(self.requests.get() + 1);
+            RequestReservation(self.reserve_bytes(bytes))
         })
     }
 
-    fn hold(self: &Rc<Self>, bytes: usize) -> ReservedBytes {
+    fn reserve_bytes(self: &Rc<Self>, bytes: usize) -> ReservedBytes {
         self.bytes.set(self.bytes.get() + bytes);
-        ReservedBytes { room: self.clone(), bytes }
+        ReservedBytes { capacity: self.clone(), bytes }
     }
 
     /// Takes room for more bytes of a body, of which so many have been read ahead of its server. Such bytes have half of all room,
     /// the rest is for requests that are still to come; and one body no more than a part of what is then left of that half, so
     /// that there is some for others.
-    pub fn read_ahead(self: &Rc<Self>, held: usize, bytes: usize) -> Option<ReservedBytes> {
-        let left = (self.most_bytes.get() / 2).checked_sub(self.bytes.get() + bytes)?;
-        (held + bytes <= left / READ_AHEAD_PART).then(|| self.hold(bytes))
+    pub fn reserve_read_ahead(self: &Rc<Self>, held: usize, bytes: usize) -> Option<ReservedBytes> {
+        let left = (self.max_bytes.get() / 2).checked_sub(self.bytes.get() + bytes)?;
+        (held + bytes <= left / READ_AHEAD_DIVISOR).then(|| self.reserve_bytes(bytes))
     }
 
     pub fn open_requests(&self) -> usize {
-        self.jobs.get()
+        self.requests.get()
     }
 
-    pub fn enter(&self, wire: Rc<TrackedStream>) -> (u64, Rc<ClientConnection>) {
-        let number = self.numbered.get();
-        self.numbered.set(number + 1);
-        let caller = Rc::new(ClientConnection::new(wire));
-        self.callers.borrow_mut().insert(number, caller.clone());
-        (number, caller)
+    pub fn add_client(&self, stream: Rc<TrackedStream>) -> (u64, Rc<ClientConnection>) {
+        let number = self.next_number.get();
+        self.next_number.set(number + 1);
+        let client = Rc::new(ClientConnection::new(stream));
+        self.clients.borrow_mut().insert(number, client.clone());
+        (number, client)
     }
 
-    pub fn leave(&self, number: u64) {
-        self.callers.borrow_mut().remove(&number);
+    pub fn remove_client(&self, number: u64) {
+        self.clients.borrow_mut().remove(&number);
     }
 
     /// Do callers hold more than half of all connections? Those they keep idle then go before servers' idle ones.
     pub fn clients_hold_most(&self) -> bool {
-        self.callers.borrow().len() * 2 > self.most_open.get()
+        self.clients.borrow().len() * 2 > self.max_open.get()
     }
 
     /// Do servers' connections take of the places that callers could have?
     pub fn servers_exceed_share(&self) -> bool {
-        let servers = self.open.get() - self.callers_open.get() + PROBES;
-        servers > self.most_open.get() / SERVERS_PART
+        let servers = self.open.get() - self.clients_open.get() + PROBE_CONNECTIONS;
+        servers > self.max_open.get() / SERVERS_DIVISOR
     }
 
     /// Has a caller closed for another one: that which has had nothing on its connection for longest, and where all have
     /// something, that which has brought half a head and nothing since for longest. False if there is none.
     pub fn evict_client(&self) -> bool {
-        let callers = self.callers.borrow();
-        let mut spare: Vec<_> = callers.values().filter(|caller| caller.may_go()).collect();
-        spare.sort_by_key(|caller| caller.goes_since());
-        if let Some(idle) = spare.iter().find(|caller| caller.has_nothing()) {
-            idle.close();
+        let clients = self.clients.borrow();
+        let mut evictable: Vec<_> = clients.values().filter(|client| client.may_be_evicted()).collect();
+        evictable.sort_by_key(|client| client.eviction_order());
+        if let Some(idle) = evictable.iter().find(|client| client.has_no_request()) {
+            idle.request_close();
             return true;
         }
-        let half = spare.into_iter().find(|caller| caller.has_half_a_head());
-        half.inspect(|caller| caller.cut_off()).is_some()
+        let partial = evictable.into_iter().find(|client| client.has_partial_head());
+        partial.inspect(|client| client.abort()).is_some()
     }
 
     /// Could a caller go that has nothing on its connection?
-    pub fn has_idle(&self) -> bool {
-        self.callers.borrow().values().any(|caller| caller.may_go() && caller.has_nothing())
+    pub fn has_idle_client(&self) -> bool {
+        self.clients.borrow().values().any(|client| client.may_be_evicted() && client.has_no_request())
     }
 
     /// Has callers closed that have not brought a whole head for too long, as long as the node runs.
-    pub async fn close_incomplete(self: Rc<Self>, book: Rc<Counters>) {
+    pub async fn close_incomplete(self: Rc<Self>, counters: Rc<Counters>) {
         loop {
-            sleep(LOOK).await;
-            self.callers.borrow().values().for_each(|caller| caller.cut_if_stalled());
-            for caller in self.callers.borrow().values().filter(|caller| caller.is_unfinished()) {
-                book.cut_off.add();
-                caller.close();
+            sleep(SCAN_INTERVAL).await;
+            self.clients.borrow().values().for_each(|client| client.abort_if_stalled());
+            for client in self.clients.borrow().values().filter(|client| client.is_head_overdue()) {
+                counters.cut_off.add();
+                client.request_close();
             }
         }
     }
 
     /// Requests that were read and have no answer, of all callers.
     pub fn unanswered_requests(&self) -> usize {
-        self.callers.borrow().values().map(|caller| caller.unanswered()).sum()
+        self.clients.borrow().values().map(|client| client.unanswered()).sum()
     }
 
-    pub fn has_callers(&self) -> bool {
-        !self.callers.borrow().is_empty()
+    pub fn has_clients(&self) -> bool {
+        !self.clients.borrow().is_empty()
     }
 
     /// No further requests are read: those that are here have their answers.
-    pub fn end_reading(&self) {
-        self.callers.borrow().values().for_each(|client| client.end_reading());
+    pub fn stop_reading(&self) {
+        self.clients.borrow().values().for_each(|client| client.stop_reading());
     }
 
     /// Has all callers closed that have been idle for so long.
-    pub fn close_all_idle(&self, pause: Duration) {
-        let callers = self.callers.borrow();
-        let spared =
-            |caller: &&Rc<ClientConnection>| caller.can_be_spared() && caller.since.get().elapsed() >= pause;
-        let idle = callers.values().filter(|caller| spared(caller) && !caller.stream.has_unread());
-        idle.for_each(|caller| caller.close());
+    pub fn close_idle(&self, pause: Duration) {
+        let clients = self.clients.borrow();
+        let is_closable = |client: &&Rc<ClientConnection>| {
+            client.can_be_closed() && client.idle_since.get().elapsed() >= pause
+        };
+        let idle = clients.values().filter(|client| is_closable(client) && !client.stream.has_unread());
+        idle.for_each(|client| client.request_close());
     }
 }
 
 impl std::fmt::Display for Capacity {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(f, "connections_open={} jobs_held={}", self.open.get(), self.jobs.get())
+        write!(f, "connections_open={} jobs_held={}", self.open.get(), self.requests.get())
     }
 }
 
 /// One open connection; gives its place back when dropped. One of the node's own is counted nowhere.
 pub struct ConnectionSlot {
-    room: Option<Rc<Capacity>>,
-    caller: bool,
+    capacity: Option<Rc<Capacity>>,
+    is_client: bool,
 }
 
 impl ConnectionSlot {
     /// One of the node's own, one of `FIXED`: nobody else can take it, and it is counted nowhere.
     pub fn uncounted() -> Self {
-        Self { room: None, caller: false }
+        Self { capacity: None, is_client: false }
     }
 }
 
 impl Drop for ConnectionSlot {
     fn drop(&mut self) {
-        if let Some(room) = &self.room {
-            room.open.set(room.open.get() - 1);
-            room.callers_open.set(room.callers_open.get() - usize::from(self.caller));
-            room.freed.notify_waiters();
+        if let Some(capacity) = &self.capacity {
+            capacity.open.set(capacity.open.get() - 1);
+            capacity.clients_open.set(capacity.clients_open.get() - usize::from(self.is_client));
+            capacity.freed.notify_waiters();
         }
     }
 }
@@ -310,7 +312,7 @@
 
 impl Drop for Waiter {
     fn drop(&mut self) {
-        self.0.waiting.set(self.0.waiting.get() - 1);
+        self.0.waiters.set(self.0.waiters.get() - 1);
         self.0.freed.notify_waiters();
     }
 }
@@ -320,20 +322,20 @@
 
 impl Drop for RequestReservation {
     fn drop(&mut self) {
-        let jobs = &self.0.room.jobs;
-        jobs.set(jobs.get() - 1);
+        let requests = &self.0.capacity.requests;
+        requests.set(requests.get() - 1);
     }
 }
 
 /// Bytes of bodies, as long as they take room.
 pub struct ReservedBytes {
-    room: Rc<Capacity>,
+    capacity: Rc<Capacity>,
     bytes: usize,
 }
 
 impl Drop for ReservedBytes {
     fn drop(&mut self) {
-        self.room.bytes.set(self.room.bytes.get() - self.bytes);
+        self.capacity.bytes.set(self.capacity.bytes.get() - self.bytes);
     }
 }
 
--- a/crates/pearfront-node/src/dispatcher.rs
+++ b/crates/pearfront-node/src/dispatcher.rs
@@ -32,44 +32,44 @@
 use tokio::time::{Instant, sleep_until};
 
 /// Added to each wake, ms, so that rounding never lets a round come just before what it is for.
-const ROUNDING: f64 = 0.01;
+const WAKE_MARGIN_MS: f64 = 0.01;
 /// Lines a second that tell of requests that were refused, repeated or not sent.
-const TOLD_IN_LOG: u32 = 10;
+const LOG_LINES_PER_SECOND: u32 = 10;
 
-type Word = Box<dyn FnOnce(&mut Balancer)>;
+type Event = Box<dyn FnOnce(&mut Balancer)>;
 
 /// What the module is to be told in its next round, in the order in which it came in.
 #[derive(Default)]
 pub struct EventQueue {
-    words: RefCell<Vec<Word>>,
-    bell: Notify,
+    queued: RefCell<Vec<Event>>,
+    pushed: Notify,
 }
 
 impl EventQueue {
-    pub fn push(&self, word: impl FnOnce(&mut Balancer) + 'static) {
-        self.words.borrow_mut().push(Box::new(word));
-        self.bell.notify_one();
+    pub fn push(&self, event: impl FnOnce(&mut Balancer) + 'static) {
+        self.queued.borrow_mut().push(Box::new(event));
+        self.pushed.notify_one();
     }
 }
 
 /// An id as processes tell it one another.
-fn text(id: &HeaderValue) -> Cow<'_, str> {
+fn id_text(id: &HeaderValue) -> Cow<'_, str> {
     String::from_utf8_lossy(id.as_bytes())
 }
 
 /// A job from its taking in to the end of its last attempt.
 pub struct OpenRequest {
     number: u32,
-    job: ClientRequest,
+    request: ClientRequest,
     deadline: Deadline,
     /// Rung when that is known.
-    whole: Notify,
-    relay: AnswerSender,
+    completed: Notify,
+    answer: AnswerSender,
     /// The connection that it came on; not kept open by it.
-    caller: Weak<TrackedStream>,
-    attempts: RefCell<Vec<Sent>>,
-    out: Cell<usize>,
-    _share: RequestReservation,
+    stream: Weak<TrackedStream>,
+    attempts: RefCell<Vec<AttemptRecord>>,
+    attempts_running: Cell<usize>,
+    _reservation: RequestReservation,
 }
 
 /// An attempt that may have run.
@@ -81,72 +81,74 @@
 }
 
 /// One attempt of a request.
-struct Sent {
+struct AttemptRecord {
     server: SocketAddr,
-    place: Option<ServerLocation>,
+    server_location: Option<ServerLocation>,
     /// When its first byte was written, ms.
-    written: Option<f64>,
+    written_at: Option<f64>,
     /// Rung when it is called off.
     called_off: Rc<Notify>,
     /// How it ended, once it has.
     end: Option<ConnectionEnd>,
 }
 
-impl Sent {
+impl AttemptRecord {
     fn may_have_run(&self) -> bool {
-        self.written.is_some() && !self.end.is_some_and(ConnectionEnd::never_ran)
+        self.written_at.is_some() && !self.end.is_some_and(ConnectionEnd::never_ran)
     }
 }
 
 impl OpenRequest {
     pub fn id(&self) -> Cow<'_, str> {
-        text(self.job.id())
+        id_text(self.request.id())
     }
 
     /// Is it still owed an answer?
     pub fn is_open(&self) -> bool {
-        self.relay.is_open()
+        self.answer.is_open()
     }
 
     /// What is left of the time that its client waits, ms.
     pub fn time_left(&self, now: f64) -> f64 {
-        self.deadline.left(now)
+        self.deadline.time_left(now)
     }
 
     pub fn profile(&self) -> &Profile {
-        &self.job.terms.settings.profiles[self.job.profile]
+        &self.request.terms.settings.profiles[self.request.profile]
     }
 
     /// Has its client ended its connection?
     pub fn client_has_left(&self) -> bool {
-        self.caller.upgrade().is_none_or(|caller| caller.has_ended())
+        self.stream.upgrade().is_none_or(|stream| stream.has_ended())
     }
 
     /// The first of its attempts that may have run, beside the one at this place.
-    pub fn first_that_may_have_run(&self, place: usize) -> Option<EarlierAttempt> {
+    pub fn first_that_may_have_run(&self, index: usize) -> Option<EarlierAttempt> {
         let attempts = self.attempts.borrow();
         let others =
-            attempts.iter().enumerate().filter(|(other, sent)| *other != place && sent.may_have_run());
-        let first = others.map(|(_, sent)| sent).min_by(|a, b| a.written.partial_cmp(&b.written).unwrap())?;
-        Some(EarlierAttempt { written_at: first.written?, location: first.place })
+            attempts.iter().enumerate().filter(|(other, attempt)| *other != index && attempt.may_have_run());
+        let first = others
+            .map(|(_, attempt)| attempt)
+            .min_by(|a, b| a.written_at.partial_cmp(&b.written_at).unwrap())?;
+        Some(EarlierAttempt { written_at: first.written_at?, location: first.server_location })
     }
 
     /// Has no byte of it been written, or none that could have run?
     fn is_unsent(&self) -> bool {
-        !self.attempts.borrow().iter().any(Sent::may_have_run)
+        !self.attempts.borrow().iter().any(AttemptRecord::may_have_run)
     }
 
     /// The first byte of an attempt has been written.
-    pub fn record_written(&self, place: usize, now: f64) {
-        self.attempts.borrow_mut()[place].written = Some(now);
+    pub fn record_written(&self, index: usize, now: f64) {
+        self.attempts.borrow_mut()[index].written_at = Some(now);
     }
 
     /// What became of its attempts, for the log.
     fn history(&self) -> String {
         let attempts = self.attempts.borrow();
-        let one = |sent: &Sent| match sent.end {
-            Some(end) => format!("{} {end:?}", sent.server),
-            None => format!("{} open", sent.server),
+        let one = |attempt: &AttemptRecord| match attempt.end {
+            Some(end) => format!("{} {end:?}", attempt.server),
+            None => format!("{} open", attempt.server),
         };
         match attempts.is_empty() {
             true => "no attempt".into(),
@@ -157,289 +159,296 @@
 
 pub struct Dispatcher {
     pub clock: Clock,
-    pub inbox: Rc<EventQueue>,
+    pub events: Rc<EventQueue>,
     senders: Rc<Senders>,
     discovery: Rc<Discovery>,
     pub guard: Rc<Guard>,
     prober: Rc<Prober>,
-    book: Rc<Counters>,
-    held: RefCell<HashMap<u32, Rc<OpenRequest>>>,
+    counters: Rc<Counters>,
+    open_requests: RefCell<HashMap<u32, Rc<OpenRequest>>>,
     /// The other processes of this node, and the ids of the jobs held here and there.
     peers: Rc<Peers>,
-    numbered: Cell<u32>,
-    refused: Limited,
-    repeated: Limited,
-    unsent: Limited,
-    broken: Rc<Limited>,
+    next_number: Cell<u32>,
+    refused_log: Limited,
+    repeated_log: Limited,
+    unsent_log: Limited,
+    broken_log: Rc<Limited>,
 }
 
 impl Dispatcher {
     pub fn new(
         clock: Clock,
-        inbox: Rc<EventQueue>,
+        events: Rc<EventQueue>,
         senders: Rc<Senders>,
         discovery: Rc<Discovery>,
         prober: Rc<Prober>,
-        book: Rc<Counters>,
+        counters: Rc<Counters>,
         peers: Rc<Peers>,
     ) -> Rc<Self> {
         let guard = prober.guard.clone();
-        let (held, numbered) = (RefCell::default(), Cell::new(0));
-        let limited = || Limited::new(TOLD_IN_LOG);
-        let (refused, repeated, unsent) = (limited(), limited(), limited());
+        let (open_requests, next_number) = (RefCell::default(), Cell::new(0));
+        let limited = || Limited::new(LOG_LINES_PER_SECOND);
+        let (refused_log, repeated_log, unsent_log) = (limited(), limited(), limited());
         Rc::new(Self {
             clock,
-            inbox,
+            events,
             senders,
             discovery,
             guard,
             prober,
-            book,
-            held,
+            counters,
+            open_requests,
             peers,
-            numbered,
-            refused,
-            repeated,
-            unsent,
-            broken: Rc::new(limited()),
+            next_number,
+            refused_log,
+            repeated_log,
+            unsent_log,
+            broken_log: Rc::new(limited()),
         })
     }
 
     /// Is another job with its id open, whoever sent that, here or in another process of this node?
-    pub fn has_open(&self, job: &ClientRequest) -> bool {
-        self.peers.has_open(&text(job.id()))
+    pub fn has_open_request(&self, request: &ClientRequest) -> bool {
+        self.peers.has_open(&id_text(request.id()))
     }
 
     /// Takes a job on; its answer comes through the receiver, whatever happens. Where the body is still coming the module
     /// knows no limit yet.
-    pub fn take(
+    pub fn accept(
         &self,
-        caller: &Rc<TrackedStream>,
-        job: ClientRequest,
+        stream: &Rc<TrackedStream>,
+        request: ClientRequest,
         deadline: Deadline,
-        share: RequestReservation,
+        reservation: RequestReservation,
     ) -> (Rc<OpenRequest>, oneshot::Receiver<Answer>) {
-        let (relay, answer) = AnswerSender::new(self.book.clone());
-        let number = self.numbered.get();
-        self.numbered.set(number.wrapping_add(1));
-        let (terms, profile, customer) = (job.terms.clone(), job.profile, job.customer);
-        let limit = if job.flows() { f64::INFINITY } else { deadline.at() };
-        let held = Rc::new(OpenRequest {
+        let (sender, answer) = AnswerSender::new(self.counters.clone());
+        let number = self.next_number.get();
+        self.next_number.set(number.wrapping_add(1));
+        let (terms, profile, customer) = (request.terms.clone(), request.profile, request.customer);
+        let limit = if request.is_streamed() { f64::INFINITY } else { deadline.at() };
+        let open = Rc::new(OpenRequest {
             number,
-            job,
+            request,
             deadline,
-            whole: Notify::new(),
-            relay,
-            caller: Rc::downgrade(caller),
+            completed: Notify::new(),
+            answer: sender,
+            stream: Rc::downgrade(stream),
             attempts: RefCell::default(),
-            out: Cell::new(0),
-            _share: share,
+            attempts_running: Cell::new(0),
+            _reservation: reservation,
         });
-        self.peers.open(text(held.job.id()).into());
-        self.held.borrow_mut().insert(number, held.clone());
-        self.book.taken.add();
-        self.inbox
+        self.peers.open(id_text(open.request.id()).into());
+        self.open_requests.borrow_mut().insert(number, open.clone());
+        self.counters.taken.add();
+        self.events
             .push(move |balancer| balancer.job_under(&terms.settings, number, profile, customer, limit));
-        (held, answer)
+        (open, answer)
     }
 
     /// When the answer is due to the request that was handed out last on this connection, and whose client waits so long.
-    pub fn deadline(&self, time: f64, caller: &Rc<TrackedStream>) -> Deadline {
-        Deadline::new(self.clock, self.discovery.pulse(), time, caller)
+    pub fn deadline(&self, time: f64, stream: &Rc<TrackedStream>) -> Deadline {
+        Deadline::new(self.clock, self.discovery.pulse(), time, stream)
     }
 
     /// Since when the process stood still, ms, if it has just done so and not caught up with what came meanwhile.
-    pub fn stopped_since(&self) -> Option<f64> {
+    pub fn stall_began(&self) -> Option<f64> {
         self.discovery.pulse().stopped_at(self.clock.now())
     }
 
     /// Waits until an answer that is on its way to this client has to end, as one behind it is due.
-    pub async fn one_behind_is_due(&self, client: &Rc<TrackedStream>) {
-        deadline::one_behind_is_due(self.clock, &self.discovery.pulse(), client).await;
+    pub async fn pipelined_answer_is_due(&self, client: &Rc<TrackedStream>) {
+        deadline::pipelined_answer_is_due(self.clock, &self.discovery.pulse(), client).await;
     }
 
     /// The last byte of a job has come: its times count from now on.
-    pub fn body_came(&self, held: &OpenRequest) {
-        let number = held.number;
-        held.deadline.whole();
-        let limit = held.deadline.at();
-        held.whole.notify_waiters();
-        self.inbox.push(move |balancer| balancer.body_came(number, limit));
+    pub fn body_complete(&self, open: &OpenRequest) {
+        let number = open.number;
+        open.deadline.body_complete();
+        let limit = open.deadline.at();
+        open.completed.notify_waiters();
+        self.events.push(move |balancer| balancer.body_came(number, limit));
     }
 
     /// The job's caller is gone, if it had no answer yet.
-    pub fn left(&self, held: &OpenRequest) {
-        if held.relay.close() {
-            self.book.client_left.add();
-            let number = held.number;
-            self.inbox.push(move |balancer| balancer.client_left(number));
-            self.forget(held);
+    pub fn client_left(&self, open: &OpenRequest) {
+        if open.answer.close() {
+            self.counters.client_left.add();
+            let number = open.number;
+            self.events.push(move |balancer| balancer.client_left(number));
+            self.remove_if_done(open);
         }
     }
 
     /// Answers the job once its time is over and nobody else has, whatever it waits for; never returns.
-    pub async fn expire(&self, held: &OpenRequest) -> Infallible {
-        held.deadline.over().await;
-        let why = held.deadline.why();
-        self.give_up(held, why);
+    pub async fn expire(&self, open: &OpenRequest) -> Infallible {
+        open.deadline.wait_until_due().await;
+        let why = open.deadline.expiry_reason();
+        self.give_up(open, why);
         pending().await
     }
 
     /// The same for all that are open, as the process ends.
     pub fn expire_all(&self) {
-        let held: Vec<_> = self.held.borrow().values().cloned().collect();
-        held.iter().for_each(|held| self.give_up(held, "the process ends"));
+        let open: Vec<_> = self.open_requests.borrow().values().cloned().collect();
+        open.iter().for_each(|open| self.give_up(open, "the process ends"));
     }
 
     /// Answers the job, if nobody else has, that there is no answer, for this reason.
-    pub fn give_up(&self, held: &OpenRequest, why: &str) {
-        if !held.relay.is_open() {
+    pub fn give_up(&self, open: &OpenRequest, why: &str) {
+        if !open.answer.is_open() {
             return;
         }
-        self.book.expired.add();
-        let line = || format!("request {} expired, {why}: {}", text(held.job.id()), held.history());
-        self.refused.info(line);
-        held.relay.give(if held.is_unsent() { Answer::Rejected(0.0) } else { Answer::Failed });
-        let number = held.number;
-        self.inbox.push(move |balancer| balancer.client_left(number));
-        self.forget(held);
+        self.counters.expired.add();
+        let line = || format!("request {} expired, {why}: {}", id_text(open.request.id()), open.history());
+        self.refused_log.info(line);
+        open.answer.send(if open.is_unsent() { Answer::Rejected(0.0) } else { Answer::Failed });
+        let number = open.number;
+        self.events.push(move |balancer| balancer.client_left(number));
+        self.remove_if_done(open);
     }
 
     fn answer(&self, number: u32, answer: Answer) {
-        let held = self.held.borrow().get(&number).cloned();
-        if let Some(held) = held {
+        let open = self.open_requests.borrow().get(&number).cloned();
+        if let Some(open) = open {
             if matches!(answer, Answer::Rejected(_) | Answer::Failed) {
                 let how = if matches!(answer, Answer::Failed) { "failed" } else { "rejected" };
-                let left = held.time_left(self.clock.now());
+                let left = open.time_left(self.clock.now());
                 let line = || {
-                    format!("request {} {how}, {left:.0} ms left: {}", text(held.job.id()), held.history())
+                    format!(
+                        "request {} {how}, {left:.0} ms left: {}",
+                        id_text(open.request.id()),
+                        open.history()
+                    )
                 };
-                self.refused.info(line);
+                self.refused_log.info(line);
             }
-            held.relay.give(answer);
-            self.forget(&held);
+            open.answer.send(answer);
+            self.remove_if_done(&open);
         }
     }
 
     /// Drops what nothing is owed for any more: an answered job with no attempt out.
-    fn forget(&self, held: &OpenRequest) {
-        if held.out.get() == 0 && !held.relay.is_open() {
-            self.held.borrow_mut().remove(&held.number);
-            self.peers.over(&text(held.job.id()));
+    fn remove_if_done(&self, open: &OpenRequest) {
+        if open.attempts_running.get() == 0 && !open.answer.is_open() {
+            self.open_requests.borrow_mut().remove(&open.number);
+            self.peers.over(&id_text(open.request.id()));
         }
     }
 
     fn attempt(self: &Rc<Self>, number: u32, server: Address, limit: f64) {
-        let Some(held) = self.held.borrow().get(&number).cloned() else { return };
+        let Some(open) = self.open_requests.borrow().get(&number).cloned() else { return };
         let called_off = Rc::new(Notify::new());
-        let place = held.attempts.borrow().len();
+        let index = open.attempts.borrow().len();
         let to = discovery::address(server);
-        if place > 0 {
-            let line = || format!("request {} sent again, to {to}: {}", text(held.job.id()), held.history());
-            self.repeated.info(line);
+        if index > 0 {
+            let line =
+                || format!("request {} sent again, to {to}: {}", id_text(open.request.id()), open.history());
+            self.repeated_log.info(line);
         }
-        held.attempts.borrow_mut().push(Sent {
+        open.attempts.borrow_mut().push(AttemptRecord {
             server: to,
-            place: self.discovery.place_of(to),
-            written: None,
+            server_location: self.discovery.place_of(to),
+            written_at: None,
             called_off: called_off.clone(),
             end: None,
         });
-        held.out.set(held.out.get() + 1);
-        self.book.attempts.add();
-        let route = self.clone();
+        open.attempts_running.set(open.attempts_running.get() + 1);
+        self.counters.attempts.add();
+        let dispatcher = self.clone();
         spawn_local(async move {
-            let started = route.clock.now();
-            let until = route.clock.at(started + limit);
+            let started = dispatcher.clock.now();
+            let until = dispatcher.clock.at(started + limit);
             let permit = || {
-                let permit = route.guard.attempt(&held, place, to)?;
+                let permit = dispatcher.guard.attempt(&open, index, to)?;
                 // From its first byte on it can't be sent again.
-                if held.job.flows() {
-                    route.inbox.push(move |balancer| balancer.spent(number));
+                if open.request.is_streamed() {
+                    dispatcher.events.push(move |balancer| balancer.spent(number));
                 }
                 Some(permit)
             };
-            let over = route.over(&held, until);
-            let (closed, called_off) = (held.relay.closed(), called_off.notified());
-            let attempt = route.senders.attempt(to, &held.job, over, closed, permit, called_off).await;
+            let timeout = dispatcher.attempt_timeout(&open, until);
+            let (closed, called_off) = (open.answer.closed(), called_off.notified());
+            let attempt =
+                dispatcher.senders.attempt(to, &open.request, timeout, closed, permit, called_off).await;
             if attempt.end == ConnectionEnd::CallerGone {
-                route.left(&held);
+                dispatcher.client_left(&open);
             }
             // No server can be late with a request that has not come whole.
-            let begun =
-                if held.deadline.is_coming() { started } else { started.max(held.deadline.counts_from()) };
-            route.attempt_ended(&held, place, server, attempt, route.clock.now() - begun);
+            let began =
+                if open.deadline.is_incomplete() { started } else { started.max(open.deadline.starts_at()) };
+            dispatcher.attempt_ended(&open, index, server, attempt, dispatcher.clock.now() - began);
         });
     }
 
     /// Waits until an attempt's time is over: its own, or what the job's last byte leaves it once that has come.
-    async fn over(&self, held: &OpenRequest, until: Instant) {
-        if held.deadline.is_coming() {
+    async fn attempt_timeout(&self, open: &OpenRequest, until: Instant) {
+        if open.deadline.is_incomplete() {
             tokio::select! {
                 () = sleep_until(until) => return,
-                () = held.whole.notified() => {}
+                () = open.completed.notified() => {}
             }
         }
         // Its last byte may have come between the choice of the attempt and its beginning, so nothing rings here for it.
-        sleep_until(until.min(self.clock.at(held.deadline.at()))).await;
+        sleep_until(until.min(self.clock.at(open.deadline.at()))).await;
     }
 
     fn attempt_ended(
         &self,
-        held: &Rc<OpenRequest>,
-        place: usize,
+        open: &Rc<OpenRequest>,
+        index: usize,
         server: Address,
         mut attempt: Attempt,
-        took: f64,
+        duration: f64,
     ) {
         // Its caller left in the middle of the body: the server is not to blame.
-        if attempt.end == ConnectionEnd::BrokenBefore && !held.relay.is_open() {
+        if attempt.end == ConnectionEnd::BrokenBefore && !open.answer.is_open() {
             attempt.end = ConnectionEnd::CalledOffBefore;
         }
         if matches!(attempt.end, ConnectionEnd::NotSent | ConnectionEnd::CallerGone | ConnectionEnd::Withheld)
         {
             let to = discovery::address(server);
-            let line = || format!("request {} not sent to {to}: {:?}", text(held.job.id()), attempt.end);
-            self.unsent.info(line);
+            let line =
+                || format!("request {} not sent to {to}: {:?}", id_text(open.request.id()), attempt.end);
+            self.unsent_log.info(line);
         }
-        held.attempts.borrow_mut()[place].end = Some(attempt.end);
-        attempt.end.count(&self.book);
-        held.out.set(held.out.get() - 1);
+        open.attempts.borrow_mut()[index].end = Some(attempt.end);
+        attempt.end.count(&self.counters);
+        open.attempts_running.set(open.attempts_running.get() - 1);
         if let Some(mut reply) = attempt.reply {
             // What flows counts as held to its last byte.
-            if let Either::Right(flow) = &mut reply.body {
-                self.book.flows.add();
-                flow.keep(held.clone());
-                flow.due(self.clock.at(held.deadline.at()));
-                flow.at_break(self.note_of_break(held));
+            if let Either::Right(streamed) = &mut reply.body {
+                self.counters.flows.add();
+                streamed.keep_alive(open.clone());
+                streamed.set_deadline(self.clock.at(open.deadline.at()));
+                streamed.on_break(self.break_callback(open));
             }
-            held.relay.give(Answer::Served(Box::new(reply)));
+            open.answer.send(Answer::Served(Box::new(reply)));
         } else if attempt.end == ConnectionEnd::TurnedDown {
-            held.relay.give(Answer::TurnedDown);
+            open.answer.send(Answer::TurnedDown);
         }
-        let (number, done) = (held.number, !held.relay.is_open());
+        let (number, done) = (open.number, !open.answer.is_open());
         let ending = ConnectionEnd::ending(attempt.end);
-        self.inbox.push(move |balancer| balancer.attempt_ended(number, place, ending, took, done));
+        self.events.push(move |balancer| balancer.attempt_ended(number, index, ending, duration, done));
         match attempt.report {
             Some(Ok(report)) => {
-                self.inbox.push(move |balancer| balancer.probe_answered(server, true, &report, took));
+                self.events.push(move |balancer| balancer.probe_answered(server, true, &report, duration));
             }
             Some(Err(problem)) => self.prober.drop_report(&problem),
             None => {}
         }
-        self.forget(held);
+        self.remove_if_done(open);
     }
 
     /// Counts an answer that ends in its middle, and says why.
-    fn note_of_break(&self, held: &OpenRequest) -> impl FnOnce(BodyError) + 'static {
-        let (id, due, clock) = (text(held.job.id()).into_owned(), held.deadline.at(), self.clock);
-        let (book, log) = (self.book.clone(), self.broken.clone());
+    fn break_callback(&self, open: &OpenRequest) -> impl FnOnce(BodyError) + 'static {
+        let (id, due, clock) = (id_text(open.request.id()).into_owned(), open.deadline.at(), self.clock);
+        let (counters, log) = (self.counters.clone(), self.broken_log.clone());
         move |problem| {
-            book.flows_broken.add();
-            let behind = clock.now() - due;
+            counters.flows_broken.add();
+            let late = clock.now() - due;
             log.info(|| {
                 format!(
-                    "answer to request {id} ends in its middle, {behind:.0} ms behind its time: {problem:?}"
+                    "answer to request {id} ends in its middle, {late:.0} ms after its deadline: {problem:?}"
                 )
             });
         }
@@ -450,22 +459,22 @@
         let mut wake = NEVER;
         loop {
             tokio::select! {
-                () = self.inbox.bell.notified() => {}
+                () = self.events.pushed.notified() => {}
                 () = sleep_until(self.clock.at(wake)) => {}
             }
             let now = self.clock.now();
             if wake <= now {
                 wake = NEVER;
             }
-            let words = self.inbox.words.take();
+            let events = self.events.queued.take();
             let feed = |balancer: &mut Balancer| {
-                words.into_iter().for_each(|word| word(balancer));
+                events.into_iter().for_each(|event| event(balancer));
                 Ok::<(), Infallible>(())
             };
-            let mut decisions = Decisions { route: &self, now, wake };
+            let mut decisions = Decisions { dispatcher: &self, now, wake };
             let Ok(()) = balancer.round(now, feed, &mut decisions);
             wake = decisions.wake;
-            self.book.rounds.add();
+            self.counters.rounds.add();
             sleep_until(self.clock.at(now + terms.now().settings.round)).await;
         }
     }
@@ -473,42 +482,42 @@
 
 /// Carries out what the module decides.
 struct Decisions<'a> {
-    route: &'a Rc<Dispatcher>,
+    dispatcher: &'a Rc<Dispatcher>,
     now: f64,
     wake: f64,
 }
 
 impl Writer for Decisions<'_> {
-    fn attempt(&mut self, job: u32, server: Address, limit: f64) {
-        self.route.attempt(job, server, limit);
+    fn attempt(&mut self, request: u32, server: Address, limit: f64) {
+        self.dispatcher.attempt(request, server, limit);
     }
 
-    fn call_off(&mut self, job: u32, attempt: u16) {
-        if let Some(held) = self.route.held.borrow().get(&job)
-            && let Some(sent) = held.attempts.borrow().get(usize::from(attempt))
+    fn call_off(&mut self, request: u32, attempt: u16) {
+        if let Some(open) = self.dispatcher.open_requests.borrow().get(&request)
+            && let Some(attempt) = open.attempts.borrow().get(usize::from(attempt))
         {
-            sent.called_off.notify_one();
+            attempt.called_off.notify_one();
         }
     }
 
-    fn reject(&mut self, job: u32, wait: f64) {
-        self.route.answer(job, Answer::Rejected(wait));
+    fn reject(&mut self, request: u32, wait: f64) {
+        self.dispatcher.answer(request, Answer::Rejected(wait));
     }
 
-    fn fail(&mut self, job: u32) {
-        self.route.answer(job, Answer::Failed);
+    fn fail(&mut self, request: u32) {
+        self.dispatcher.answer(request, Answer::Failed);
     }
 
     fn probe(&mut self, server: Address) {
-        spawn_local(self.route.prober.clone().probe(server, discovery::address(server)));
+        spawn_local(self.dispatcher.prober.clone().probe(server, discovery::address(server)));
     }
 
     fn wake(&mut self, delay: f64) {
-        self.wake = self.wake.min(self.now + delay + ROUNDING);
+        self.wake = self.wake.min(self.now + delay + WAKE_MARGIN_MS);
     }
 
     fn watch(&mut self) {
-        self.route.discovery.watch();
+        self.dispatcher.discovery.watch();
     }
 
     fn log(&mut self, line: &str) {
--- a/crates/pearfront-node/src/dispatcher/tests.rs
+++ b/crates/pearfront-node/src/dispatcher/tests.rs
@@ -2,7 +2,7 @@
 
 // With a "never" of days a node that has run for longer would play rounds without end and time out every attempt.
 #[test]
-fn a_wake_that_never_comes_is_far_away_after_years_too() {
+fn never_is_still_far_away_after_years() {
     let clock = Clock::start();
     let years = 10.0 * 365.0 * 24.0 * 3_600_000.0;
     assert!(clock.at(NEVER) > clock.at(years) && clock.at(years) > clock.at(years - 1.0));
--- a/crates/pearfront-node/src/framing.rs
+++ b/crates/pearfront-node/src/framing.rs
@@ -6,25 +6,25 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-const LENGTH: &[u8] = b"content-length:";
-const CODING: &[u8] = b"transfer-encoding:";
-const TIME: &[u8] = b"x-expires-in:";
+const CONTENT_LENGTH: &[u8] = b"content-length:";
+const TRANSFER_ENCODING: &[u8] = b"transfer-encoding:";
+const TIME_LEFT: &[u8] = b"x-expires-in:";
 /// Longest time that is taken for one.
-const LONGEST_TIME: Duration = Duration::from_secs(24 * 3600);
+const MAX_TIME: Duration = Duration::from_secs(24 * 3600);
 /// What each of a row of answers may take.
-const ONE_ANSWER: Duration = Duration::from_millis(1);
+const TIME_PER_ANSWER: Duration = Duration::from_millis(1);
 /// So much of a line is looked at: as much as hyper reads of a head.
-const MOST_LINE: usize = 16 * 1024;
+const MAX_LINE_BYTES: usize = 16 * 1024;
 
 /// Where in a client's requests the bytes that come next stand.
 #[derive(Default, Clone, Copy, PartialEq, Eq, Debug)]
-enum Part {
+enum Position {
     #[default]
     Head,
     /// In a body of which so many bytes are left.
     Body(u64),
     /// In the line that tells a chunk's size, in a chunk, in the line end behind it, in the lines behind the last.
-    Size,
+    ChunkSize,
     Chunk(u64),
     ChunkEnd,
     Trailers,
@@ -36,30 +36,30 @@
     /// Did its head name a length?
     pub has_length: bool,
     /// When its last byte came, once that has been read.
-    pub came: Option<Instant>,
+    pub arrived_at: Option<Instant>,
     /// When its head had come.
-    pub head_came: Option<Instant>,
+    pub head_arrived_at: Option<Instant>,
     /// How long its client says that it waits.
-    pub time: Option<Duration>,
+    pub time_left: Option<Duration>,
 }
 
 impl ReadRequest {
     /// When its answer is due, if it is whole; `may_be_whole` if what is missing may have come, and was not looked at.
-    fn due(&self, may_be_whole: bool, came_at: impl Fn(Instant) -> Instant) -> Option<Instant> {
-        let came = self.came.or(self.head_came.filter(|_| may_be_whole));
-        Some(came_at(came?) + self.time?)
+    fn due_at(&self, may_be_whole: bool, arrival_of: impl Fn(Instant) -> Instant) -> Option<Instant> {
+        let arrived_at = self.arrived_at.or(self.head_arrived_at.filter(|_| may_be_whole));
+        Some(arrival_of(arrived_at?) + self.time_left?)
     }
 }
 
 /// The requests of one connection.
 #[derive(Default)]
 pub struct Framing {
-    part: Part,
-    begun: bool,
+    parsing: Position,
+    in_head: bool,
     /// The beginning of the current line, in lower case.
     line: Vec<u8>,
     length: Option<u64>,
-    time: Option<Duration>,
+    time_left: Option<Duration>,
     chunked: bool,
     /// Read, and not handed out yet.
     waiting: VecDeque<ReadRequest>,
@@ -72,27 +72,27 @@
 
 impl Framing {
     /// Takes the next bytes, which came at that time.
-    pub fn read(&mut self, mut bytes: &[u8], came: Instant) {
+    pub fn read(&mut self, mut bytes: &[u8], arrived_at: Instant) {
         while !bytes.is_empty() {
-            let rest = match self.part {
-                Part::Body(left) => self.skip(bytes, left, Part::Body, Part::Head),
-                Part::Chunk(left) => self.skip(bytes, left, Part::Chunk, Part::ChunkEnd),
-                _ => self.line(bytes, came),
+            let rest = match self.parsing {
+                Position::Body(left) => self.skip(bytes, left, Position::Body, Position::Head),
+                Position::Chunk(left) => self.skip(bytes, left, Position::Chunk, Position::ChunkEnd),
+                _ => self.read_line(bytes, arrived_at),
             };
             self.position += (bytes.len() - rest.len()) as u64;
             bytes = rest;
-            if self.part == Part::Head && !self.begun {
-                self.request_over(came);
+            if self.parsing == Position::Head && !self.in_head {
+                self.request_complete(arrived_at);
             }
         }
     }
 
     /// The request whose head was read last is whole.
-    fn request_over(&mut self, came: Instant) {
+    fn request_complete(&mut self, arrived_at: Instant) {
         if let Some(last) = self.waiting.back_mut().or(self.current.as_mut())
-            && last.came.is_none()
+            && last.arrived_at.is_none()
         {
-            last.came = Some(came);
+            last.arrived_at = Some(arrived_at);
             self.ends.push_back(self.position);
         }
     }
@@ -103,125 +103,142 @@
     }
 
     /// Where the first request ends that ends behind this position, if that has been seen.
-    pub fn end_behind(&self, position: u64) -> Option<u64> {
+    pub fn next_end_after(&self, position: u64) -> Option<u64> {
         self.ends.iter().copied().find(|end| *end > position)
     }
 
     /// So many bytes have been read: is that the end of a request, or the beginning of the connection?
-    pub fn has_read(&mut self, position: u64) -> bool {
+    pub fn advance_to(&mut self, position: u64) -> bool {
         while self.ends.front().is_some_and(|end| *end < position) {
             self.ends.pop_front();
         }
         position == 0 || self.ends.front() == Some(&position)
     }
 
-    fn skip<'a>(&mut self, bytes: &'a [u8], left: u64, within: impl Fn(u64) -> Part, then: Part) -> &'a [u8] {
+    fn skip<'a>(
+        &mut self,
+        bytes: &'a [u8],
+        left: u64,
+        within: impl Fn(u64) -> Position,
+        then: Position,
+    ) -> &'a [u8] {
         let count = left.min(bytes.len() as u64);
-        self.part = if count == left { then } else { within(left - count) };
+        self.parsing = if count == left { then } else { within(left - count) };
         &bytes[count as usize..]
     }
 
     /// Lines end with a line feed, with or without a return before it.
-    fn line<'a>(&mut self, bytes: &'a [u8], came: Instant) -> &'a [u8] {
+    fn read_line<'a>(&mut self, bytes: &'a [u8], arrived_at: Instant) -> &'a [u8] {
         let end = bytes.iter().position(|byte| *byte == b'\n');
         let (now, rest) = bytes.split_at(end.map_or(bytes.len(), |end| end + 1));
         let text = now.iter().filter(|byte| !matches!(byte, b'\r' | b'\n')).map(u8::to_ascii_lowercase);
-        self.line.extend(text.take(MOST_LINE - self.line.len()));
-        self.begun |= self.part == Part::Head && !self.line.is_empty();
+        self.line.extend(text.take(MAX_LINE_BYTES - self.line.len()));
+        self.in_head |= self.parsing == Position::Head && !self.line.is_empty();
         if end.is_some() {
             let line = std::mem::take(&mut self.line);
-            self.line_over(&line, came);
+            self.line_complete(&line, arrived_at);
         }
         rest
     }
 
-    fn line_over(&mut self, line: &[u8], came: Instant) {
-        self.part = match self.part {
-            Part::Head if line.is_empty() && self.begun => return self.head_over(came),
-            Part::Head => {
+    fn line_complete(&mut self, line: &[u8], arrived_at: Instant) {
+        self.parsing = match self.parsing {
+            Position::Head if line.is_empty() && self.in_head => return self.head_complete(arrived_at),
+            Position::Head => {
                 let value = |name: &[u8]| line.strip_prefix(name).map(|value| value.trim_ascii());
-                if let Some(length) = value(LENGTH) {
+                if let Some(length) = value(CONTENT_LENGTH) {
                     self.length = Some(number(length, 10));
                 }
-                if let Some(time) = value(TIME) {
+                if let Some(time) = value(TIME_LEFT) {
                     // Of two the shorter one counts until its turn comes, and it is turned down.
-                    self.time = [self.time, seconds(time)].into_iter().flatten().min();
+                    self.time_left = [self.time_left, seconds(time)].into_iter().flatten().min();
                 }
-                self.chunked |= value(CODING).is_some_and(|coding| coding.ends_with(b"chunked"));
+                self.chunked |= value(TRANSFER_ENCODING).is_some_and(|coding| coding.ends_with(b"chunked"));
                 return;
             }
-            Part::Size => match number(line.split(|byte| *byte == b';').next().unwrap_or_default(), 16) {
-                0 => Part::Trailers,
-                size => Part::Chunk(size),
-            },
-            Part::Trailers if line.is_empty() => Part::Head,
-            Part::ChunkEnd => Part::Size,
+            Position::ChunkSize => {
+                match number(line.split(|byte| *byte == b';').next().unwrap_or_default(), 16) {
+                    0 => Position::Trailers,
+                    size => Position::Chunk(size),
+                }
+            }
+            Position::Trailers if line.is_empty() => Position::Head,
+            Position::ChunkEnd => Position::ChunkSize,
             other => other,
         };
     }
 
-    fn head_over(&mut self, came: Instant) {
-        let (has_length, time) = (self.length.is_some(), self.time.take());
-        self.waiting.push_back(ReadRequest { has_length, came: None, head_came: Some(came), time });
-        self.part = match self.length.take() {
-            _ if self.chunked => Part::Size,
-            Some(length) if length > 0 => Part::Body(length),
-            _ => Part::Head,
+    fn head_complete(&mut self, arrived_at: Instant) {
+        let (has_length, time_left) = (self.length.is_some(), self.time_left.take());
+        self.waiting.push_back(ReadRequest {
+            has_length,
+            arrived_at: None,
+            head_arrived_at: Some(arrived_at),
+            time_left,
+        });
+        self.parsing = match self.length.take() {
+            _ if self.chunked => Position::ChunkSize,
+            Some(length) if length > 0 => Position::Body(length),
+            _ => Position::Head,
         };
-        (self.begun, self.chunked) = (false, false);
+        (self.in_head, self.chunked) = (false, false);
     }
 
     /// The next request is handed out. One whose head was not seen, as what came before it was read otherwise than by hyper,
     /// may have named a length.
-    pub fn hand_out(&mut self) -> ReadRequest {
+    pub fn next_request(&mut self) -> ReadRequest {
         let next = self.waiting.pop_front();
         self.current = next;
         next.unwrap_or(ReadRequest { has_length: true, ..ReadRequest::default() })
     }
 
     /// When the last byte of the request that was handed out last came; nothing as long as it has not been read.
-    pub fn came(&self) -> Option<Instant> {
-        self.current.and_then(|request| request.came)
+    pub fn arrived_at(&self) -> Option<Instant> {
+        self.current.and_then(|request| request.arrived_at)
     }
 
     /// Has a head begun and not ended?
     pub fn in_head(&self) -> bool {
-        self.begun
+        self.in_head
     }
 
     /// How many requests have come whole and not been handed out.
-    pub fn waiting(&self) -> usize {
-        self.waiting.iter().filter(|request| request.came.is_some()).count()
+    pub fn waiting_requests(&self) -> usize {
+        self.waiting.iter().filter(|request| request.arrived_at.is_some()).count()
     }
 
     /// When the answer to the request handed out last has to end, so that those that can come only behind it are in time: each of
     /// them takes a moment. `may_be_whole` if more of what the client has sent lies where it was not looked at; `came_at` tells when
     /// what was seen then can have come at the earliest.
-    pub fn due_behind(&self, may_be_whole: bool, came_at: impl Fn(Instant) -> Instant) -> Option<Instant> {
-        let due = |(place, request): (usize, &ReadRequest)| {
-            let due = request.due(may_be_whole, &came_at)?;
-            due.checked_sub(ONE_ANSWER * place as u32)
+    pub fn pipelined_due(
+        &self,
+        may_be_whole: bool,
+        arrival_of: impl Fn(Instant) -> Instant,
+    ) -> Option<Instant> {
+        let due = |(index, request): (usize, &ReadRequest)| {
+            let due = request.due_at(may_be_whole, &arrival_of)?;
+            due.checked_sub(TIME_PER_ANSWER * index as u32)
         };
         self.waiting.iter().enumerate().filter_map(due).min()
     }
 
     /// Has a head been read that was not handed out?
-    pub fn has_waiting(&self) -> bool {
+    pub fn has_waiting_head(&self) -> bool {
         !self.waiting.is_empty()
     }
 
     /// Bytes to come of the body that is being read, where its length was told.
     pub fn body_left(&self) -> Option<u64> {
-        match self.part {
-            Part::Body(left) => Some(left),
+        match self.parsing {
+            Position::Body(left) => Some(left),
             _ => None,
         }
     }
 
     /// Bytes to come of the body, or of the chunk of it, that is being read: no request ends among them.
-    pub fn piece_left(&self) -> Option<u64> {
-        match self.part {
-            Part::Chunk(left) => Some(left),
+    pub fn chunk_left(&self) -> Option<u64> {
+        match self.parsing {
+            Position::Chunk(left) => Some(left),
             _ => self.body_left(),
         }
     }
@@ -236,7 +253,7 @@
 /// What says nothing of a time is turned down when its turn comes.
 fn seconds(text: &[u8]) -> Option<Duration> {
     let seconds: f64 = std::str::from_utf8(text).ok()?.trim().parse().ok()?;
-    Duration::try_from_secs_f64(seconds.max(0.0)).ok().filter(|time| *time < LONGEST_TIME)
+    Duration::try_from_secs_f64(seconds.max(0.0)).ok().filter(|time| *time < MAX_TIME)
 }
 
 #[cfg(test)]
--- a/crates/pearfront-node/src/framing/tests.rs
+++ b/crates/pearfront-node/src/framing/tests.rs
@@ -11,7 +11,7 @@
 #[test_case("POST /a HTTP/1.1\r\nContent-Length: 4\r\n\r\n\r\n\r\nGET /b HTTP/1.1\r\n\r\nG", &[true, false], true; "a body like an end of head")]
 #[test_case("POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nA;x=\"y\"\r\ncontent-le\r\n0\r\nContent-Length: 3\r\n\r\nPOST / HTTP/1.1\r\nContent-Length: 0\r\n\r\n", &[false, true], false; "chunks with extensions and trailers")]
 #[test_case("POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\nGET /b", &[true], true; "both")]
-fn heads_and_what_follows_them(text: &str, lengths: &[bool], half: bool) {
+fn heads_and_the_data_behind_them(text: &str, lengths: &[bool], half: bool) {
     for piece in [1, 3, text.len()] {
         let mut framing = Framing::default();
         text.as_bytes().chunks(piece).for_each(|part| framing.read(part, Instant::now()));
@@ -22,45 +22,45 @@
 
 // A length that hyper reads and this does not: what follows may hide a job in its body, and is not taken for safe.
 #[test]
-fn a_head_that_was_not_seen_may_have_a_length() {
+fn an_unseen_head_may_have_a_length() {
     let padded = format!("POST /a HTTP/1.1\r\nContent-Length:{:300}1\r\n\r\n1", "");
     let mut framing = Framing::default();
     framing.read(padded.as_bytes(), Instant::now());
     let next = b"POST /b HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n";
     framing.read(next, Instant::now());
-    assert!(framing.hand_out().has_length && framing.hand_out().has_length);
+    assert!(framing.next_request().has_length && framing.next_request().has_length);
 }
 
 // A request has come with its last byte, whether it was handed out before or after that, and in whatever pieces.
 #[test_case("GET /a HTTP/1.1\r\n\r\n"; "no body")]
 #[test_case("POST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc"; "a length")]
 #[test_case("POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\nX: 1\r\n\r\n"; "chunks")]
-fn a_request_has_come_with_its_last_byte(text: &str) {
-    let begun = Instant::now();
-    let at = |ms| begun + std::time::Duration::from_millis(ms);
+fn a_request_has_arrived_with_its_last_byte(text: &str) {
+    let began = Instant::now();
+    let at = |ms| began + std::time::Duration::from_millis(ms);
     for handed_out_early in [false, true] {
         let mut framing = Framing::default();
         let (first, last) = text.as_bytes().split_at(text.len() - 1);
         framing.read(first, at(1));
-        let early = handed_out_early && framing.has_waiting();
+        let early = handed_out_early && framing.has_waiting_head();
         if early {
-            assert_eq!(framing.hand_out().came, None);
+            assert_eq!(framing.next_request().arrived_at, None);
         }
-        assert_eq!((framing.waiting(), framing.came()), (0, None));
+        assert_eq!((framing.waiting_requests(), framing.arrived_at()), (0, None));
         framing.read(&[last, text.as_bytes()].concat(), at(2));
         framing.read(text.as_bytes(), at(3));
         if !early {
-            assert_eq!(framing.hand_out().came, Some(at(2)));
+            assert_eq!(framing.next_request().arrived_at, Some(at(2)));
         }
-        assert_eq!((framing.came(), framing.waiting()), (Some(at(2)), 2));
-        let rest = [framing.hand_out(), framing.hand_out()];
-        assert_eq!(rest.map(|request| request.came), [Some(at(2)), Some(at(3))]);
-        assert!(framing.has_read(framing.position()) && !framing.has_waiting());
+        assert_eq!((framing.arrived_at(), framing.waiting_requests()), (Some(at(2)), 2));
+        let rest = [framing.next_request(), framing.next_request()];
+        assert_eq!(rest.map(|request| request.arrived_at), [Some(at(2)), Some(at(3))]);
+        assert!(framing.advance_to(framing.position()) && !framing.has_waiting_head());
     }
 }
 
 #[test]
-fn the_first_answer_that_is_due_behind_another_is_known() {
+fn the_earliest_deadline_of_pipelined_requests_is_known() {
     let request = |time: &str| format!("GET /a HTTP/1.1\r\nX-Expires-In: {time}\r\n\r\n");
     let now = Instant::now();
     let mut framing = Framing::default();
@@ -68,22 +68,25 @@
     framing.read(&all.as_bytes()[..all.len() - 1], now);
     // It is the third: two more answers come before it.
     assert_eq!(
-        framing.due_behind(false, |came| came),
-        Some(now + Duration::from_millis(250) - 2 * ONE_ANSWER)
+        framing.pipelined_due(false, |arrival| arrival),
+        Some(now + Duration::from_millis(250) - 2 * TIME_PER_ANSWER)
     );
-    assert_eq!([framing.hand_out(), framing.hand_out()].map(|request| request.came), [Some(now); 2]);
-    assert_eq!(framing.due_behind(false, |came| came), Some(now + Duration::from_millis(250)));
-    framing.hand_out();
-    assert_eq!(framing.due_behind(false, |came| came), None);
+    assert_eq!(
+        [framing.next_request(), framing.next_request()].map(|request| request.arrived_at),
+        [Some(now); 2]
+    );
+    assert_eq!(framing.pipelined_due(false, |arrival| arrival), Some(now + Duration::from_millis(250)));
+    framing.next_request();
+    assert_eq!(framing.pipelined_due(false, |arrival| arrival), None);
 }
 
 // A time that is over already is none at all to wait.
 #[test]
-fn a_request_of_a_negative_time_is_due_as_it_comes() {
+fn a_request_with_a_negative_time_is_due_at_once() {
     let now = Instant::now();
     let mut framing = Framing::default();
     framing.read(b"GET /a HTTP/1.1\r\nX-Expires-In: -1\r\n\r\n", now);
-    assert_eq!(framing.due_behind(false, |came| came), Some(now));
+    assert_eq!(framing.pipelined_due(false, |arrival| arrival), Some(now));
 }
 
 // Of two times the shorter one counts, whichever comes first: such a request is turned down when its turn comes.
@@ -94,14 +97,14 @@
     let mut framing = Framing::default();
     let both = format!("GET /a HTTP/1.1\r\nX-Expires-In: {first}\r\nX-Expires-In: {second}\r\n\r\n");
     framing.read(both.as_bytes(), now);
-    assert_eq!(framing.due_behind(false, |came| came), Some(now + Duration::from_millis(500)));
+    assert_eq!(framing.pipelined_due(false, |arrival| arrival), Some(now + Duration::from_millis(500)));
 }
 
 // What was seen behind a stop of the process may have come at its beginning.
 #[test]
-fn a_request_is_due_from_when_it_can_have_come() {
-    let (seen, begun) = (Instant::now() + Duration::from_millis(300), Instant::now());
+fn a_deadline_runs_from_the_earliest_possible_arrival() {
+    let (seen, began) = (Instant::now() + Duration::from_millis(300), Instant::now());
     let mut framing = Framing::default();
     framing.read(b"GET /a HTTP/1.1\r\nX-Expires-In: 0.5\r\n\r\n", seen);
-    assert_eq!(framing.due_behind(false, |_| begun), Some(begun + Duration::from_millis(500)));
+    assert_eq!(framing.pipelined_due(false, |_| began), Some(began + Duration::from_millis(500)));
 }
--- a/crates/pearfront-node/src/late_answers.rs
+++ b/crates/pearfront-node/src/late_answers.rs
@@ -7,59 +7,63 @@
 use std::rc::Rc;
 
 /// From when on behind its time an answer is lost, ms.
-const LOST_AFTER: f64 = 500.0;
+const LOST_AFTER_MS: f64 = 500.0;
 /// Lines a second of the log.
-const LINES: u32 = 10;
+const LOG_LINES_PER_SECOND: u32 = 10;
 
 /// How a request was answered. Times are ms on the node's clock.
-pub struct Answered {
+pub struct AnswerTiming {
     pub id: HeaderValue,
     pub status: StatusCode,
     /// When its last byte came, its turn on its connection began, and its answer was there.
-    pub came: f64,
-    pub turn: f64,
-    pub answered: f64,
+    pub arrived_at: f64,
+    pub started_at: f64,
+    pub answered_at: f64,
     /// How long its client waits.
-    pub time: f64,
+    pub time_ms: f64,
 }
 
 /// Counts answers that came too late or never, and tells why.
 pub struct LateAnswers {
-    book: Rc<Counters>,
-    late: Limited,
-    never: Limited,
+    counters: Rc<Counters>,
+    late_log: Limited,
+    unanswered_log: Limited,
 }
 
 impl LateAnswers {
-    pub fn new(book: Rc<Counters>) -> Self {
-        Self { book, late: Limited::new(LINES), never: Limited::new(LINES) }
+    pub fn new(counters: Rc<Counters>) -> Self {
+        Self {
+            counters,
+            late_log: Limited::new(LOG_LINES_PER_SECOND),
+            unanswered_log: Limited::new(LOG_LINES_PER_SECOND),
+        }
     }
 
     /// An answer begins to go out.
-    pub fn answered(&self, answer: &Answered) {
-        let took = answer.answered - answer.came;
-        if took <= answer.time + LOST_AFTER {
+    pub fn record_answer(&self, answer: &AnswerTiming) {
+        let took = answer.answered_at - answer.arrived_at;
+        if took <= answer.time_ms + LOST_AFTER_MS {
             return;
         }
-        self.book.answers_late.add();
-        self.late.info(|| {
+        self.counters.answers_late.add();
+        self.late_log.info(|| {
             format!(
-                "late: request {} answered {} {:.0} ms behind its time of {:.0} ms; its turn came after {:.0} ms",
+                "late: request {} answered {} {:.0} ms after its deadline of {:.0} ms; processing began after {:.0} ms",
                 String::from_utf8_lossy(answer.id.as_bytes()),
                 answer.status.as_u16(),
-                took - answer.time,
-                answer.time,
-                answer.turn - answer.came
+                took - answer.time_ms,
+                answer.time_ms,
+                answer.started_at - answer.arrived_at
             )
         });
     }
 
     /// So many requests that were read get no answer.
-    pub fn never(&self, count: usize, why: &str) {
+    pub fn record_unanswered(&self, count: usize, why: &str) {
         if count == 0 {
             return;
         }
-        (0..count).for_each(|_| self.book.answers_never.add());
-        self.never.info(|| format!("never answered: {count} requests that were read, {why}"));
+        (0..count).for_each(|_| self.counters.answers_never.add());
+        self.unanswered_log.info(|| format!("never answered: {count} requests that were read, {why}"));
     }
 }
--- a/crates/pearfront-node/src/main.rs
+++ b/crates/pearfront-node/src/main.rs
@@ -175,7 +175,7 @@
         life.end(
             clock.at(answered - client_service::CLOSING_PERIOD_MS).saturating_duration_since(Instant::now()),
         );
-        take_in.dispatcher.inbox.push(move |balancer| balancer.closing(answered));
+        take_in.dispatcher.events.push(move |balancer| balancer.closing(answered));
         answered
     };
     Acceptor::new(listener, shared, take_in.clone()).run(ended).await;
@@ -288,7 +288,7 @@
 fn retune(in_force: &InForce, terms: Terms, take_in: &ClientService) {
     let terms = Rc::new(terms);
     in_force.swap(terms.clone());
-    take_in.dispatcher.inbox.push(move |balancer| balancer.retune(terms.settings.clone()));
+    take_in.dispatcher.events.push(move |balancer| balancer.retune(terms.settings.clone()));
 }
 
 /// Puts the stages together and starts what runs by itself.
--- a/crates/pearfront-node/src/message/body.rs
+++ b/crates/pearfront-node/src/message/body.rs
@@ -11,25 +11,25 @@
 pub type Body = Either<Full<Bytes>, StreamedBody>;
 
 /// A response's whole body, of at most so many bytes.
-pub async fn read_whole(body: Incoming, most: usize) -> Result<Bytes, ()> {
-    Ok(Limited::new(body, most).collect().await.map_err(|_| ())?.to_bytes())
+pub async fn read_whole(body: Incoming, max: usize) -> Result<Bytes, ()> {
+    Ok(Limited::new(body, max).collect().await.map_err(|_| ())?.to_bytes())
 }
 
 /// A body that is here whole.
-pub fn whole(body: Bytes) -> Body {
+pub fn buffered(body: Bytes) -> Body {
     Either::Left(Full::new(body))
 }
 
 /// A response of plain text.
 pub fn plain(status: StatusCode, text: impl Into<Bytes>) -> Response<Body> {
-    let mut response = Response::new(whole(text.into()));
+    let mut response = Response::new(buffered(text.into()));
     *response.status_mut() = status;
     response
 }
 
 /// A GET request for the target, sent to that host.
 pub fn get(target: String, host: &str) -> Request<Body> {
-    let mut request = Request::new(whole(Bytes::new()));
+    let mut request = Request::new(buffered(Bytes::new()));
     *request.uri_mut() = target.parse().expect("targets are made of plain characters");
     request
         .headers_mut()
--- a/crates/pearfront-node/src/message/clients.rs
+++ b/crates/pearfront-node/src/message/clients.rs
@@ -23,9 +23,9 @@
 pub fn decode_client_call(
     head: request::Parts,
     terms: &Rc<Terms>,
-    lengths: bool,
+    may_have_length: bool,
 ) -> Result<ClientCall, String> {
-    if lengths && is_chunked(&head.headers) {
+    if may_have_length && is_chunked(&head.headers) {
         return Err("both a length and chunks".into());
     }
     if head.method == Method::GET && head.uri.path() == "/up" {
@@ -58,7 +58,7 @@
 
 impl Answer {
     /// Is it passed on while it comes?
-    pub fn flows(&self) -> bool {
+    pub fn is_streamed(&self) -> bool {
         matches!(self, Answer::Served(reply) if matches!(reply.body, Either::Right(_)))
     }
 
--- a/crates/pearfront-node/src/message/request.rs
+++ b/crates/pearfront-node/src/message/request.rs
@@ -1,10 +1,10 @@
 //! A client's request: decoded once, and encoded for each attempt on a server.
 
-use super::body::{Body, whole};
+use super::body::{Body, buffered};
 use super::headers::{CUSTOMER, ID, IDEMPOTENCY_KEY, TIME_LEFT, end_to_end, text};
 use crate::streaming::StreamedBody;
 use crate::terms::Terms;
-use crate::upload::Pieces;
+use crate::upload::PieceReceiver;
 use bytes::Bytes;
 use http_body_util::Either;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
@@ -16,7 +16,7 @@
 use std::rc::Rc;
 
 /// Longest time left, ms, that a request may name: what says more is no time.
-const LONGEST_LEFT: f64 = 24.0 * 3_600_000.0;
+const MAX_TIME_LEFT_MS: f64 = 24.0 * 3_600_000.0;
 
 /// A client's request: its head, and its body once that has come whole.
 pub struct ClientRequest {
@@ -26,7 +26,7 @@
     pub customer: usize,
     pub non_idempotent: bool,
     /// How long the client will wait, ms.
-    pub left: f64,
+    pub time_left: f64,
     pub body: RequestBody,
     method: Method,
     target: Uri,
@@ -36,9 +36,9 @@
 /// A request's body.
 pub enum RequestBody {
     /// Kept, and so it can be sent again.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// Too large to be kept: what came first, and the rest for the first attempt that asks for it.
-    Flowing { first: Bytes, rest: RefCell<Option<Pieces>>, length: Option<u64> },
+    Streamed { first: Bytes, rest: RefCell<Option<PieceReceiver>>, length: Option<u64> },
 }
 
 impl ClientRequest {
@@ -48,7 +48,7 @@
         check_own_headers(&head.headers)?;
         let effect = terms.settings.profiles[profile].effect;
         check_effect(&head, effect)?;
-        let left = decode_time_left(&head.headers)?;
+        let time_left = decode_time_left(&head.headers)?;
         let customer = decode_customer(&head.headers, &terms.around)?;
         let keyed = head.headers.contains_key(&IDEMPOTENCY_KEY);
         let headers = end_to_end(head.headers);
@@ -60,8 +60,8 @@
             profile,
             customer,
             non_idempotent: effect == Effect::NonIdempotent,
-            left,
-            body: RequestBody::Whole(Bytes::new()),
+            time_left,
+            body: RequestBody::Buffered(Bytes::new()),
             method: head.method,
             target: head.uri,
             headers,
@@ -74,15 +74,15 @@
     }
 
     /// Is its body too large to be kept, so that it can be sent only once?
-    pub fn flows(&self) -> bool {
-        matches!(self.body, RequestBody::Flowing { .. })
+    pub fn is_streamed(&self) -> bool {
+        matches!(self.body, RequestBody::Streamed { .. })
     }
 
     /// The request as an attempt that will be waited for so long; none if its body has been sent and was not kept.
     pub fn encode(&self, wait: f64) -> Option<Request<Body>> {
         let mut attempt = Request::new(match &self.body {
-            RequestBody::Whole(body) => whole(body.clone()),
-            RequestBody::Flowing { first, rest, length } => {
+            RequestBody::Buffered(body) => buffered(body.clone()),
+            RequestBody::Streamed { first, rest, length } => {
                 Either::Right(StreamedBody::from_channel(first.clone(), rest.take()?.claim(), *length))
             }
         });
@@ -138,7 +138,7 @@
 fn decode_time_left(headers: &HeaderMap) -> Result<f64, String> {
     let seconds = text(headers, &TIME_LEFT).and_then(|left| left.trim().parse::<f64>().ok());
     let left = seconds.map(|seconds| seconds * 1000.0);
-    let left = left.filter(|left| left.is_finite() && *left < LONGEST_LEFT);
+    let left = left.filter(|left| left.is_finite() && *left < MAX_TIME_LEFT_MS);
     left.ok_or_else(|| format!("no time in {TIME_LEFT}"))
 }
 
@@ -147,6 +147,6 @@
         return Ok(0);
     }
     let named = text(headers, &CUSTOMER).ok_or_else(|| format!("no {CUSTOMER}"))?;
-    let place = around.customers.iter().position(|name| name == named);
-    place.ok_or_else(|| format!("unknown customer {named:?}"))
+    let index = around.customers.iter().position(|name| name == named);
+    index.ok_or_else(|| format!("unknown customer {named:?}"))
 }
--- a/crates/pearfront-node/src/message/servers.rs
+++ b/crates/pearfront-node/src/message/servers.rs
@@ -1,6 +1,6 @@
 //! What a node and servers exchange, beside the clients' requests themselves: replies, and probes.
 
-use super::body::{Body, get, whole};
+use super::body::{Body, buffered, get};
 use super::headers::{NEVER_RAN, REPORT, end_to_end, text};
 use crate::send::ConnectionEnd;
 use crate::streaming::{BodyStart, StreamedBody};
@@ -44,7 +44,7 @@
     let mut headers = end_to_end(head.headers);
     headers.remove(REPORT);
     let body = match body {
-        BodyStart::Complete(body) => whole(body),
+        BodyStart::Complete(body) => buffered(body),
         BodyStart::Partial(first, rest) => Either::Right(StreamedBody::from_answer(first, rest)),
     };
     Reply { headers, body }
--- a/crates/pearfront-node/src/read_gate.rs
+++ b/crates/pearfront-node/src/read_gate.rs
@@ -7,19 +7,19 @@
 use tokio::sync::Notify;
 
 /// Most bytes that are looked at ahead of their turn.
-pub const MOST_SEEN: usize = 256 * 1024;
+pub const MAX_PEEKED_BYTES: usize = 256 * 1024;
 
 /// How far a client's connection may be read. Positions count bytes from the beginning of the connection.
 #[derive(Default)]
 pub struct ReadGate {
     /// Position up to which bytes were read.
-    read: Cell<u64>,
+    position: Cell<u64>,
     /// Is a request that has been handed out without its answer?
     is_answering: Cell<bool>,
     /// Position up to which requests are still begun to be read, where no further ones are.
-    last: Cell<Option<u64>>,
+    stop_position: Cell<Option<u64>>,
     /// Was as much seen ahead as is looked at, so that more may lie behind it?
-    is_full: Cell<bool>,
+    may_hide_more: Cell<bool>,
     /// Rung when one of these changes.
     changed: Notify,
     /// Woken when bytes that wait for their turn may be read.
@@ -28,16 +28,16 @@
 
 impl ReadGate {
     pub fn position(&self) -> u64 {
-        self.read.get()
+        self.position.get()
     }
 
     /// So many bytes more were read.
     pub fn advance(&self, count: usize) {
-        self.read.set(self.read.get() + count as u64);
+        self.position.set(self.position.get() + count as u64);
     }
 
     /// A request has been handed out (or has its answer): what comes behind it waits for its turn (or has it).
-    pub fn answers(&self, is_answering: bool) {
+    pub fn set_answering(&self, is_answering: bool) {
         self.is_answering.set(is_answering);
         self.wake();
     }
@@ -47,30 +47,30 @@
     }
 
     /// So many bytes lay there at the last look.
-    pub fn fill(&self, count: usize) {
-        self.is_full.set(count >= MOST_SEEN);
+    pub fn record_peek(&self, count: usize) {
+        self.may_hide_more.set(count >= MAX_PEEKED_BYTES);
     }
 
-    pub fn is_full(&self) -> bool {
-        self.is_full.get()
+    pub fn may_hide_more(&self) -> bool {
+        self.may_hide_more.get()
     }
 
     /// No request that begins at this position or behind it is read any more.
-    pub fn end(&self, position: u64) {
-        if self.last.get().is_none() {
-            self.last.set(Some(position));
+    pub fn stop_at(&self, position: u64) {
+        if self.stop_position.get().is_none() {
+            self.stop_position.set(Some(position));
             self.wake();
         }
     }
 
     /// Is no further request begun to be read?
-    pub fn has_ended(&self) -> bool {
-        self.last.get().is_some_and(|last| self.read.get() >= last)
+    pub fn is_stopped(&self) -> bool {
+        self.stop_position.get().is_some_and(|stop_position| self.position.get() >= stop_position)
     }
 
     /// Is the connection to end once what has come by then is answered?
     pub fn is_ending(&self) -> bool {
-        self.last.get().is_some()
+        self.stop_position.get().is_some()
     }
 
     pub async fn changed(&self) {
@@ -78,7 +78,7 @@
     }
 
     /// This is woken when bytes that wait may be read.
-    pub fn wait(&self, reader: &Waker) {
+    pub fn register_reader(&self, reader: &Waker) {
         let mut waiting = self.reader.borrow_mut();
         if !waiting.as_ref().is_some_and(|known| known.will_wake(reader)) {
             *waiting = Some(reader.clone());
@@ -86,7 +86,7 @@
     }
 
     /// A request has been read to its end: what lies behind it has to be looked at.
-    pub fn request_over(&self) {
+    pub fn request_complete(&self) {
         self.changed.notify_one();
     }
 
--- a/crates/pearfront-node/src/send/tests.rs
+++ b/crates/pearfront-node/src/send/tests.rs
@@ -214,10 +214,10 @@
         let attempt = senders.attempt(server, &request, ends(0), ends(1), || None, ends(2));
         let is_waited_for = async {
             tokio::time::sleep(AFTER / 2).await;
-            room.is_waited_for()
+            room.has_waiters()
         };
         let (attempt, is_waited_for) = tokio::join!(attempt, is_waited_for);
-        assert_eq!((attempt.end, is_waited_for, room.is_waited_for()), (end, true, false));
+        assert_eq!((attempt.end, is_waited_for, room.has_waiters()), (end, true, false));
         assert!(begun.elapsed() < 2 * AFTER, "{:?}", begun.elapsed());
     });
 }
--- a/crates/pearfront-node/src/streaming.rs
+++ b/crates/pearfront-node/src/streaming.rs
@@ -17,15 +17,15 @@
 /// Most bytes that are kept whole.
 pub const MAX_BUFFERED_BYTES: usize = 64 * 1024;
 /// Most bytes of any body or answer.
-pub const MOST: u64 = 32 * 1024 * 1024;
+pub const MAX_BODY_BYTES: u64 = 32 * 1024 * 1024;
 /// How long a flow may bring nothing, or its caller take nothing, before it is given up whatever its time: far above any
 /// pause of a server that still gives.
 pub const STALL_TIMEOUT: Duration = Duration::from_secs(15);
 /// How long a server may give nothing of its answer once the request's time is over: a longer pause, and the answer counts as
 /// lost.
-const STILL_GIVES: Duration = Duration::from_millis(350);
+const MAX_LATE_PAUSE: Duration = Duration::from_millis(350);
 /// Fired later than by this, a timer tells of a process that stood still: what came meanwhile has not been read.
-const HELD_UP: Duration = Duration::from_millis(50);
+const STALL_THRESHOLD: Duration = Duration::from_millis(50);
 
 /// The beginning of a body: all of it, or what came before it grew too large to be kept.
 pub enum BodyStart {
@@ -71,15 +71,15 @@
 /// Without `keep` it is only read.
 pub async fn read_start(
     mut body: Incoming,
-    most: usize,
+    max: usize,
     pause: Duration,
     keep: bool,
 ) -> Result<BodyStart, BodyError> {
     let least = body.size_hint().lower();
-    if least > MOST {
+    if least > MAX_BODY_BYTES {
         return Err(BodyError::TooLong);
     }
-    let mut read = Vec::with_capacity(if keep { (least as usize).min(most) } else { 0 });
+    let mut read = Vec::with_capacity(if keep { (least as usize).min(max) } else { 0 });
     let mut length = 0;
     while let Some(frame) = timeout(pause, body.frame()).await.map_err(|_| BodyError::Stalled)? {
         if let Ok(data) = frame.map_err(|_| BodyError::Cut)?.into_data() {
@@ -87,7 +87,7 @@
             if keep {
                 read.extend_from_slice(&data);
             }
-            if length > most {
+            if length > max {
                 return Ok(BodyStart::Partial(read.into(), body));
             }
         }
@@ -97,8 +97,8 @@
 
 enum Source {
     Answer(Incoming),
-    Fed(UnboundedReceiver<Piece>),
-    Over,
+    Channel(UnboundedReceiver<Piece>),
+    Done,
 }
 
 /// A body on its way through.
@@ -106,16 +106,16 @@
     first: Bytes,
     rest: Source,
     /// Bytes to come, where that was told ahead.
-    left: Option<u64>,
-    most: u64,
+    bytes_left: Option<u64>,
+    max_left: u64,
     /// When the request's time is over, of an answer.
-    due: Option<Instant>,
+    deadline: Option<Instant>,
     /// Since when its source has been asked for more and has had nothing.
-    waits_since: Option<Instant>,
-    give_up: Pin<Box<Sleep>>,
-    at_end: Option<Box<dyn FnOnce()>>,
-    at_break: Vec<Box<dyn FnOnce(BodyError)>>,
-    kept: Vec<Rc<dyn Any>>,
+    waiting_since: Option<Instant>,
+    give_up_timer: Pin<Box<Sleep>>,
+    on_end: Option<Box<dyn FnOnce()>>,
+    on_break: Vec<Box<dyn FnOnce(BodyError)>>,
+    kept_alive: Vec<Rc<dyn Any>>,
 }
 
 impl StreamedBody {
@@ -123,14 +123,14 @@
         Self {
             first,
             rest,
-            left,
-            most: MOST,
-            due: None,
-            waits_since: None,
-            give_up: Box::pin(sleep(STALL_TIMEOUT)),
-            at_end: None,
-            at_break: Vec::new(),
-            kept: Vec::new(),
+            bytes_left: left,
+            max_left: MAX_BODY_BYTES,
+            deadline: None,
+            waiting_since: None,
+            give_up_timer: Box::pin(sleep(STALL_TIMEOUT)),
+            on_end: None,
+            on_break: Vec::new(),
+            kept_alive: Vec::new(),
         }
     }
 
@@ -142,36 +142,36 @@
 
     /// A body of this length, if that was told, whose pieces come through a channel.
     pub fn from_channel(first: Bytes, rest: UnboundedReceiver<Piece>, length: Option<u64>) -> Self {
-        Self::new(first, Source::Fed(rest), length)
+        Self::new(first, Source::Channel(rest), length)
     }
 
     /// What is done once its last byte has been passed on, and not if it breaks.
     pub fn on_end(&mut self, act: impl FnOnce() + 'static) {
-        self.at_end = Some(Box::new(act));
+        self.on_end = Some(Box::new(act));
     }
 
     /// The request's time is over at that time: from then on it lasts only as long as its server gives.
-    pub fn due(&mut self, at: Instant) {
-        self.due = Some(at);
+    pub fn set_deadline(&mut self, at: Instant) {
+        self.deadline = Some(at);
     }
 
     /// What is done if it breaks, beside what else was said so.
-    pub fn at_break(&mut self, act: impl FnOnce(BodyError) + 'static) {
-        self.at_break.push(Box::new(act));
+    pub fn on_break(&mut self, act: impl FnOnce(BodyError) + 'static) {
+        self.on_break.push(Box::new(act));
     }
 
     /// Keeps something as long as it lasts.
-    pub fn keep(&mut self, what: Rc<dyn Any>) {
-        self.kept.push(what);
+    pub fn keep_alive(&mut self, what: Rc<dyn Any>) {
+        self.kept_alive.push(what);
     }
 
     fn poll_rest(&mut self, context: &mut Context) -> Poll<Option<Result<Bytes, BodyError>>> {
         loop {
             let piece = match &mut self.rest {
-                Source::Over => None,
-                Source::Fed(pieces) => match ready!(pieces.poll_recv(context)) {
-                    Some(Piece::Data(data, place)) => {
-                        drop(place);
+                Source::Done => None,
+                Source::Channel(pieces) => match ready!(pieces.poll_recv(context)) {
+                    Some(Piece::Data(data, memory)) => {
+                        drop(memory);
                         Some(Ok(data))
                     }
                     Some(Piece::End) => None,
@@ -195,26 +195,26 @@
             return Poll::Ready(Some(Ok(std::mem::take(&mut self.first))));
         }
         if let Poll::Ready(piece) = self.poll_rest(context) {
-            self.waits_since = None;
+            self.waiting_since = None;
             return Poll::Ready(piece);
         }
-        let mut since = *self.waits_since.get_or_insert_with(Instant::now);
-        if self.given_up_at(since) + HELD_UP < Instant::now() {
+        let mut since = *self.waiting_since.get_or_insert_with(Instant::now);
+        if self.gives_up_at(since) + STALL_THRESHOLD < Instant::now() {
             since = Instant::now();
-            self.waits_since = Some(since);
+            self.waiting_since = Some(since);
         }
-        let until = self.given_up_at(since);
-        if self.give_up.deadline() != until {
-            self.give_up.as_mut().reset(until);
+        let until = self.gives_up_at(since);
+        if self.give_up_timer.deadline() != until {
+            self.give_up_timer.as_mut().reset(until);
         }
-        ready!(self.give_up.as_mut().poll(context));
+        ready!(self.give_up_timer.as_mut().poll(context));
         Poll::Ready(Some(Err(BodyError::Stalled)))
     }
 
     /// When it is given up if nothing has come since then.
-    fn given_up_at(&self, since: Instant) -> Instant {
+    fn gives_up_at(&self, since: Instant) -> Instant {
         let stalled = since + STALL_TIMEOUT;
-        self.due.map_or(stalled, |due| (due.max(since) + STILL_GIVES).min(stalled))
+        self.deadline.map_or(stalled, |due| (due.max(since) + MAX_LATE_PAUSE).min(stalled))
     }
 }
 
@@ -228,42 +228,42 @@
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let piece = ready!(self.poll_piece(context));
         Poll::Ready(match piece {
-            Some(Ok(data)) if data.len() as u64 > self.most => Some(Err(BodyError::TooLong)),
+            Some(Ok(data)) if data.len() as u64 > self.max_left => Some(Err(BodyError::TooLong)),
             Some(Ok(data)) => {
                 let length = data.len() as u64;
-                self.most -= length;
-                self.left = self.left.map(|left| left.saturating_sub(length));
+                self.max_left -= length;
+                self.bytes_left = self.bytes_left.map(|left| left.saturating_sub(length));
                 // hyper does not ask again once a told length has been passed on.
-                if self.left == Some(0) {
-                    self.end();
+                if self.bytes_left == Some(0) {
+                    self.report_end();
                 }
                 Some(Ok(Frame::data(data)))
             }
             Some(Err(problem)) => Some(Err(problem)),
             None => {
-                self.end();
+                self.report_end();
                 None
             }
         })
-        .map(|piece| piece.map(|piece| piece.inspect_err(|problem| self.broke(*problem))))
+        .map(|piece| piece.map(|piece| piece.inspect_err(|problem| self.report_break(*problem))))
     }
 
     fn is_end_stream(&self) -> bool {
-        self.left == Some(0)
+        self.bytes_left == Some(0)
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.left.map_or_else(SizeHint::default, SizeHint::with_exact)
+        self.bytes_left.map_or_else(SizeHint::default, SizeHint::with_exact)
     }
 }
 
 impl StreamedBody {
-    fn broke(&mut self, problem: BodyError) {
-        self.at_break.drain(..).for_each(|act| act(problem));
+    fn report_break(&mut self, problem: BodyError) {
+        self.on_break.drain(..).for_each(|act| act(problem));
     }
 
-    fn end(&mut self) {
-        self.rest = Source::Over;
-        self.at_end.take().into_iter().for_each(|act| act());
+    fn report_end(&mut self) {
+        self.rest = Source::Done;
+        self.on_end.take().into_iter().for_each(|act| act());
     }
 }
--- a/crates/pearfront-node/src/tcp_info/tests.rs
+++ b/crates/pearfront-node/src/tcp_info/tests.rs
@@ -21,7 +21,7 @@
 
 // An older kernel tells less than the C library's header of the day names: the answer was taken for broken, and the process ended.
 #[test]
-fn no_more_is_asked_of_a_connection_than_every_kernel_tells() {
+fn tcp_info_is_no_larger_than_every_kernel_provides() {
     /// What Linux 2.6 tells.
     const TOLD: usize = 104;
     assert!(size_of::<TcpInfo>() <= TOLD, "{} bytes", size_of::<TcpInfo>());
--- a/crates/pearfront-node/src/tracked_stream/tests.rs
+++ b/crates/pearfront-node/src/tracked_stream/tests.rs
@@ -4,19 +4,19 @@
 
 // A body whose length is not told ahead is whole with the end of its chunks, and not before the last of them.
 #[test]
-fn a_message_in_chunks_is_whole_with_its_end_only() {
-    let wire = wire();
-    wire.begin_message(None);
-    wire.note(b"POST /a HTTP/1.1\r\n\r\n5\r\n0\r\n\r\n");
-    assert!(!wire.is_fully_written());
-    wire.expect_final_chunk();
-    wire.note(b"\r\n0\r\n");
-    assert!(!wire.is_fully_written());
-    wire.note(b"\r\n");
-    assert!(wire.is_fully_written());
+fn a_chunked_message_is_complete_only_with_its_end() {
+    let stream = stream();
+    stream.begin_message(None);
+    stream.note_written(b"POST /a HTTP/1.1\r\n\r\n5\r\n0\r\n\r\n");
+    assert!(!stream.is_fully_written());
+    stream.expect_final_chunk();
+    stream.note_written(b"\r\n0\r\n");
+    assert!(!stream.is_fully_written());
+    stream.note_written(b"\r\n");
+    assert!(stream.is_fully_written());
 }
 
-fn wire() -> Rc<TrackedStream> {
+fn stream() -> Rc<TrackedStream> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let connect = TcpStream::connect(listener.local_addr().unwrap());
@@ -26,17 +26,17 @@
 // The boundary between "never ran" and "may have run" is the last byte, in whatever pieces it is written.
 #[test_case("GET /a HTTP/1.1\r\nHost: b\r\n\r\n", 0; "no body")]
 #[test_case("POST /a HTTP/1.1\r\nX: \r\r\n\r\nbo\r\n\r\ndy", 8; "ends of lines in odd places")]
-fn a_message_is_whole_with_its_last_byte_only(message: &str, body: u64) {
-    let wire = wire();
+fn a_message_is_complete_only_with_its_last_byte(message: &str, body: u64) {
+    let stream = stream();
     for piece in [1, 3, message.len()] {
-        wire.begin_message(Some(body));
-        assert!(!wire.is_fully_written());
+        stream.begin_message(Some(body));
+        assert!(!stream.is_fully_written());
         let mut left = message.len();
         for part in message.as_bytes().chunks(piece) {
-            wire.note(part);
+            stream.note_written(part);
             left -= part.len();
             assert_eq!(
-                wire.is_fully_written(),
+                stream.is_fully_written(),
                 left == 0,
                 "{left} of {message:?} left, in pieces of {piece}"
             );
