--- a/crates/pearfront-node/src/accept.rs
+++ b/crates/pearfront-node/src/accept.rs
@@ -1,5 +1,6 @@
-//! Accepts clients' connections, as long as there is room for them. What waits in the kernel's queue is on a clock as well: a
-//! request may lie on each connection there.
+//! Accepts client connections as long as there are free connection slots. Connections that wait in
+//! the kernel's accept queue are timed as well, since each may already hold a request whose
+//! deadline is running.
 
 use crate::BACKLOG;
 use crate::accept_queue::AcceptQueue;
@@ -22,53 +23,61 @@
 use tokio::task::{unconstrained, yield_now};
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
-/// Pause after a failed accept: what it lacked is back soon, and the loop must not spin.
+/// Pause after a failed accept: the missing resource is back soon, and the loop must not spin.
 const RETRY_PAUSE: Duration = Duration::from_millis(5);
-/// How long new connections go on coming after SIGTERM, with some room: the protocol says 400 ms.
+/// How long new connections may still arrive after SIGTERM: the protocol says 400 ms, and the rest
+/// is margin.
 const LATE_CONNECTIONS: Duration = Duration::from_millis(500);
-/// How long connections may wait in the queue where requests hold all places. Then they are shut unread: a request of the
-/// shortest times that lies there is lost soon after.
+/// How long connections may wait in the accept queue while requests hold all slots. After that they
+/// are closed unread: a request with one of the shortest deadlines would be lost soon after.
 const MAX_QUEUE_TIME: Duration = Duration::from_millis(300);
-/// How long there has to be no place for that: one that is being freed is there in a moment.
+/// How long there must have been no free slot before that happens: a slot that is being released is
+/// available within this time.
 const NO_SLOT_TIME: Duration = Duration::from_millis(20);
-/// How long is looked at last for what waits in the queue: time to wait for places, and to shut what found none.
+/// How long the accept queue is emptied at the end: time to wait for slots, and to close the
+/// connections that got none.
 const FINAL_DRAIN: Duration = Duration::from_millis(400);
-/// Pause between two looks into the queue where each connection takes the place of another: requests on their way come
-/// meanwhile, and clients that come again at once don't take all of the processor.
+/// Pause between two passes over the accept queue while each new connection takes the slot of
+/// another. Requests under way arrive meanwhile, and clients that reconnect at once do not use up
+/// the CPU.
 const EVICTION_PAUSE: Duration = Duration::from_millis(20);
-/// The queue of a crowded node is empty from time to time, or else it takes longer than that to let clients in and go.
+/// If the accept queue of an overloaded node has not been empty for longer than this, admitting and
+/// evicting clients takes too long.
 const OVERLOAD_DELAY: Duration = Duration::from_millis(50);
-/// What has brought so much may well be a request whose head is longer.
+/// A connection with this many bytes may well carry a request with a longer head, so it counts as
+/// one with a request.
 const LONG_HEAD: usize = 2048;
-/// Linux queues one connection more than it was told, and one may have been accepted meanwhile.
+/// Linux queues one connection more than the configured backlog, and one more may have been
+/// accepted meanwhile.
 const EXTRA_QUEUED: usize = 2;
-/// How often others have their turn before a wait for a place.
+/// How often other tasks may run before waiting for a slot.
 const MAX_YIELDS: usize = 4;
-/// So many connections are accepted in a row before others have their turn.
+/// How many connections are accepted in a row before other tasks may run.
 const ACCEPTS_PER_YIELD: usize = 16;
 
+/// Accepts client connections from one listener.
 pub struct Acceptor {
     listener: TcpListener,
-    /// When what waits in the queue came.
+    /// Tracks when the connections in the accept queue arrived.
     queue: AcceptQueue,
     service: Rc<ClientService>,
-    /// Has a connection had to go for another since the queue was empty?
+    /// Whether a client has been evicted for another one since the accept queue was last empty.
     overloaded: Cell<bool>,
-    /// Is the place that was made for the last one still there?
+    /// Whether the slot that was freed for the last connection is still free.
     has_spare_slot: Cell<bool>,
-    /// Since when there has been no place at all.
+    /// Since when there has been no free slot at all.
     no_slot_since: Cell<Option<Instant>>,
-    /// Since when the process stood still at its last stop, ms.
+    /// When the last process stall began, ms.
     last_stall: Cell<Option<f64>>,
-    /// How many were accepted since others had their turn.
+    /// How many connections were accepted since other tasks last ran.
     accepted_in_a_row: Cell<usize>,
     failure_log: Seldom,
     unread_log: Seldom,
 }
 
 impl Acceptor {
-    /// `shared` says that other processes may have served the listener before: what they leave in its queue came while they
-    /// did.
+    /// With `shared`, other processes may have served the listener before; what is left in its
+    /// queue arrived while they did.
     pub fn new(listener: TcpListener, shared: bool, service: Rc<ClientService>) -> Self {
         let now = Instant::now();
         let (max_waiting, opened_at) = if shared {
@@ -90,10 +99,11 @@
         }
     }
 
-    /// Accepts clients until told to end; then until no more come, and serves those that stay almost as long as the
-    /// node runs: they may have nowhere else to go. `end` tells when the module will give its last answers.
+    /// Accepts clients until `end` resolves, then until no more arrive, and serves the remaining
+    /// ones almost until the node exits, as they may have no other node to go to. `end` yields the
+    /// time by which the decision module has given its last answers.
     pub async fn run(self, end: impl Future<Output = f64>) {
-        // Until the runtime has looked for the first time, a queue with connections from before seems to be empty.
+        // Before the runtime's first poll, an accept queue with older connections looks empty.
         yield_now().await;
         let last_answers = tokio::select! {
             never = self.accept_all() => match never {},
@@ -114,8 +124,9 @@
         let _ = timeout_at(end.min(self.service.dispatcher.clock.at(last_answers)), self.empty_queue()).await;
     }
 
-    /// What the kernel has accepted counts as ours, unless another process serves the same socket. It takes places as at any other
-    /// time, and what finds none is shut unread.
+    /// Empties the accept queue. A connection that the kernel has accepted is this process's
+    /// responsibility, unless another process serves the same socket. Connections take slots as
+    /// usual; those that get none are closed unread.
     async fn empty_queue(&self) {
         let until = Instant::now() + MAX_QUEUE_TIME;
         while self.service.lifecycle.accepts()
@@ -130,7 +141,7 @@
         }
     }
 
-    /// Is there a place, or one more by that time?
+    /// Returns whether there is a free slot, or will be one by `until`.
     async fn slot_available_by(&self, until: Instant) -> bool {
         while !self.can_admit() {
             if Instant::now() >= until {
@@ -141,7 +152,8 @@
         true
     }
 
-    /// Serves a connection. Where nothing is on it, what comes was not there while it waited.
+    /// Serves a connection. If it holds no data yet, the data cannot have arrived while it was
+    /// queued.
     fn serve(&self, stream: TcpStream) {
         let now = Instant::now();
         let peeked = SockRef::from(&stream).peek(&mut [MaybeUninit::uninit()]);
@@ -159,8 +171,9 @@
         }
     }
 
-    /// The connection if it is to be served by a node that can't keep up with the crowd: requests that wait behind those
-    /// that bring none would be late. Half a head goes only where nothing idle is left that could go for it.
+    /// Returns the connection if an overloaded node should serve it. Requests that wait behind
+    /// connections without one would be late. A connection with a partial head is dropped only if
+    /// no idle client is left that could be evicted for it.
     fn admit_if_request(&self, stream: TcpStream, has_nothing: bool) -> Option<TcpStream> {
         if has_nothing {
             return None;
@@ -185,7 +198,8 @@
                 continue;
             }
             if !self.service.lifecycle.accepts() {
-                // Another process takes what comes, or nobody: should this one go on, it may have waited since now.
+                // Another process accepts the connections that arrive, or nobody does: if this one
+                // resumes, they may have waited since now.
                 self.queue.suspend(Instant::now());
             }
             let accepted = tokio::select! {
@@ -204,7 +218,8 @@
         }
     }
 
-    /// The next connection. Once the queue of a crowded node is empty it is left alone for a moment.
+    /// The next connection. Once the accept queue of an overloaded node is empty, it is not polled
+    /// for a moment.
     async fn next_connection(&self) -> io::Result<TcpStream> {
         if self.overloaded.get() {
             if let Some(accepted) = self.accept_waiting().await {
@@ -217,7 +232,7 @@
         self.accept().await
     }
 
-    /// Attempts and probes that wait for a connection go first.
+    /// Whether a client may be admitted. Attempts and probes that wait for a connection go first.
     fn can_admit(&self) -> bool {
         let capacity = &self.service.capacity;
         self.overloaded.set(self.overloaded.get() || !capacity.has_client_slot());
@@ -229,15 +244,17 @@
         can_admit
     }
 
-    /// Is there no place, and something in the queue that can't wait for one any longer?
+    /// Returns whether there is no free slot and a queued connection cannot wait for one any
+    /// longer.
     fn has_queue_timed_out(&self) -> bool {
-        // Behind a stop what came meanwhile is read first, and answered.
+        // After a stall, the data that arrived meanwhile is read and answered first.
         let limit = if self.service.dispatcher.stall_began().is_some() { CATCH_UP } else { NO_SLOT_TIME };
         let is_stuck = self.no_slot_since.get().is_some_and(|since| since.elapsed() > limit);
         is_stuck && self.queue.waiting_since().elapsed() > MAX_QUEUE_TIME
     }
 
-    /// While the process stood still nobody could make a place: the time without one counts anew, once for each stop.
+    /// During a stall no slot could be released, so the time without a slot is measured anew, once
+    /// per stall.
     fn note_stall(&self) {
         let stall = self.service.dispatcher.stall_began();
         if stall.is_some() && self.last_stall.replace(stall) != stall {
@@ -245,7 +262,7 @@
         }
     }
 
-    /// There is no place: waits for one, and shuts what has waited for too long.
+    /// Without a free slot: waits for one, and closes the connections that have waited too long.
     async fn handle_no_slot(&self) {
         self.queue.suspend(Instant::now());
         if !self.has_queue_timed_out() || !self.service.lifecycle.accepts() {
@@ -256,9 +273,10 @@
         }
     }
 
-    /// Waits until a place may have been freed.
+    /// Waits until a slot may have been released.
     async fn wait_for_slot(&self) {
-        // What was just let in has not been read yet, and what was closed is still open: both are done soon.
+        // Connections just admitted have not been read yet, and closed ones are still open: both
+        // happen soon.
         for _ in 0..MAX_YIELDS {
             yield_now().await;
             if self.service.capacity.has_reserve_client_slot() {
@@ -268,7 +286,8 @@
         self.service.capacity.slot_may_be_free().await;
     }
 
-    /// Closes a connection without a look at what has come on it: its client may send that again.
+    /// Closes a connection without reading from it, so its client may safely send the request
+    /// again.
     fn close_unread(&self, stream: TcpStream) {
         self.service.counters.shut_unread.add();
         self.unread_log.warn("no connection slot, client connection closed unread");
@@ -276,11 +295,12 @@
     }
 
     async fn accept(&self) -> io::Result<TcpStream> {
-        // Without the runtime's budget: where that is used up, nothing would seem to wait.
+        // Not subject to the runtime's task budget: once that is used up, the queue would look
+        // empty.
         unconstrained(poll_fn(|context| self.poll_accept(context))).await
     }
 
-    /// What waits in the queue now, if anything does.
+    /// The next connection in the accept queue, if there is one now.
     async fn accept_waiting(&self) -> Option<io::Result<TcpStream>> {
         timeout(Duration::ZERO, self.accept()).await.ok()
     }
@@ -300,8 +320,8 @@
         }
     }
 
-    /// The earliest time at which a connection can have been established, where that is known. Where the kernel doesn't say, it may
-    /// have been while the process stood still.
+    /// The earliest time at which the connection can have been established, if known. If the kernel
+    /// does not say, it may have been during a process stall.
     fn established_no_earlier(&self, stream: &TcpStream) -> Option<Instant> {
         let dispatcher = &self.service.dispatcher;
         tcp_info::earliest_established(stream)
--- a/crates/pearfront-node/src/accept_queue.rs
+++ b/crates/pearfront-node/src/accept_queue.rs
@@ -1,33 +1,36 @@
-//! When the connections came that wait in a listener's queue, at the earliest: whoever accepts them may have had something else to
-//! do. The kernel says it of most that are accepted, and hands them out in their order; else it follows from what a queue can hold.
+//! Estimates when the connections that wait in a listener's accept queue arrived, since the process
+//! may have been too busy to accept them. The kernel tells this for most connections, and hands
+//! them out in order; otherwise it follows from the length of the queue. Used by `accept`.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// After so many accepted connections the time is kept once more.
+/// A checkpoint is recorded once per this many accepted connections.
 const CHECKPOINT_STEP: usize = 64;
 
-/// What was established no longer ago, by a clock of up to 10 ms a tick, has not waited.
+/// A connection established no longer ago than this has not waited; kernel clocks have ticks of up
+/// to 10 ms.
 const NOT_QUEUED: Duration = Duration::from_millis(20);
 
-/// Follows the accepts from one queue.
+/// Tracks the accepts from one queue.
 pub struct AcceptQueue {
-    /// So many connections wait in it at the most.
+    /// How many connections the queue can hold.
     max_waiting: usize,
-    /// What was accepted last came after this time.
+    /// The connection accepted last arrived after this time.
     earliest: Cell<Instant>,
-    /// The last look found nothing, and what comes next is accepted at once.
+    /// The last poll found nothing, so the next connection is accepted as soon as it arrives.
     was_empty: Cell<bool>,
-    /// How many were accepted so far.
+    /// Number of connections accepted so far.
     accepted: Cell<usize>,
-    /// How many had been accepted at which times: whatever the queue could not hold by then came later.
+    /// How many connections had been accepted at which times: those that the queue could not hold
+    /// by then arrived later.
     checkpoints: RefCell<VecDeque<(usize, Instant)>>,
 }
 
 impl AcceptQueue {
-    /// A queue that holds so many at the most, none of which came before this time.
+    /// A queue that holds at most `most` connections, none of which arrived before `opened`.
     pub fn new(max_waiting: usize, opened: Instant) -> Self {
         Self {
             max_waiting,
@@ -38,30 +41,32 @@
         }
     }
 
-    /// What was accepted last came after this time.
+    /// The connection accepted last arrived after this time.
     pub fn earliest(&self) -> Instant {
         self.earliest.get()
     }
 
-    /// What waits now came after this time.
+    /// The connections now waiting arrived after this time.
     pub fn waiting_since(&self) -> Instant {
         if self.was_empty.get() { Instant::now() } else { self.earliest.get() }
     }
 
-    /// Nothing waited.
+    /// A poll found no waiting connection.
     pub fn found_nothing(&self) {
         self.was_empty.set(true);
     }
 
-    /// Nobody accepts for a while: what comes is not accepted at once any more.
+    /// Accepting is suspended, so connections that arrive from now on are no longer accepted at
+    /// once.
     pub fn suspend(&self, now: Instant) {
         if self.was_empty.take() {
             self.restart(now);
         }
     }
 
-    /// One more was accepted, which was established after that time, where that is known: so was what waits behind it. Whatever
-    /// else is known may be wrong, as the process may have stood still, or another one have accepted before.
+    /// Records that a connection was accepted; `established` is the earliest time of its handshake,
+    /// if known, and a lower bound for those behind it as well. It overrides all other estimates,
+    /// which may be wrong because the process stalled or another process accepted before.
     pub fn accepted(&self, now: Instant, established: Option<Instant>) {
         let found_empty = self.was_empty.take();
         if found_empty {
--- a/crates/pearfront-node/src/accept_queue/tests.rs
+++ b/crates/pearfront-node/src/accept_queue/tests.rs
@@ -27,8 +27,8 @@
     assert_eq!(queue.earliest(), at(opened, 100));
 }
 
-// A queue that is never empty, one accepted each millisecond: none has waited for more than the queue holds, and none is
-// taken to have come later than it may have.
+// A queue that is never empty, with one accept per millisecond: no connection has waited for more
+// others than the queue holds, and none is assumed to have arrived later than it can have.
 #[test]
 fn connections_that_the_queue_could_not_hold_arrived_later() {
     const MAX_WAITING: usize = 100;
@@ -45,7 +45,8 @@
     }
 }
 
-// A queue that is never empty, from which few are accepted: what came in a moment ago was taken for as old as the queue is long.
+// In a queue that is never empty and drains slowly, a connection that had just arrived was assumed
+// to be as old as the queue is long.
 #[test]
 fn the_age_that_the_kernel_reports_holds_for_later_connections() {
     let opened = Instant::now();
@@ -55,7 +56,8 @@
     assert_eq!((queue.earliest(), queue.waiting_since()), (at(opened, 400), at(opened, 400)));
 }
 
-// The last look before a stop of the process found nothing, and behind it the next connection was taken for a new one.
+// The last poll before a process stall found nothing, and the next connection after it was assumed
+// to be new.
 #[test]
 fn connections_from_a_process_stall_are_as_old_as_the_kernel_reports() {
     let opened = Instant::now();
@@ -65,7 +67,8 @@
     assert_eq!(queue.earliest(), at(opened, 300));
 }
 
-// The same where the process looked away right behind the stop, as it had no place: that is not when the queue was empty last.
+// The same if accepting was suspended right after the stall for want of a slot: that is not when
+// the queue was last empty.
 #[test]
 fn connections_from_before_a_suspension_are_as_old_as_the_kernel_reports() {
     let opened = Instant::now();
@@ -76,7 +79,8 @@
     assert_eq!(queue.earliest(), at(opened, 300));
 }
 
-// The process before died, and what it left waited for longer than a process that serves leaves anything.
+// The previous process died, and the connections it left had waited longer than a serving process
+// leaves any.
 #[test]
 fn connections_left_by_another_process_are_as_old_as_the_kernel_reports() {
     let started = Instant::now();
--- a/crates/pearfront-node/src/answer_sender.rs
+++ b/crates/pearfront-node/src/answer_sender.rs
@@ -1,4 +1,5 @@
-//! Fifth stage: the one final answer of a job, on its way back to the caller.
+//! Delivers the one final answer of a request to the task that serves its client. Used by
+//! `dispatcher`.
 
 use crate::counters::Counters;
 use crate::message::Answer;
@@ -6,10 +7,10 @@
 use std::rc::Rc;
 use tokio::sync::{Notify, oneshot};
 
-/// Where a job's answer goes; takes the first one only.
+/// Sends the answer of one request; only the first one is delivered.
 pub struct AnswerSender {
     receiver: RefCell<Option<oneshot::Sender<Answer>>>,
-    /// Rung when it has its answer, or its caller has left.
+    /// Notified when the answer is given, or the client has left.
     closed: Notify,
     counters: Rc<Counters>,
 }
@@ -20,12 +21,12 @@
         (Self { receiver: RefCell::new(Some(receiver)), closed: Notify::new(), counters }, answer)
     }
 
-    /// Still without an answer, and its caller still there.
+    /// Whether the request has no answer yet and its client is still connected.
     pub fn is_open(&self) -> bool {
         self.receiver.borrow().is_some()
     }
 
-    /// Waits until no answer is owed any more.
+    /// Waits until no answer is due any more.
     pub async fn closed(&self) {
         while self.is_open() {
             self.closed.notified().await;
@@ -38,7 +39,7 @@
         receiver
     }
 
-    /// The caller has left: no answer is owed any more.
+    /// The client has left, so no answer is due any more. Returns whether one was due until now.
     pub fn close(&self) -> bool {
         self.take().is_some()
     }
--- a/crates/pearfront-node/src/arrival.rs
+++ b/crates/pearfront-node/src/arrival.rs
@@ -1,28 +1,29 @@
-//! When the bytes that are read from a connection came. The kernel does not say, and whoever reads may have had something else
-//! to do; so this tells the earliest time at which they can have come.
+//! Estimates when bytes read from a connection arrived. The kernel does not record that, and the
+//! reader may have been busy, so this tracks the earliest time at which they can have arrived. Used
+//! by `tracked_stream` for client connections.
 
 use std::cell::Cell;
 use tokio::time::Instant;
 
-/// The kernels at both ends of a connection hold no more than so many bytes that nobody has read: what lies further behind
-/// was not written yet when these were.
+/// Upper bound on the unread bytes that the kernels at both ends of a connection hold: data further
+/// behind had not been written yet when these bytes were.
 const MAX_UNREAD_BYTES: usize = 8 * 1024 * 1024;
 
-/// Follows the reads of one connection.
+/// Tracks the reads of one connection.
 pub struct Arrival {
-    /// What was read last came after this.
+    /// The data read last arrived after this time.
     earliest: Cell<Instant>,
-    /// The last read found nothing, and what comes next is read at once.
+    /// The last read found nothing, so the next data is read as soon as it arrives.
     was_empty: Cell<bool>,
-    /// When what came next was read.
+    /// When the data that arrived after an empty read was read.
     last_empty_at: Cell<Instant>,
-    /// A time since `earliest`, and how many bytes were read from it on.
+    /// A time after `earliest`, and the number of bytes read since then.
     checkpoint: Cell<Instant>,
     read: Cell<usize>,
 }
 
 impl Arrival {
-    /// Nothing came before this time.
+    /// Nothing arrived before `opened`.
     pub fn new(opened: Instant) -> Self {
         Self {
             earliest: Cell::new(opened),
@@ -33,34 +34,35 @@
         }
     }
 
-    /// What was read last came after this time.
+    /// The data read last arrived after this time.
     pub fn earliest(&self) -> Instant {
         self.earliest.get()
     }
 
-    /// What has not been read came after this time.
+    /// The data not read yet arrived after this time.
     pub fn unread_since(&self) -> Instant {
         if self.was_empty.get() { Instant::now() } else { self.earliest.get() }
     }
 
-    /// The last time at which there was nothing to read: all that has been read since may have come right behind it.
+    /// The last time at which there was nothing to read: everything read since may have arrived
+    /// right after it.
     pub fn last_empty_at(&self) -> Instant {
         self.last_empty_at.get()
     }
 
-    /// There was nothing to read.
+    /// A read found nothing.
     pub fn found_nothing(&self) {
         self.was_empty.set(true);
     }
 
-    /// Nobody reads for a while: what comes is not read at once any more.
+    /// Reading is suspended, so data that arrives from now on is no longer read at once.
     pub fn suspend(&self, now: Instant) {
         if self.was_empty.take() {
             self.restart(now, now);
         }
     }
 
-    /// So many bytes were read; of a body whose length is known so many are still to come.
+    /// Records that `count` bytes were read; `to_come` bytes are left of a body of known length.
     pub fn record_read(&self, now: Instant, count: usize, to_come: Option<u64>) {
         let found_empty = self.was_empty.take();
         if found_empty {
--- a/crates/pearfront-node/src/arrival/tests.rs
+++ b/crates/pearfront-node/src/arrival/tests.rs
@@ -38,7 +38,7 @@
     assert_eq!(arrival.earliest(), at(opened, 100));
 }
 
-// More than the kernels can hold was not there yet.
+// Data beyond what the kernels can hold had not been sent yet.
 #[test]
 fn data_beyond_the_kernel_buffers_arrived_later() {
     let opened = Instant::now();
--- a/crates/pearfront-node/src/capacity.rs
+++ b/crates/pearfront-node/src/capacity.rs
@@ -1,5 +1,5 @@
-//! Second stage: is there room for a connection or a job? What finds none is rejected at once, before the
-//! module hears of it: nothing was sent, so trying again is harmless.
+//! Admission by resources: limits connections, requests and the memory for bodies. A request beyond
+//! the limits is rejected before the decision module sees it: nothing was sent, so a retry is safe.
 
 use crate::client_connection::ClientConnection;
 use crate::counters::Counters;
@@ -11,52 +11,57 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout};
 
-/// Descriptors kept for what is no caller, server or probe: standard streams, listener, poll, signals, discovery.
+/// File descriptors reserved for everything but clients, servers and probes: standard streams,
+/// listener, poll, signals, discovery.
 const FIXED_DESCRIPTORS: usize = 24;
-/// Connections above the ordinary most that are still accepted, to reject their jobs at once; as a share of
-/// all, and at most.
+/// Connections accepted beyond the normal limit, so that their requests can be rejected at once:
+/// fraction of all connections (as a
+/// divisor), and maximum number.
 const RESERVE: (usize, usize) = (8, 64);
-/// Connections that a job takes at the least: its caller's and a server's.
+/// Minimum number of connections per request: its client's and a server's.
 const CONNECTIONS_PER_REQUEST: usize = 2;
-/// Part of the connections that callers leave to servers and probes, whatever they do: after a list that replaces many
-/// servers new connections are needed at once.
+/// Fraction (as a divisor) of the connections that is reserved for servers and probes whatever
+/// clients do: after a list that replaces many servers, new connections are needed at once.
 const SERVERS_DIVISOR: usize = 4;
-/// Connections that are left beside those of jobs and callers: a probe's, where answers are never read.
+/// Connections reserved besides those of requests and clients: one for a probe, even if answers are
+/// never read.
 const PROBE_CONNECTIONS: usize = 1;
-/// How often callers are looked through for that.
+/// Interval of the scan for incomplete and stalled client connections.
 const SCAN_INTERVAL: Duration = Duration::from_millis(200);
-/// How often whoever waits for a place looks whether some caller can go.
+/// Interval at which a task that waits for a slot checks whether a client can be evicted.
 const EVICTION_INTERVAL: Duration = Duration::from_millis(5);
-/// Share of the memory limit that bodies may take; the rest is for connections' buffers and answers.
+/// Fraction of the memory limit available for bodies; the rest is for connection buffers and
+/// answers.
 const BODY_MEMORY_FRACTION: f64 = 0.3;
-/// Part of the room left to bodies that are read ahead which one of them may have.
+/// One body may use this fraction (as a divisor) of the memory left for read-ahead.
 const READ_AHEAD_DIVISOR: usize = 4;
-/// Least bytes a job counts for: its answer takes room as well.
+/// Minimum number of bytes accounted to a request, as its answer needs memory too.
 const MIN_REQUEST_BYTES: usize = 4 * 1024;
 
-/// What a process uses of the limits that all processes of a node share.
+/// What one process uses of the limits that all processes of a node share.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Usage {
     pub connections: usize,
     pub bytes: usize,
 }
 
+/// Limits and current usage of connections, requests and memory.
 pub struct Capacity {
-    /// The limits: descriptors that are left for connections, and bytes of memory.
+    /// Limits: file descriptors available for connections, and bytes of memory.
     sockets: Cell<usize>,
     memory: Cell<usize>,
-    /// What other processes of this node use.
+    /// Usage of the other processes of this node.
     others: RefCell<Vec<Usage>>,
     max_open: Cell<usize>,
     reserve: Cell<usize>,
     open: Cell<usize>,
-    /// Callers' ones among them.
+    /// The open connections that belong to clients.
     clients_open: Cell<usize>,
     max_bytes: Cell<usize>,
     bytes: Cell<usize>,
-    /// Jobs taken in, or being read, and not answered.
+    /// Requests admitted, or being read, that are not answered yet.
     requests: Cell<usize>,
-    /// Attempts that wait for a connection: callers stand back for them.
+    /// Attempts that wait for a connection: clients are not admitted before them.
     waiters: Cell<usize>,
     freed: Notify,
     clients: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
@@ -85,24 +90,26 @@
         Rc::new(capacity)
     }
 
-    /// The limits from now on; what is over them already is not cut off.
+    /// Sets new limits; usage already beyond them is not cut.
     pub fn set_limits(&self, sockets: usize, memory_mb: f64) {
         self.sockets.set(sockets);
         self.memory.set((memory_mb * 1024.0 * 1024.0 * BODY_MEMORY_FRACTION) as usize);
         self.divide();
     }
 
-    /// Other processes of this node use this much of the same limits.
+    /// Sets the usage of the other processes of this node, which share the limits.
     pub fn set_others(&self, others: &[Usage]) {
         others.clone_into(&mut self.others.borrow_mut());
         self.divide();
     }
 
+    /// What this process uses of the shared limits.
     pub fn usage(&self) -> Usage {
         Usage { connections: self.open.get(), bytes: self.bytes.get() }
     }
 
-    /// Each process has an equal part; what one has above it already is missing to the others.
+    /// Gives each process an equal part; usage of another process beyond its part is subtracted
+    /// from this one's.
     fn divide(&self) {
         let others = self.others.borrow();
         let part = |all: usize, used: usize| {
@@ -118,12 +125,13 @@
         self.max_bytes.set(part(self.memory.get(), used(|other| other.bytes)));
     }
 
-    /// Room for one more connection.
+    /// Whether one more connection may be opened.
     pub fn has_slot(&self) -> bool {
         self.open.get() < self.max_open.get()
     }
 
-    /// The same, if it is only to reject a job, or stands in for one that is being closed.
+    /// The same for a connection that only serves to reject a request, or replaces one that is
+    /// being closed.
     pub fn has_reserve_slot(&self) -> bool {
         self.open.get() < self.max_open.get() + self.reserve.get()
     }
@@ -140,18 +148,20 @@
         slot
     }
 
-    /// Most callers beside the last resort: servers have a part of their own, and where they use more of it one is left.
+    /// Maximum number of clients without the reserve. Servers have a part of their own, and if they
+    /// use more than that, one more is kept free for them.
     fn max_clients(&self) -> usize {
         let servers = self.open.get() - self.clients_open.get() + PROBE_CONNECTIONS;
         self.max_open.get().saturating_sub(servers.max(self.max_open.get() / SERVERS_DIVISOR))
     }
 
-    /// Room for one more caller.
+    /// Whether one more client may be admitted.
     pub fn has_client_slot(&self) -> bool {
         self.clients_open.get() < self.max_clients()
     }
 
-    /// The same for one whose jobs are rejected, or who stands in for one that is being closed.
+    /// The same for a client whose requests are rejected, or that replaces one that is being
+    /// closed.
     pub fn has_reserve_client_slot(&self) -> bool {
         self.clients_open.get() < self.max_clients() + self.reserve.get()
     }
@@ -160,19 +170,20 @@
         self.waiters.get() > 0
     }
 
-    /// An attempt waits for a connection, as long as this is kept.
+    /// Registers an attempt that waits for a connection, until the returned guard is dropped.
     pub fn register_waiter(self: &Rc<Self>) -> Waiter {
         self.waiters.set(self.waiters.get() + 1);
         Waiter(self.clone())
     }
 
-    /// Waits until some connection, or some wait for one, has ended, or a caller may have become one that can go: nothing
-    /// rings for that.
+    /// Waits until a connection is closed or a waiter is done, or until a client may have become
+    /// evictable, for which there is no notification.
     pub async fn slot_may_be_free(&self) {
         let _ = timeout(EVICTION_INTERVAL, self.freed.notified()).await;
     }
 
-    /// Takes room for a job whose body has this length; none if bodies or connections would not fit.
+    /// Reserves resources for a request with a body of this length; `None` if the body or its
+    /// connections would exceed the limits.
     pub fn reserve_request(self: &Rc<Self>, body: usize) -> Option<RequestReservation> {
         let bytes = body.max(MIN_REQUEST_BYTES);
         let has_connections =
@@ -188,9 +199,10 @@
         ReservedBytes { capacity: self.clone(), bytes }
     }
 
-    /// Takes room for more bytes of a body, of which so many have been read ahead of its server. Such bytes have half of all room,
-    /// the rest is for requests that are still to come; and one body no more than a part of what is then left of that half, so
-    /// that there is some for others.
+    /// Reserves memory for `bytes` more of a body of which `held` bytes have been read ahead of its
+    /// server. Read-ahead may use half of the memory, so that the other half is left for further
+    /// requests; and one body may use only a fraction of what is left of that half, so that others
+    /// get some.
     pub fn reserve_read_ahead(self: &Rc<Self>, held: usize, bytes: usize) -> Option<ReservedBytes> {
         let left = (self.max_bytes.get() / 2).checked_sub(self.bytes.get() + bytes)?;
         (held + bytes <= left / READ_AHEAD_DIVISOR).then(|| self.reserve_bytes(bytes))
@@ -212,19 +224,21 @@
         self.clients.borrow_mut().remove(&number);
     }
 
-    /// Do callers hold more than half of all connections? Those they keep idle then go before servers' idle ones.
+    /// Whether clients hold more than half of all connections. If so, their idle connections are
+    /// closed before those to servers.
     pub fn clients_hold_most(&self) -> bool {
         self.clients.borrow().len() * 2 > self.max_open.get()
     }
 
-    /// Do servers' connections take of the places that callers could have?
+    /// Whether connections to servers use slots that clients could have.
     pub fn servers_exceed_share(&self) -> bool {
         let servers = self.open.get() - self.clients_open.get() + PROBE_CONNECTIONS;
         servers > self.max_open.get() / SERVERS_DIVISOR
     }
 
-    /// Has a caller closed for another one: that which has had nothing on its connection for longest, and where all have
-    /// something, that which has brought half a head and nothing since for longest. False if there is none.
+    /// Closes a client connection in favour of another one: the one that has had no data for
+    /// longest, or, if all have some, the one whose partial head has made no progress for longest.
+    /// Returns false if there is none.
     pub fn evict_client(&self) -> bool {
         let clients = self.clients.borrow();
         let mut evictable: Vec<_> = clients.values().filter(|client| client.may_be_evicted()).collect();
@@ -237,12 +251,13 @@
         partial.inspect(|client| client.abort()).is_some()
     }
 
-    /// Could a caller go that has nothing on its connection?
+    /// Whether there is a client connection without data that may be evicted.
     pub fn has_idle_client(&self) -> bool {
         self.clients.borrow().values().any(|client| client.may_be_evicted() && client.has_no_request())
     }
 
-    /// Has callers closed that have not brought a whole head for too long, as long as the node runs.
+    /// Closes client connections that have not sent a complete head for too long. Runs as long as
+    /// the node.
     pub async fn close_incomplete(self: Rc<Self>, counters: Rc<Counters>) {
         loop {
             sleep(SCAN_INTERVAL).await;
@@ -254,7 +269,7 @@
         }
     }
 
-    /// Requests that were read and have no answer, of all callers.
+    /// Number of requests of all clients that were read and have no answer.
     pub fn unanswered_requests(&self) -> usize {
         self.clients.borrow().values().map(|client| client.unanswered()).sum()
     }
@@ -263,12 +278,12 @@
         !self.clients.borrow().is_empty()
     }
 
-    /// No further requests are read: those that are here have their answers.
+    /// Reads no further requests; those that have arrived get their answers.
     pub fn stop_reading(&self) {
         self.clients.borrow().values().for_each(|client| client.stop_reading());
     }
 
-    /// Has all callers closed that have been idle for so long.
+    /// Closes all client connections that have been idle for `pause`.
     pub fn close_idle(&self, pause: Duration) {
         let clients = self.clients.borrow();
         let is_closable = |client: &&Rc<ClientConnection>| {
@@ -285,14 +300,15 @@
     }
 }
 
-/// One open connection; gives its place back when dropped. One of the node's own is counted nowhere.
+/// One open connection; releases its slot when dropped.
 pub struct ConnectionSlot {
     capacity: Option<Rc<Capacity>>,
     is_client: bool,
 }
 
 impl ConnectionSlot {
-    /// One of the node's own, one of `FIXED`: nobody else can take it, and it is counted nowhere.
+    /// A connection of the node itself, one of `FIXED_DESCRIPTORS`: no other use can take it, and
+    /// it is not counted.
     pub fn uncounted() -> Self {
         Self { capacity: None, is_client: false }
     }
@@ -308,6 +324,7 @@
     }
 }
 
+/// An attempt that waits for a connection, until dropped.
 pub struct Waiter(Rc<Capacity>);
 
 impl Drop for Waiter {
@@ -317,7 +334,7 @@
     }
 }
 
-/// One job's share of the room.
+/// Resources reserved for one request.
 pub struct RequestReservation(ReservedBytes);
 
 impl Drop for RequestReservation {
@@ -327,7 +344,7 @@
     }
 }
 
-/// Bytes of bodies, as long as they take room.
+/// Memory reserved for bodies, until dropped.
 pub struct ReservedBytes {
     capacity: Rc<Capacity>,
     bytes: usize,
--- a/crates/pearfront-node/src/capacity/tests.rs
+++ b/crates/pearfront-node/src/capacity/tests.rs
@@ -3,14 +3,15 @@
 
 #[test]
 fn capacity_is_released_and_never_exceeded() {
-    // Of 62 descriptors 24 are fixed and 7 the last resort.
+    // Of 62 descriptors 24 are fixed and 7 are the reserve.
     let capacity = Capacity::new(62, 1.0);
-    // 0.3 MiB of bodies: four of the largest.
+    // 0.3 MiB for bodies: four of the largest.
     let bodies: Vec<RequestReservation> =
         std::iter::from_fn(|| capacity.reserve_request(MAX_BUFFERED_BYTES)).collect();
     assert_eq!(bodies.len(), 4);
     drop(bodies);
-    // 31 connections: fifteen jobs that each need two. One more would leave an attempt without any.
+    // 31 connections: fifteen requests that need two each. One more would leave an attempt without
+    // any.
     let small: Vec<RequestReservation> = std::iter::from_fn(|| capacity.reserve_request(0)).collect();
     assert_eq!(small.len(), 15);
     drop(small);
@@ -37,7 +38,8 @@
     assert_eq!((capacity.max_open.get(), capacity.max_bytes.get()), (alone, bytes));
 }
 
-// Bodies that are read ahead of servers that take nothing must not keep out the requests that come behind them, nor one another.
+// Bodies that are read ahead of servers that accept no data must not crowd out later requests or
+// one another.
 #[test]
 fn read_ahead_leaves_memory_to_requests_and_other_bodies() {
     const CHUNK: usize = 16 * 1024;
--- a/crates/pearfront-node/src/client_connection.rs
+++ b/crates/pearfront-node/src/client_connection.rs
@@ -1,4 +1,5 @@
-//! A client's connection, as those see it that serve it, look for one to spare, or end it.
+//! State of one client connection, as needed to serve it, to choose a connection to evict, and to
+//! close it. Used by `client_service` and `capacity`.
 
 use crate::streaming::STALL_TIMEOUT;
 use crate::tracked_stream::TrackedStream;
@@ -9,38 +10,40 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How long a connection that has brought nothing yet is left alone, where no other one waits for its place.
+/// How long a connection without any request yet is left open while no other connection needs its
+/// slot.
 pub const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(150);
-/// How much longer than one that has brought nothing yet a connection is spared whose client has sent requests: more of
-/// them are likely.
+/// How much longer a connection is kept whose client has already sent requests, since more are
+/// likely.
 const REUSE_GRACE: Duration = Duration::from_millis(150);
-/// How long one that has just been opened is left alone also where others wait: its request comes right behind.
+/// How long a new connection is kept even if others wait for a slot: its first request is about to
+/// arrive.
 const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(20);
-/// How long a client may take for its first head, or for the rest of one: it is owed an error or a close within 3 s
-/// of connecting.
+/// How long a client may take for its first head, or for the rest of a head: it has to get an error
+/// or a close within 3 s of connecting.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2200);
 
-/// A client's connection, and whether it could be spared.
+/// A client connection, and what is needed to decide whether it can be closed.
 pub struct ClientConnection {
     pub stream: Rc<TrackedStream>,
     is_answering: Cell<bool>,
     streaming: Cell<bool>,
-    /// Was its last answer broken off by the server that gave it?
+    /// Whether its last answer was broken off by the server that gave it.
     answer_broken: Cell<bool>,
     has_sent_request: Cell<bool>,
-    /// Of the last request.
+    /// HTTP version of the last request.
     version: Cell<Version>,
     pub idle_since: Cell<Instant>,
     closing: Cell<bool>,
     answered_early: Cell<bool>,
-    /// When half a head was first seen on it.
+    /// When a partial head was first seen on it.
     partial_head_since: Cell<Option<Instant>>,
-    /// How much had moved on it, and when that was first seen.
+    /// Number of bytes transferred on it, and when that number was first seen.
     progress: Cell<(usize, Instant)>,
-    /// Rung when an answer begins or ends to flow to it.
+    /// Notified when an answer starts or stops being streamed to it.
     streaming_changed: Notify,
     pub close_requested: Notify,
-    /// Rung when it is to be cut off in the middle of what it does.
+    /// Notified when it is to be aborted in the middle of an exchange.
     pub abort_requested: Notify,
 }
 
@@ -64,25 +67,27 @@
         }
     }
 
-    /// Nothing that came on it is being answered, and its client has taken what was.
+    /// Whether no request from it is being answered, and its client has received all answers.
     pub fn is_idle(&self) -> bool {
         !self.is_answering.get() && !self.stream.is_write_blocked()
     }
 
-    /// Is a request that was read on it being answered, or is there more of an answer for its client to take? What is left of
-    /// one that its server broke off is of no use to it.
+    /// Whether a request read from it is being answered, or its client has yet to receive part of
+    /// an answer. The rest of an answer that its server broke off does not count, as it is of no
+    /// use to the client.
     pub fn has_open_request(&self) -> bool {
         self.is_answering.get() || self.stream.is_write_blocked() && !self.answer_broken.get()
     }
 
-    /// Requests that were read whole on it and have no answer; one whose answer is on its way has.
+    /// Number of requests that were read completely and have no answer; one whose answer is being
+    /// streamed has.
     pub fn unanswered(&self) -> usize {
         let is_unanswered =
             self.is_answering.get() && !self.streaming.get() && self.stream.arrived_at().is_some();
         usize::from(is_unanswered)
     }
 
-    /// Is an answer on its way to it that is passed on while it comes?
+    /// Whether an answer is being streamed to it.
     pub fn is_streaming(&self) -> bool {
         self.streaming.get()
     }
@@ -91,36 +96,37 @@
         self.streaming_changed.notified().await;
     }
 
-    /// Idle, and if it has brought nothing yet, not just opened: its first job may be on the way. Whoever closes it
-    /// looks for unread bytes as well, which are a job that will be read in a moment.
+    /// Whether it can be closed in a drain: it is idle, and its first request is not just about to
+    /// arrive. The caller also has to check for unread bytes, which are a request about to be read.
     pub fn can_be_closed(&self) -> bool {
         self.is_idle() && self.is_past_first_request() && !self.closing.get()
     }
 
-    /// Has it brought a request, or nothing for so long that none is on its way?
+    /// Whether it has sent a request, or nothing for so long that none is about to arrive.
     fn is_past_first_request(&self) -> bool {
         self.has_sent_request.get() || self.idle_since.get().elapsed() > FIRST_REQUEST_GRACE
     }
 
-    /// Since when it could go where its place is needed: whose time is the earliest goes first.
+    /// Order of eviction when its slot is needed: the earliest time goes first.
     pub fn eviction_order(&self) -> Instant {
         self.idle_since.get() + if self.has_sent_request.get() { REUSE_GRACE } else { Duration::ZERO }
     }
 
-    /// May it go for one that brings a request, if there is nothing on it or no more than half a head? Whoever closes it
-    /// asks the kernel as well.
+    /// Whether it may be evicted for a connection with a request, if there is no data on it or at
+    /// most a partial head. The caller also has to ask the kernel for unread data.
     pub fn may_be_evicted(&self) -> bool {
         let is_open_for_long =
             self.has_sent_request.get() || self.idle_since.get().elapsed() > NEW_CONNECTION_GRACE;
         self.is_idle() && is_open_for_long && !self.closing.get()
     }
 
-    /// Has it brought nothing that is not answered? The kernel is asked last: that takes longest.
+    /// Whether it has no unanswered request. The kernel is asked last, as that is the slowest
+    /// check.
     pub fn has_no_request(&self) -> bool {
         self.is_idle() && !self.stream.in_head() && !self.stream.has_further_request()
     }
 
-    /// Has it brought half a head and nothing behind that?
+    /// Whether a partial head is all that is on it.
     pub fn has_partial_head(&self) -> bool {
         self.is_idle()
             && self.stream.in_head()
@@ -128,7 +134,8 @@
             && !self.stream.has_unread()
     }
 
-    /// Is it still to be cut off? What has come since that was chosen may be the rest of a request: then it goes on.
+    /// Whether it still has to be aborted. If the rest of a request has arrived since it was
+    /// chosen, it goes on.
     pub fn confirm_abort(&self) -> bool {
         let must_abort = self.is_receiving_answer() || self.has_partial_head();
         self.closing.set(must_abort);
@@ -145,7 +152,7 @@
         is_waiting && since.is_some_and(|since| since.elapsed() > HEAD_TIMEOUT)
     }
 
-    /// A request of this version has been read.
+    /// A request of this HTTP version has been read.
     pub fn begin_request(&self, version: Version) {
         self.version.set(version);
         self.is_answering.set(true);
@@ -153,26 +160,28 @@
         self.stream.set_answering(true);
     }
 
-    /// Does nothing but the end of the connection tell this client that an answer is whole?
+    /// Whether only the end of the connection tells this client that an answer is complete.
     pub fn answer_ends_with_connection(&self) -> bool {
         self.version.get() < Version::HTTP_11
     }
 
-    /// Answered.
+    /// The request has been answered.
     pub fn end_request(&self) {
         self.is_answering.set(false);
         self.idle_since.set(Instant::now());
         self.stream.set_answering(false);
     }
 
-    /// No further request is begun to be read than what has come. On one that has just been opened the first may be on its way.
+    /// Reads no further requests than those that have arrived. On a new connection the first
+    /// request may still be about to arrive.
     pub fn stop_reading(&self) {
         if self.is_past_first_request() {
             self.stream.stop_reading();
         }
     }
 
-    /// With an answer under way on it, but nothing that moves: it holds what others could use.
+    /// Aborts a connection on which an answer is under way but no bytes move, as it holds resources
+    /// that others need.
     pub fn abort_if_stalled(&self) {
         let (progress, since) = self.progress.get();
         if !self.is_receiving_answer() || progress != self.stream.bytes_moved() {
@@ -182,24 +191,24 @@
         }
     }
 
-    /// Is an answer on its way to it that the kernel has not taken whole?
+    /// Whether an answer is under way to it that the kernel has not taken completely.
     fn is_receiving_answer(&self) -> bool {
         self.streaming.get() || self.stream.is_write_blocked()
     }
 
-    /// An answer begins to flow to it; it is busy until what is returned has gone.
+    /// An answer starts being streamed to it; it is busy until the returned guard is dropped.
     pub fn start_streaming(self: &Rc<Self>) -> StreamingMark {
         self.streaming.set(true);
         self.streaming_changed.notify_one();
         StreamingMark(self.clone())
     }
 
-    /// Its answer ends in its middle, and the connection with it.
+    /// Its answer is broken off, and the connection ends with it.
     pub fn mark_answer_broken(&self) {
         self.answer_broken.set(true);
     }
 
-    /// What it sends was answered before its end, and is not read any further.
+    /// Its request was answered before it had arrived completely, and the rest is not read.
     pub fn mark_answered_early(&self) {
         self.answered_early.set(true);
     }
@@ -208,7 +217,7 @@
         self.answered_early.get()
     }
 
-    /// Cuts off one that has half a head on it: hyper would wait for the rest.
+    /// Aborts a connection with a partial head, as hyper would wait for the rest.
     pub fn abort(&self) {
         self.closing.set(true);
         self.abort_requested.notify_one();
@@ -220,7 +229,7 @@
     }
 }
 
-/// A client's answer on its way.
+/// Marks an answer as being streamed, until dropped.
 pub struct StreamingMark(Rc<ClientConnection>);
 
 impl Drop for StreamingMark {
--- a/crates/pearfront-node/src/client_service.rs
+++ b/crates/pearfront-node/src/client_service.rs
@@ -1,5 +1,6 @@
-//! First stage: clients' connections and what comes on them. A job is taken once its last byte is here; from then
-//! on it is owed one answer.
+//! Serves client connections: reads requests, hands them to the dispatcher and writes the answers.
+//! A request is accepted once its last byte has arrived; from then on exactly one answer is due.
+//! Used by `accept` and `main`.
 
 use crate::capacity::{Capacity, RequestReservation};
 use crate::client_connection::ClientConnection;
@@ -29,31 +30,34 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-/// How often is looked whether clients are to be let go, or have gone.
+/// Interval at which connections are checked in a drain or at exit.
 const CHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// Time, ms, before the module's last answers in which callers are closed: nearly all jobs are answered within it.
+/// Time, ms, before the decision module's last answers in which client connections are closed:
+/// nearly all requests are answered within it.
 pub const CLOSING_PERIOD_MS: f64 = 1000.0;
-/// A caller that is to be closed, and has begun a head or not taken its answer, is cut off once nothing has moved
-/// on its connection for so long.
+/// A connection that is to be closed, but has a partial head or an answer its client has not
+/// received, is aborted once no bytes have moved on it for this long.
 const NO_PROGRESS: Duration = Duration::from_millis(200);
-/// Lines a second of the log that tell of answers that were broken off.
+/// Log lines per second about answers that were broken off.
 const LOG_LINES_PER_SECOND: u32 = 10;
 
-/// How a client's connection ended.
+/// How a client connection ended. The names appear in log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ConnectionOutcome {
-    /// Its client ended it, or its last answer said that it ends, or what came can't be read.
+    /// The client ended it, or its last answer announced the close, or its data could not be
+    /// parsed.
     InTurn,
-    /// Nothing of an answer that is on its way moves any more.
+    /// An answer under way made no more progress.
     Stalled,
-    /// It was to be closed, and nothing more came of what was begun on it.
+    /// It was to be closed, and the partial request on it made no more progress.
     LetGo,
-    /// Its client left in the middle of an answer.
+    /// The client left in the middle of an answer.
     ClientLeft,
-    /// An answer was broken off, as another is due that could come only behind it.
+    /// An answer was broken off because the answer to a pipelined request is due.
     BrokenOff,
 }
 
+/// Serves all client connections of the process.
 pub struct ClientService {
     pub dispatcher: Rc<Dispatcher>,
     pub capacity: Rc<Capacity>,
@@ -90,18 +94,19 @@
         })
     }
 
-    /// Serves a connection, on which nothing came before that time.
+    /// Serves a connection on which nothing arrived before `earliest`.
     pub fn serve(self: &Rc<Self>, stream: TcpStream, earliest: Instant) {
         self.counters.callers.add();
         let stream = TrackedStream::from_client(stream, self.capacity.take_client_slot(), earliest);
         spawn_local(self.clone().run_connection(stream));
     }
 
-    /// Is there a place for one more connection? If need be idle ones are closed for it.
+    /// Returns whether one more connection may be accepted; closes idle ones for it if necessary.
     pub fn make_slot(&self) -> bool {
         self.senders.make_caller_place()
     }
 
+    /// Runs one connection until it ends, is closed or has to be aborted.
     async fn run_connection(self: Rc<Self>, stream: Rc<TrackedStream>) {
         let (number, client) = self.capacity.add_client(stream.clone());
         let service = service_fn(|request: Request<Incoming>| {
@@ -111,8 +116,9 @@
         let mut connection =
             pin!(Builder::new().max_buf_size(BUFFER).serve_connection(HyperIo(stream.clone()), service));
         let mut closing = None;
-        // Right before the end of the sending: whoever chose this connection to be closed looked earlier, and many were
-        // chosen at once. What has come since is a request, and is answered first.
+        // Called right before the sending side is shut down. Whoever chose this connection to be
+        // closed checked earlier, and many were chosen at once; data that arrived since is a
+        // request and is answered first.
         let end = |connection: Pin<&mut Connection<_, _>>| {
             let has_partial_head = client.is_idle() && stream.waiting_requests() == 0 && !stream.has_unread();
             if !stream.has_further_request() || has_partial_head {
@@ -125,7 +131,7 @@
                 biased;
                 ended = connection.as_mut() => {
                     let is_whole = ended.is_ok();
-                    // A caller that breaks off shows on its job, if it had one.
+                    // A client that disconnects is noticed by its request, if it has one.
                     if let Err(error) = ended {
                         if error.is_parse() {
                             self.refuse_malformed(&error.to_string());
@@ -153,7 +159,7 @@
                     end(connection.as_mut());
                 }
                 () = sleep(NO_PROGRESS), if closing.is_some() => {
-                    // A head that goes on and on moves nothing forward either.
+                    // A head that keeps growing without an end is no progress either.
                     let is_quiet = |moved| moved == stream.bytes_moved() && !stream.has_unread();
                     let is_stuck = |(moved, in_head)| is_quiet(moved) || in_head && stream.in_head();
                     if client.is_idle() && closing.is_some_and(is_stuck) {
@@ -177,8 +183,9 @@
         self.capacity.remove_client(number);
     }
 
-    /// Waits until an answer that is on its way ends in its middle: its client has left, or one behind it is due, and answers
-    /// come in order. What lies behind it is unread then, so that its client may send it again.
+    /// Waits until an answer under way has to be broken off: its client has left, or the answer to
+    /// a pipelined request is due, which cannot be sent before this one ends. Pipelined requests
+    /// are still unread then, so the client may safely send them again.
     async fn wait_for_early_end(&self, client: &ClientConnection) -> ConnectionOutcome {
         loop {
             if !client.is_streaming() {
@@ -193,6 +200,7 @@
         }
     }
 
+    /// Answers one request, and decides whether its connection stays open.
     async fn answer(
         &self,
         client: &Rc<ClientConnection>,
@@ -207,7 +215,7 @@
             }
             _ => client.end_request(),
         }
-        // Only the last of the requests that have come may say that it is.
+        // Only the answer to the last request that has arrived may announce the close.
         if self.lifecycle.keeps_alive() && !client.stream.is_ending() || client.stream.has_further_request() {
             return answer;
         }
@@ -215,6 +223,7 @@
         answer.map(message::last_on_connection)
     }
 
+    /// Decodes and answers one call.
     async fn handle_call(
         &self,
         client: &ClientConnection,
@@ -239,18 +248,19 @@
                 Err(_) => problem,
             },
         };
-        // Its body goes on: nothing that comes on the connection from now on is a job.
+        // The body is still arriving: nothing that follows on the connection is a request.
         client.mark_answered_early();
         Ok(message::last_on_connection(self.refuse_malformed(&problem)))
     }
 
+    /// Counts and logs a malformed request, and returns its answer.
     fn refuse_malformed(&self, problem: &str) -> Response<Body> {
         self.counters.malformed.add();
         self.malformed_log.warn(format_args!("malformed request: {problem}"));
         message::encode_malformed(problem)
     }
 
-    /// The answer to a job, or what is wrong with its body; counted if it is too late.
+    /// The answer to a request, or what is wrong with its body. Counts answers that are too late.
     async fn answer_request(
         &self,
         client: &ClientConnection,
@@ -275,6 +285,7 @@
         Ok(answer)
     }
 
+    /// Admits a request and hands it to the dispatcher; rejects it if there is no capacity or time.
     async fn forward(
         &self,
         client: &ClientConnection,
@@ -317,7 +328,7 @@
         }
     }
 
-    /// The answer to a job whose body flows on to a server while it comes.
+    /// The answer to a request whose body is streamed to a server while it arrives.
     async fn forward_streamed(
         &self,
         client: &ClientConnection,
@@ -334,13 +345,15 @@
         let passed = tokio::select! {
             biased;
             answer = &mut answer => {
-                // Answered at once; what still comes is read, so that the caller gets to see it.
+                // Answered before the body ended; the rest is read so that the client gets to see
+                // the answer.
                 drop(guard);
                 let answer = answer.unwrap_or(Answer::Failed);
                 spawn_local(upload::finish(passing, answer.is_streamed()));
                 return Ok(answer.encode());
             }
-            // While a server takes nothing, nobody reads the body, and its end is not seen there.
+            // While a server accepts no data, nobody reads the body, so its reader does not notice
+            // the client's end.
             () = client.stream.wait_for_end() => return Err(Problem::Gone),
             passed = passing.as_mut() => passed,
             never = self.dispatcher.expire(&guard.open) => match never {},
@@ -356,8 +369,9 @@
         self.wait_for_answer(client, &guard.open, answer).await
     }
 
-    /// The answer to a job that has come whole, as long as its caller is there for it. One that has left is not waited for
-    /// whatever else came on its connection: its job must not go on to a server.
+    /// The answer to a request that has arrived completely, as long as its client is connected.
+    /// Once it has left, the request is dropped whatever else arrived on the connection, so that it
+    /// does not go on to a server.
     async fn wait_for_answer(
         &self,
         client: &ClientConnection,
@@ -372,7 +386,7 @@
         }
     }
 
-    /// Closes idle callers whenever clients are let go, as long as the node runs.
+    /// Closes idle connections whenever the node drains. Runs as long as the node.
     pub async fn close_in_drain(self: Rc<Self>) {
         loop {
             if let Some(pause) = self.lifecycle.spares_for() {
@@ -385,12 +399,12 @@
         }
     }
 
-    /// The process ends: what has been read and has no answer gets none.
+    /// Records, as the process exits, that the requests that were read and have no answer get none.
     pub fn log_unanswered(&self, why: &str) {
         self.late_answers.record_unanswered(self.capacity.unanswered_requests(), why);
     }
 
-    /// Closes idle callers and waits until the last has its answer.
+    /// Closes idle connections and waits until the last request is answered.
     pub async fn close_all(&self) {
         while self.capacity.has_clients() {
             self.capacity.close_idle(Duration::ZERO);
@@ -399,7 +413,7 @@
     }
 }
 
-/// Tells the module that the caller left, if it goes before the answer.
+/// Reports to the dispatcher that the client has left, if that happens before the answer.
 struct ClientLeftGuard<'a> {
     dispatcher: &'a Dispatcher,
     open: Rc<OpenRequest>,
@@ -411,9 +425,9 @@
     }
 }
 
-/// Why a job is not taken.
+/// Why a request is not accepted.
 enum Problem {
-    /// Its caller broke off.
+    /// Its client disconnected.
     Gone,
     Malformed(String),
 }
@@ -427,13 +441,14 @@
     }
 }
 
-/// Rejects a job of which no more was read than this.
+/// Rejects a request of which only this much has been read.
 fn reject(start: BodyStart) -> Response<Body> {
     drain_rest(start);
     Answer::Rejected(0.0).encode()
 }
 
-/// Reads the rest of a body that nobody needs without keeping it, so that what comes behind it has its turn.
+/// Reads and drops the rest of a body that is not needed, so that the next request on the
+/// connection can be read.
 fn drain_rest(start: BodyStart) {
     if let BodyStart::Partial(_, rest) = start {
         spawn_local(upload::drain(rest));
--- a/crates/pearfront-node/src/counters.rs
+++ b/crates/pearfront-node/src/counters.rs
@@ -1,4 +1,5 @@
-//! Last stage: what was taken in, sent and answered, counted; printed on SIGUSR1 and at the end.
+//! Counters of requests, answers, attempts and connections, printed on SIGUSR1 and at exit. Used by
+//! all modules of the node.
 
 use std::cell::Cell;
 use std::fmt;
--- a/crates/pearfront-node/src/deadline.rs
+++ b/crates/pearfront-node/src/deadline.rs
@@ -1,4 +1,5 @@
-//! When the answer to a request is due: the one owner of its time, whatever it waits for meanwhile.
+//! Deadlines of client requests: when the answer to a request is due, whatever the request waits
+//! for meanwhile, and when it has to end early for a pipelined one. Used by `dispatcher`.
 
 use crate::clock::Clock;
 use crate::pulse::{CATCH_UP, Pulse};
@@ -9,47 +10,50 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// How long ahead of its time a request gets its answer that nobody else has given, ms: behind the module's last call, which is
-/// two rounds ahead.
+/// How long before its deadline a request without an answer is answered, ms: later than the
+/// decision module's last chance, which is two rounds before the deadline.
 const ANSWER_MARGIN_MS: f64 = 4.0;
-/// The same for one whose body is not whole, as the module waits for the body, and for one behind which another is due. One of
-/// which no more is left when its turn comes is answered at once, so that those behind it are in time.
+/// The same for a request whose body is incomplete, as the module waits for the body, and for one
+/// before a pipelined request that is due. A request with no more time left than this when its turn
+/// comes is answered at once, so that those behind it are in time.
 const EARLY_MARGIN_MS: f64 = 10.0;
-/// What the module is given for its round behind a stop, once what came meanwhile has been read.
+/// Time for the decision module's round after a process stall, once the data that arrived meanwhile
+/// has been read.
 const ROUND_TIME: Duration = Duration::from_millis(10);
-/// How long the process reads what came while it stood still, and the module plays its round.
+/// Time to read what arrived during a process stall, and for the module's next round.
 const CATCH_UP_AND_ROUND: Duration = CATCH_UP.saturating_add(ROUND_TIME);
 
-/// When the answer to one request is due, ms on the node's clock. Its time counts from its last byte. As long as that has not
-/// been read it may lie unread in the kernel, and counts from when it can have come at the earliest.
+/// When the answer to one request is due, ms on the node's clock. The time runs from its last byte.
+/// While that has not been read, it may be in the kernel's buffer, and the time runs from the
+/// earliest moment at which it can have arrived.
 pub struct Deadline {
     clock: Clock,
     pulse: Rc<Pulse>,
-    /// How long its client waits, ms.
+    /// How long the client waits, ms.
     time_ms: f64,
-    /// When its last byte came, once its body has gone on.
+    /// When the last byte arrived, once the body has been passed on.
     completed_at: Cell<Option<f64>>,
-    /// Its client's connection; not kept open by it.
+    /// The client connection; a weak reference, so that it does not keep the connection open.
     client: Weak<TrackedStream>,
 }
 
 impl Deadline {
-    /// Of a request whose head says that its client waits so long.
+    /// Deadline of a request whose head says that its client waits for `time` ms.
     pub fn new(clock: Clock, pulse: Rc<Pulse>, time_ms: f64, client: &Rc<TrackedStream>) -> Self {
         Self { clock, pulse, time_ms, completed_at: Cell::new(None), client: Rc::downgrade(client) }
     }
 
-    /// Its last byte has been read, and its body has gone on.
+    /// The last byte has been read, and the body has been passed on.
     pub fn body_complete(&self) {
         self.completed_at.set(Some(self.starts_at()));
     }
 
-    /// Is its body still on its way through?
+    /// Whether the body is still being passed on.
     pub fn is_incomplete(&self) -> bool {
         self.completed_at.get().is_none()
     }
 
-    /// When its last byte came, or can have come at the earliest.
+    /// When the last byte arrived, or the earliest time at which it can have.
     pub fn starts_at(&self) -> f64 {
         let read = || {
             let client = self.client.upgrade()?;
@@ -63,7 +67,7 @@
         self.starts_at() + self.time_ms
     }
 
-    /// What it waited for when its time was over.
+    /// What the request was waiting for when its time ran out.
     pub fn expiry_reason(&self) -> &'static str {
         if self.clock.now() < self.at() - EARLY_MARGIN_MS {
             "the answer to a pipelined request is due"
@@ -74,7 +78,8 @@
         }
     }
 
-    /// Is too little of it left for any attempt, or too little until it has to end for one behind it?
+    /// Whether too little time is left for any attempt, or until the answer has to end for a
+    /// pipelined request.
     pub fn is_too_late(&self) -> bool {
         let now = self.clock.now();
         let is_soon = |end: f64| now >= end - EARLY_MARGIN_MS;
@@ -82,13 +87,13 @@
             || self.pipelined_limit().is_some_and(is_soon)
     }
 
-    /// What is left of it, ms.
+    /// Time left, ms.
     pub fn time_left(&self, now: f64) -> f64 {
         (self.at() - now).min(self.time_ms)
     }
 
-    /// When an answer has to be given by whoever owns the time, if nobody else has. Where requests behind this one are due
-    /// before it, their answers have to wait for its own.
+    /// When the request has to be answered here if nobody else has answered it. If pipelined
+    /// requests behind it are due earlier, their answers have to wait for this one.
     fn answer_by(&self) -> f64 {
         let own = self.at() - if self.is_incomplete() { EARLY_MARGIN_MS } else { ANSWER_MARGIN_MS };
         self.pipelined_limit().map_or(own, |behind| own.min(behind))
@@ -106,33 +111,38 @@
         let wait = || wait_until(self.clock, &self.client, || self.answer_by());
         wait().await;
         if self.pulse.stopped_at(self.clock.now()).is_some() {
-            // What came meanwhile is being read, and the module plays its round.
+            // The data that arrived during the stall is being read, and the module has yet to run
+            // its round.
             sleep(CATCH_UP_AND_ROUND).await;
             wait().await;
         }
     }
 }
 
-/// When the answer to a request has to end at the latest, ms, for the first of those behind it to be in time.
+/// The latest time, ms, at which the answer to a request has to end for the first pipelined one
+/// behind it to be in time.
 fn pipelined_limit(client: &TrackedStream, clock: Clock, pulse: &Pulse) -> Option<f64> {
     client
         .pipelined_due(|seen| earliest_arrival(client, clock, pulse, seen))
         .map(|due| clock.time_of(due) - EARLY_MARGIN_MS)
 }
 
-/// When that came from a client, at the earliest, which was read or seen then: while the process stood still nothing was read.
+/// The earliest time at which data can have arrived that was read or seen at `seen`: during a
+/// process stall nothing was read.
 fn earliest_arrival(client: &TrackedStream, clock: Clock, pulse: &Pulse, seen: Instant) -> Instant {
     let stall = pulse.stopped_at(clock.time_of(seen)).map(|began| clock.at(began));
     stall.map_or(seen, |began| began.max(client.opened_at()))
 }
 
-/// Waits until an answer that is on its way to this client has to end, as one behind it is due.
+/// Waits until an answer under way to this client has to end because the answer to a pipelined
+/// request is due.
 pub async fn pipelined_answer_is_due(clock: Clock, pulse: &Pulse, client: &Rc<TrackedStream>) {
     let at = || pipelined_limit(client, clock, pulse).unwrap_or(f64::INFINITY);
     wait_until(clock, &Rc::downgrade(client), at).await;
 }
 
-/// Waits until that time, ms, which is asked for again whenever more has come of what the client sends.
+/// Waits until the time `at`, ms, which is computed again whenever more data from the client
+/// arrives.
 async fn wait_until(clock: Clock, client: &Weak<TrackedStream>, at: impl Fn() -> f64) {
     while let at = at()
         && clock.now() < at
@@ -144,7 +154,7 @@
     }
 }
 
-/// Waits until more of what a client sends has come.
+/// Waits until more data from the client arrives.
 async fn wait_for_more(client: &Weak<TrackedStream>) {
     match client.upgrade() {
         Some(client) => client.wait_for_read().await,
--- a/crates/pearfront-node/src/dispatcher.rs
+++ b/crates/pearfront-node/src/dispatcher.rs
@@ -1,5 +1,5 @@
-//! Third stage: the one place that drives the module. What comes in waits in the inbox for the next round; what
-//! the module decides is carried out from here.
+//! Drives the decision module. Events for the module wait in a queue for the next round, and its
+//! decisions are carried out from here. Used by `client_service`; other modules push events.
 
 use crate::answer_sender::AnswerSender;
 use crate::capacity::RequestReservation;
@@ -31,14 +31,15 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep_until};
 
-/// Added to each wake, ms, so that rounding never lets a round come just before what it is for.
+/// Added to each wake-up time, ms, so that rounding never starts a round just before what it is
+/// for.
 const WAKE_MARGIN_MS: f64 = 0.01;
-/// Lines a second that tell of requests that were refused, repeated or not sent.
+/// Log lines per second about requests that were refused, repeated or not sent.
 const LOG_LINES_PER_SECOND: u32 = 10;
 
 type Event = Box<dyn FnOnce(&mut Balancer)>;
 
-/// What the module is to be told in its next round, in the order in which it came in.
+/// Events for the decision module's next round, in order of arrival.
 #[derive(Default)]
 pub struct EventQueue {
     queued: RefCell<Vec<Event>>,
@@ -46,26 +47,28 @@
 }
 
 impl EventQueue {
+    /// Adds an event for the next round.
     pub fn push(&self, event: impl FnOnce(&mut Balancer) + 'static) {
         self.queued.borrow_mut().push(Box::new(event));
         self.pushed.notify_one();
     }
 }
 
-/// An id as processes tell it one another.
+/// A request id as text, as exchanged between processes.
 fn id_text(id: &HeaderValue) -> Cow<'_, str> {
     String::from_utf8_lossy(id.as_bytes())
 }
 
-/// A job from its taking in to the end of its last attempt.
+/// A request from its acceptance to the end of its last attempt.
 pub struct OpenRequest {
     number: u32,
     request: ClientRequest,
     deadline: Deadline,
-    /// Rung when that is known.
+    /// Notified when the request is complete and its deadline is known.
     completed: Notify,
     answer: AnswerSender,
-    /// The connection that it came on; not kept open by it.
+    /// The connection that it arrived on; a weak reference, so that it does not keep the connection
+    /// open.
     stream: Weak<TrackedStream>,
     attempts: RefCell<Vec<AttemptRecord>>,
     attempts_running: Cell<usize>,
@@ -76,7 +79,7 @@
 pub struct EarlierAttempt {
     /// When its first byte was written, ms.
     pub written_at: f64,
-    /// Where its server stands.
+    /// Zone and cell of its server.
     pub location: Option<ServerLocation>,
 }
 
@@ -86,7 +89,7 @@
     server_location: Option<ServerLocation>,
     /// When its first byte was written, ms.
     written_at: Option<f64>,
-    /// Rung when it is called off.
+    /// Notified when it is called off.
     called_off: Rc<Notify>,
     /// How it ended, once it has.
     end: Option<ConnectionEnd>,
@@ -103,12 +106,12 @@
         id_text(self.request.id())
     }
 
-    /// Is it still owed an answer?
+    /// Whether an answer is still due.
     pub fn is_open(&self) -> bool {
         self.answer.is_open()
     }
 
-    /// What is left of the time that its client waits, ms.
+    /// Time left until its deadline, ms.
     pub fn time_left(&self, now: f64) -> f64 {
         self.deadline.time_left(now)
     }
@@ -117,12 +120,12 @@
         &self.request.terms.settings.profiles[self.request.profile]
     }
 
-    /// Has its client ended its connection?
+    /// Whether its client has ended the connection.
     pub fn client_has_left(&self) -> bool {
         self.stream.upgrade().is_none_or(|stream| stream.has_ended())
     }
 
-    /// The first of its attempts that may have run, beside the one at this place.
+    /// The first of its attempts, other than the one with this index, that may have run.
     pub fn first_that_may_have_run(&self, index: usize) -> Option<EarlierAttempt> {
         let attempts = self.attempts.borrow();
         let others =
@@ -133,17 +136,17 @@
         Some(EarlierAttempt { written_at: first.written_at?, location: first.server_location })
     }
 
-    /// Has no byte of it been written, or none that could have run?
+    /// Whether no attempt of it can have run.
     fn is_unsent(&self) -> bool {
         !self.attempts.borrow().iter().any(AttemptRecord::may_have_run)
     }
 
-    /// The first byte of an attempt has been written.
+    /// Records that the first byte of an attempt has been written.
     pub fn record_written(&self, index: usize, now: f64) {
         self.attempts.borrow_mut()[index].written_at = Some(now);
     }
 
-    /// What became of its attempts, for the log.
+    /// The outcome of its attempts, for the log.
     fn history(&self) -> String {
         let attempts = self.attempts.borrow();
         let one = |attempt: &AttemptRecord| match attempt.end {
@@ -157,6 +160,7 @@
     }
 }
 
+/// Holds the open requests, passes events to the decision module and carries out its decisions.
 pub struct Dispatcher {
     pub clock: Clock,
     pub events: Rc<EventQueue>,
@@ -166,7 +170,7 @@
     prober: Rc<Prober>,
     counters: Rc<Counters>,
     open_requests: RefCell<HashMap<u32, Rc<OpenRequest>>>,
-    /// The other processes of this node, and the ids of the jobs held here and there.
+    /// The other processes of this node, and the ids of the requests open here.
     peers: Rc<Peers>,
     next_number: Cell<u32>,
     refused_log: Limited,
@@ -207,13 +211,14 @@
         })
     }
 
-    /// Is another job with its id open, whoever sent that, here or in another process of this node?
+    /// Whether another request with the same id is open, whoever sent it, here or in another
+    /// process of this node.
     pub fn has_open_request(&self, request: &ClientRequest) -> bool {
         self.peers.has_open(&id_text(request.id()))
     }
 
-    /// Takes a job on; its answer comes through the receiver, whatever happens. Where the body is still coming the module
-    /// knows no limit yet.
+    /// Accepts a request; the receiver gets its answer in any case. While the body is still
+    /// arriving, the decision module knows no deadline yet.
     pub fn accept(
         &self,
         stream: &Rc<TrackedStream>,
@@ -245,22 +250,25 @@
         (open, answer)
     }
 
-    /// When the answer is due to the request that was handed out last on this connection, and whose client waits so long.
+    /// The deadline of the request that was read last on this connection; its client waits for
+    /// `time` ms.
     pub fn deadline(&self, time: f64, stream: &Rc<TrackedStream>) -> Deadline {
         Deadline::new(self.clock, self.discovery.pulse(), time, stream)
     }
 
-    /// Since when the process stood still, ms, if it has just done so and not caught up with what came meanwhile.
+    /// When the last process stall began, ms, if it has just ended and the data that arrived
+    /// meanwhile may not have been read yet.
     pub fn stall_began(&self) -> Option<f64> {
         self.discovery.pulse().stopped_at(self.clock.now())
     }
 
-    /// Waits until an answer that is on its way to this client has to end, as one behind it is due.
+    /// Waits until an answer under way to this client has to end because the answer to a pipelined
+    /// request is due.
     pub async fn pipelined_answer_is_due(&self, client: &Rc<TrackedStream>) {
         deadline::pipelined_answer_is_due(self.clock, &self.discovery.pulse(), client).await;
     }
 
-    /// The last byte of a job has come: its times count from now on.
+    /// The last byte of a request has arrived: its deadline runs from now on.
     pub fn body_complete(&self, open: &OpenRequest) {
         let number = open.number;
         open.deadline.body_complete();
@@ -269,7 +277,7 @@
         self.events.push(move |balancer| balancer.body_came(number, limit));
     }
 
-    /// The job's caller is gone, if it had no answer yet.
+    /// The client of a request has left, if it had no answer yet.
     pub fn client_left(&self, open: &OpenRequest) {
         if open.answer.close() {
             self.counters.client_left.add();
@@ -279,7 +287,8 @@
         }
     }
 
-    /// Answers the job once its time is over and nobody else has, whatever it waits for; never returns.
+    /// Answers the request at its deadline if nobody else has, whatever it waits for; never
+    /// returns.
     pub async fn expire(&self, open: &OpenRequest) -> Infallible {
         open.deadline.wait_until_due().await;
         let why = open.deadline.expiry_reason();
@@ -287,13 +296,13 @@
         pending().await
     }
 
-    /// The same for all that are open, as the process ends.
+    /// The same for all open requests, as the process exits.
     pub fn expire_all(&self) {
         let open: Vec<_> = self.open_requests.borrow().values().cloned().collect();
         open.iter().for_each(|open| self.give_up(open, "the process ends"));
     }
 
-    /// Answers the job, if nobody else has, that there is no answer, for this reason.
+    /// Gives up the request, if it has no answer yet, for the given reason.
     pub fn give_up(&self, open: &OpenRequest, why: &str) {
         if !open.answer.is_open() {
             return;
@@ -327,7 +336,7 @@
         }
     }
 
-    /// Drops what nothing is owed for any more: an answered job with no attempt out.
+    /// Drops a request that is answered and has no attempt under way.
     fn remove_if_done(&self, open: &OpenRequest) {
         if open.attempts_running.get() == 0 && !open.answer.is_open() {
             self.open_requests.borrow_mut().remove(&open.number);
@@ -335,6 +344,7 @@
         }
     }
 
+    /// Starts an attempt of the request on the server; it may take `limit` ms.
     fn attempt(self: &Rc<Self>, number: u32, server: Address, limit: f64) {
         let Some(open) = self.open_requests.borrow().get(&number).cloned() else { return };
         let called_off = Rc::new(Notify::new());
@@ -360,7 +370,7 @@
             let until = dispatcher.clock.at(started + limit);
             let permit = || {
                 let permit = dispatcher.guard.attempt(&open, index, to)?;
-                // From its first byte on it can't be sent again.
+                // Once its first byte is written it cannot be sent again.
                 if open.request.is_streamed() {
                     dispatcher.events.push(move |balancer| balancer.spent(number));
                 }
@@ -373,14 +383,15 @@
             if attempt.end == ConnectionEnd::CallerGone {
                 dispatcher.client_left(&open);
             }
-            // No server can be late with a request that has not come whole.
+            // A server cannot be blamed for delay while the request is incomplete.
             let began =
                 if open.deadline.is_incomplete() { started } else { started.max(open.deadline.starts_at()) };
             dispatcher.attempt_ended(&open, index, server, attempt, dispatcher.clock.now() - began);
         });
     }
 
-    /// Waits until an attempt's time is over: its own, or what the job's last byte leaves it once that has come.
+    /// Waits until an attempt times out: at its own limit, or at the deadline of the request once
+    /// its last byte has arrived.
     async fn attempt_timeout(&self, open: &OpenRequest, until: Instant) {
         if open.deadline.is_incomplete() {
             tokio::select! {
@@ -388,7 +399,8 @@
                 () = open.completed.notified() => {}
             }
         }
-        // Its last byte may have come between the choice of the attempt and its beginning, so nothing rings here for it.
+        // The last byte may have arrived between the decision for the attempt and its start, so
+        // there may be no notification.
         sleep_until(until.min(self.clock.at(open.deadline.at()))).await;
     }
 
@@ -400,7 +412,7 @@
         mut attempt: Attempt,
         duration: f64,
     ) {
-        // Its caller left in the middle of the body: the server is not to blame.
+        // The client left in the middle of the body, so the server is not to blame.
         if attempt.end == ConnectionEnd::BrokenBefore && !open.answer.is_open() {
             attempt.end = ConnectionEnd::CalledOffBefore;
         }
@@ -415,7 +427,7 @@
         attempt.end.count(&self.counters);
         open.attempts_running.set(open.attempts_running.get() - 1);
         if let Some(mut reply) = attempt.reply {
-            // What flows counts as held to its last byte.
+            // A request whose answer is being streamed counts as open until the last byte.
             if let Either::Right(streamed) = &mut reply.body {
                 self.counters.flows.add();
                 streamed.keep_alive(open.clone());
@@ -439,7 +451,7 @@
         self.remove_if_done(open);
     }
 
-    /// Counts an answer that ends in its middle, and says why.
+    /// Counts and logs an answer that is broken off.
     fn break_callback(&self, open: &OpenRequest) -> impl FnOnce(BodyError) + 'static {
         let (id, due, clock) = (id_text(open.request.id()).into_owned(), open.deadline.at(), self.clock);
         let (counters, log) = (self.counters.clone(), self.broken_log.clone());
@@ -454,7 +466,8 @@
         }
     }
 
-    /// Rounds, as long as the node runs: one once something came in or a wake is due, no two closer than `round`.
+    /// Runs rounds as long as the node: one whenever an event arrives or a wake-up is due, at least
+    /// `round` apart.
     pub async fn run_rounds(self: Rc<Self>, mut balancer: Balancer, terms: Rc<InForce>) {
         let mut wake = NEVER;
         loop {
@@ -480,7 +493,7 @@
     }
 }
 
-/// Carries out what the module decides.
+/// Carries out the decisions of the module.
 struct Decisions<'a> {
     dispatcher: &'a Rc<Dispatcher>,
     now: f64,
--- a/crates/pearfront-node/src/dispatcher/tests.rs
+++ b/crates/pearfront-node/src/dispatcher/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 
-// With a "never" of days a node that has run for longer would play rounds without end and time out every attempt.
+// If "never" were only some days ahead, a node that has run longer would run rounds continuously
+// and time out every attempt.
 #[test]
 fn never_is_still_far_away_after_years() {
     let clock = Clock::start();
--- a/crates/pearfront-node/src/framing.rs
+++ b/crates/pearfront-node/src/framing.rs
@@ -1,6 +1,7 @@
-//! Follows what a client sends to the ends of its requests, byte by byte. It tells what hyper does not: when the last byte of
-//! each request came, how many came that nobody has begun to answer, where each ends, whether a head is half here, and whether one
-//! names a length beside chunks.
+//! Parses the HTTP/1 framing of what a client sends, to find what hyper does not tell: when the
+//! last byte of each request arrived, where each request ends, how many wait to be processed,
+//! whether a head is incomplete, and whether a head has a length beside chunked encoding. Used by
+//! `tracked_stream`.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,21 +10,22 @@
 const CONTENT_LENGTH: &[u8] = b"content-length:";
 const TRANSFER_ENCODING: &[u8] = b"transfer-encoding:";
 const TIME_LEFT: &[u8] = b"x-expires-in:";
-/// Longest time that is taken for one.
+/// Longer times are not accepted.
 const MAX_TIME: Duration = Duration::from_secs(24 * 3600);
-/// What each of a row of answers may take.
+/// Time reserved for each of several consecutive answers.
 const TIME_PER_ANSWER: Duration = Duration::from_millis(1);
-/// So much of a line is looked at: as much as hyper reads of a head.
+/// How much of a line is kept, bytes: as much as hyper reads of a head.
 const MAX_LINE_BYTES: usize = 16 * 1024;
 
-/// Where in a client's requests the bytes that come next stand.
+/// Position of the parser within a request.
 #[derive(Default, Clone, Copy, PartialEq, Eq, Debug)]
 enum Position {
     #[default]
     Head,
-    /// In a body of which so many bytes are left.
+    /// In a body with this many bytes left.
     Body(u64),
-    /// In the line that tells a chunk's size, in a chunk, in the line end behind it, in the lines behind the last.
+    /// In the line with a chunk's size, in a chunk, in the line end after it, in the lines after
+    /// the last chunk.
     ChunkSize,
     Chunk(u64),
     ChunkEnd,
@@ -33,20 +35,21 @@
 /// A request whose head has been read.
 #[derive(Default, Clone, Copy, PartialEq, Eq, Debug)]
 pub struct ReadRequest {
-    /// Did its head name a length?
+    /// Whether its head had a Content-Length.
     pub has_length: bool,
-    /// When its last byte came, once that has been read.
+    /// When its last byte arrived, once that has been read.
     pub arrived_at: Option<Instant>,
-    /// When its head had come.
+    /// When its head had arrived completely.
     pub head_arrived_at: Option<Instant>,
-    /// How long its client says that it waits.
+    /// How long its client waits, according to its head.
     pub time_left: Option<Duration>,
 }
 
 impl ReadRequest {
-    /// When its answer is due, if it is whole; `may_be_whole` if what is missing may have come, and was not looked at.
-    fn due_at(&self, may_be_whole: bool, arrival_of: impl Fn(Instant) -> Instant) -> Option<Instant> {
-        let arrived_at = self.arrived_at.or(self.head_arrived_at.filter(|_| may_be_whole));
+    /// When its answer is due, if it is complete; with `may_be_complete`, the missing part may have
+    /// arrived without having been looked at.
+    fn due_at(&self, may_be_complete: bool, arrival_of: impl Fn(Instant) -> Instant) -> Option<Instant> {
+        let arrived_at = self.arrived_at.or(self.head_arrived_at.filter(|_| may_be_complete));
         Some(arrival_of(arrived_at?) + self.time_left?)
     }
 }
@@ -61,17 +64,18 @@
     length: Option<u64>,
     time_left: Option<Duration>,
     chunked: bool,
-    /// Read, and not handed out yet.
+    /// Read, and not yet handed out.
     waiting: VecDeque<ReadRequest>,
     /// Handed out last.
     current: Option<ReadRequest>,
-    /// How many bytes were taken, and behind how many each request ended that has not been read to its end.
+    /// Number of bytes parsed, and the end positions of the requests that have not been read to
+    /// their end.
     position: u64,
     ends: VecDeque<u64>,
 }
 
 impl Framing {
-    /// Takes the next bytes, which came at that time.
+    /// Parses the next bytes, which arrived at `arrived_at`.
     pub fn read(&mut self, mut bytes: &[u8], arrived_at: Instant) {
         while !bytes.is_empty() {
             let rest = match self.parsing {
@@ -87,7 +91,7 @@
         }
     }
 
-    /// The request whose head was read last is whole.
+    /// The request whose head was read last is complete.
     fn request_complete(&mut self, arrived_at: Instant) {
         if let Some(last) = self.waiting.back_mut().or(self.current.as_mut())
             && last.arrived_at.is_none()
@@ -97,17 +101,18 @@
         }
     }
 
-    /// How many bytes were taken.
+    /// Number of bytes parsed.
     pub fn position(&self) -> u64 {
         self.position
     }
 
-    /// Where the first request ends that ends behind this position, if that has been seen.
+    /// The first known end of a request after this position.
     pub fn next_end_after(&self, position: u64) -> Option<u64> {
         self.ends.iter().copied().find(|end| *end > position)
     }
 
-    /// So many bytes have been read: is that the end of a request, or the beginning of the connection?
+    /// Records that bytes up to `position` have been read; returns whether that is the end of a
+    /// request, or the beginning of the connection.
     pub fn advance_to(&mut self, position: u64) -> bool {
         while self.ends.front().is_some_and(|end| *end < position) {
             self.ends.pop_front();
@@ -127,7 +132,7 @@
         &bytes[count as usize..]
     }
 
-    /// Lines end with a line feed, with or without a return before it.
+    /// Lines end with a line feed, with or without a carriage return before it.
     fn read_line<'a>(&mut self, bytes: &'a [u8], arrived_at: Instant) -> &'a [u8] {
         let end = bytes.iter().position(|byte| *byte == b'\n');
         let (now, rest) = bytes.split_at(end.map_or(bytes.len(), |end| end + 1));
@@ -150,7 +155,8 @@
                     self.length = Some(number(length, 10));
                 }
                 if let Some(time) = value(TIME_LEFT) {
-                    // Of two the shorter one counts until its turn comes, and it is turned down.
+                    // Of two values the shorter one counts until the turn of the request comes;
+                    // then it is refused.
                     self.time_left = [self.time_left, seconds(time)].into_iter().flatten().min();
                 }
                 self.chunked |= value(TRANSFER_ENCODING).is_some_and(|coding| coding.ends_with(b"chunked"));
@@ -184,50 +190,51 @@
         (self.in_head, self.chunked) = (false, false);
     }
 
-    /// The next request is handed out. One whose head was not seen, as what came before it was read otherwise than by hyper,
-    /// may have named a length.
+    /// Hands out the next request. One whose head was not seen, because the previous request was
+    /// parsed differently from hyper, is assumed to have a length.
     pub fn next_request(&mut self) -> ReadRequest {
         let next = self.waiting.pop_front();
         self.current = next;
         next.unwrap_or(ReadRequest { has_length: true, ..ReadRequest::default() })
     }
 
-    /// When the last byte of the request that was handed out last came; nothing as long as it has not been read.
+    /// When the last byte of the request handed out last arrived; `None` until it has been read.
     pub fn arrived_at(&self) -> Option<Instant> {
         self.current.and_then(|request| request.arrived_at)
     }
 
-    /// Has a head begun and not ended?
+    /// Whether a head is incomplete.
     pub fn in_head(&self) -> bool {
         self.in_head
     }
 
-    /// How many requests have come whole and not been handed out.
+    /// Number of complete requests that have not been handed out.
     pub fn waiting_requests(&self) -> usize {
         self.waiting.iter().filter(|request| request.arrived_at.is_some()).count()
     }
 
-    /// When the answer to the request handed out last has to end, so that those that can come only behind it are in time: each of
-    /// them takes a moment. `may_be_whole` if more of what the client has sent lies where it was not looked at; `came_at` tells when
-    /// what was seen then can have come at the earliest.
+    /// When the answer to the request handed out last has to end so that the answers to pipelined
+    /// requests behind it are in time; each of them takes a moment. `may_be_complete` tells that the
+    /// client may have sent more data that has not been looked at; `arrival_of` yields the earliest
+    /// time at which data seen at a given time can have arrived.
     pub fn pipelined_due(
         &self,
-        may_be_whole: bool,
+        may_be_complete: bool,
         arrival_of: impl Fn(Instant) -> Instant,
     ) -> Option<Instant> {
         let due = |(index, request): (usize, &ReadRequest)| {
-            let due = request.due_at(may_be_whole, &arrival_of)?;
+            let due = request.due_at(may_be_complete, &arrival_of)?;
             due.checked_sub(TIME_PER_ANSWER * index as u32)
         };
         self.waiting.iter().enumerate().filter_map(due).min()
     }
 
-    /// Has a head been read that was not handed out?
+    /// Whether a head has been read that was not handed out.
     pub fn has_waiting_head(&self) -> bool {
         !self.waiting.is_empty()
     }
 
-    /// Bytes to come of the body that is being read, where its length was told.
+    /// Bytes left of the body that is being read, if it has a length.
     pub fn body_left(&self) -> Option<u64> {
         match self.parsing {
             Position::Body(left) => Some(left),
@@ -235,7 +242,7 @@
         }
     }
 
-    /// Bytes to come of the body, or of the chunk of it, that is being read: no request ends among them.
+    /// Bytes left of the body or chunk that is being read: no request ends within them.
     pub fn chunk_left(&self) -> Option<u64> {
         match self.parsing {
             Position::Chunk(left) => Some(left),
@@ -244,13 +251,13 @@
     }
 }
 
-/// What can't be read ends its connection in hyper: here it only must not be 0.
+/// Parses a number. An invalid one makes hyper end the connection; here it only must not be 0.
 fn number(text: &[u8], radix: u32) -> u64 {
     let text = std::str::from_utf8(text).unwrap_or_default();
     u64::from_str_radix(text.trim(), radix).unwrap_or(u64::MAX)
 }
 
-/// What says nothing of a time is turned down when its turn comes.
+/// Parses a time. A request with an invalid one is refused when its turn comes.
 fn seconds(text: &[u8]) -> Option<Duration> {
     let seconds: f64 = std::str::from_utf8(text).ok()?.trim().parse().ok()?;
     Duration::try_from_secs_f64(seconds.max(0.0)).ok().filter(|time| *time < MAX_TIME)
--- a/crates/pearfront-node/src/framing/tests.rs
+++ b/crates/pearfront-node/src/framing/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use test_case::test_case;
 
-// What hyper does not tell of a head decides whether its body may hide a job: in whatever pieces it is read, and
-// whatever came before it.
+// Properties of a head that hyper does not report decide whether its body may hide a request. They
+// must not depend on how the head is split into reads, or on what came before it.
 #[test_case("GET /a HTTP/1.1\r\nHost: b\r\n\r\n", &[false], false; "no length")]
 #[test_case("\r\n\r\nPOST /a HTTP/1.1\r\nCONTENT-Length:1\r\n\r\n1", &[true], false; "behind empty lines")]
 #[test_case("POST /a HTTP/1.1\nContent-Length: 1\nTe: x\n\n1", &[true], false; "line feeds alone")]
@@ -20,7 +20,8 @@
     }
 }
 
-// A length that hyper reads and this does not: what follows may hide a job in its body, and is not taken for safe.
+// If hyper parses a length that this parser missed, the following body may hide a request, and must
+// not be assumed to be safe.
 #[test]
 fn an_unseen_head_may_have_a_length() {
     let padded = format!("POST /a HTTP/1.1\r\nContent-Length:{:300}1\r\n\r\n1", "");
@@ -31,7 +32,8 @@
     assert!(framing.next_request().has_length && framing.next_request().has_length);
 }
 
-// A request has come with its last byte, whether it was handed out before or after that, and in whatever pieces.
+// A request has arrived with its last byte, whether it was handed out before or after that, and
+// however it is split into reads.
 #[test_case("GET /a HTTP/1.1\r\n\r\n"; "no body")]
 #[test_case("POST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc"; "a length")]
 #[test_case("POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\nX: 1\r\n\r\n"; "chunks")]
@@ -80,7 +82,7 @@
     assert_eq!(framing.pipelined_due(false, |arrival| arrival), None);
 }
 
-// A time that is over already is none at all to wait.
+// A time that has already passed leaves no time to wait.
 #[test]
 fn a_request_with_a_negative_time_is_due_at_once() {
     let now = Instant::now();
@@ -89,7 +91,8 @@
     assert_eq!(framing.pipelined_due(false, |arrival| arrival), Some(now));
 }
 
-// Of two times the shorter one counts, whichever comes first: such a request is turned down when its turn comes.
+// Of two times the shorter one counts, in either order; such a request is refused when its turn
+// comes.
 #[test_case("0.5", "60"; "the shorter one first")]
 #[test_case("60", "0.5"; "the longer one first")]
 fn the_shorter_of_two_times_counts(first: &str, second: &str) {
@@ -100,7 +103,7 @@
     assert_eq!(framing.pipelined_due(false, |arrival| arrival), Some(now + Duration::from_millis(500)));
 }
 
-// What was seen behind a stop of the process may have come at its beginning.
+// Data seen after a process stall may have arrived at its beginning.
 #[test]
 fn a_deadline_runs_from_the_earliest_possible_arrival() {
     let (seen, began) = (Instant::now() + Duration::from_millis(300), Instant::now());
--- a/crates/pearfront-node/src/late_answers.rs
+++ b/crates/pearfront-node/src/late_answers.rs
@@ -1,4 +1,4 @@
-//! Counts answers that came too late or never, and tells why.
+//! Counts and logs answers that came too late or not at all. Used by `client_service`.
 
 use crate::counters::Counters;
 use crate::logger::Limited;
@@ -6,24 +6,25 @@
 use hyper::header::HeaderValue;
 use std::rc::Rc;
 
-/// From when on behind its time an answer is lost, ms.
+/// An answer later than its deadline by more than this counts as lost, ms.
 const LOST_AFTER_MS: f64 = 500.0;
-/// Lines a second of the log.
+/// Log lines per second.
 const LOG_LINES_PER_SECOND: u32 = 10;
 
-/// How a request was answered. Times are ms on the node's clock.
+/// How a request was answered. Times are in ms on the node's clock.
 pub struct AnswerTiming {
     pub id: HeaderValue,
     pub status: StatusCode,
-    /// When its last byte came, its turn on its connection began, and its answer was there.
+    /// When its last byte arrived, when its turn on its connection began, and when its answer was
+    /// available.
     pub arrived_at: f64,
     pub started_at: f64,
     pub answered_at: f64,
-    /// How long its client waits.
+    /// How long its client waits, ms.
     pub time_ms: f64,
 }
 
-/// Counts answers that came too late or never, and tells why.
+/// Counts and logs answers that came too late or not at all.
 pub struct LateAnswers {
     counters: Rc<Counters>,
     late_log: Limited,
@@ -39,7 +40,7 @@
         }
     }
 
-    /// An answer begins to go out.
+    /// Records an answer that is about to be written.
     pub fn record_answer(&self, answer: &AnswerTiming) {
         let took = answer.answered_at - answer.arrived_at;
         if took <= answer.time_ms + LOST_AFTER_MS {
@@ -58,7 +59,7 @@
         });
     }
 
-    /// So many requests that were read get no answer.
+    /// Records that `count` requests that were read get no answer.
     pub fn record_unanswered(&self, count: usize, why: &str) {
         if count == 0 {
             return;
--- a/crates/pearfront-node/src/message.rs
+++ b/crates/pearfront-node/src/message.rs
@@ -1,4 +1,6 @@
-//! The protocol's messages: each is decoded into a small typed value once and encoded once. Its names end here.
+//! The protocol's messages: each is decoded once into a small typed value, and encoded once. Header
+//! names and paths are known only here. Used by all modules of the node that send or receive
+//! messages.
 
 mod body;
 mod clients;
--- a/crates/pearfront-node/src/message/body.rs
+++ b/crates/pearfront-node/src/message/body.rs
@@ -1,4 +1,4 @@
-//! What messages of all kinds are made of: bodies, plain responses and requests without a body.
+//! Building blocks of all messages: bodies, plain responses and requests without a body.
 
 use crate::streaming::StreamedBody;
 use bytes::Bytes;
@@ -7,20 +7,20 @@
 use hyper::header::{self, HeaderValue};
 use hyper::{Request, Response, StatusCode};
 
-/// A body that is kept whole, or one that flows.
+/// A body that is buffered, or one that is streamed.
 pub type Body = Either<Full<Bytes>, StreamedBody>;
 
-/// A response's whole body, of at most so many bytes.
+/// Reads a response's body, of at most `most` bytes.
 pub async fn read_whole(body: Incoming, max: usize) -> Result<Bytes, ()> {
     Ok(Limited::new(body, max).collect().await.map_err(|_| ())?.to_bytes())
 }
 
-/// A body that is here whole.
+/// A buffered body.
 pub fn buffered(body: Bytes) -> Body {
     Either::Left(Full::new(body))
 }
 
-/// A response of plain text.
+/// A plain-text response.
 pub fn plain(status: StatusCode, text: impl Into<Bytes>) -> Response<Body> {
     let mut response = Response::new(buffered(text.into()));
     *response.status_mut() = status;
--- a/crates/pearfront-node/src/message/clients.rs
+++ b/crates/pearfront-node/src/message/clients.rs
@@ -1,4 +1,4 @@
-//! What a node and its clients exchange: what they ask of it, and its final answers.
+//! Messages between a node and its clients: calls and final answers. Used by `client_service`.
 
 use super::body::{Body, plain};
 use super::request::ClientRequest;
@@ -12,14 +12,15 @@
 
 /// What a client asks of a node.
 pub enum ClientCall {
-    /// Is the node up?
+    /// Whether the node is up.
     Up,
     /// A request for one of the servers.
     Request(Box<ClientRequest>),
 }
 
-/// Decodes a request's head. The error says what is wrong with it. `lengths` tells whether a length may have stood in
-/// it: where chunks come as well, hyper drops the length, and the body may hide another request from one of two readers.
+/// Decodes a request's head. The error says what is wrong with it. `lengths` tells whether the head
+/// may have had a length: if the body is chunked as well, hyper drops the length, and one of two
+/// readers may find another request hidden in the body.
 pub fn decode_client_call(
     head: request::Parts,
     terms: &Rc<Terms>,
@@ -38,7 +39,7 @@
     headers.contains_key(header::TRANSFER_ENCODING)
 }
 
-/// The response as the last one on its connection.
+/// Marks the response as the last one on its connection.
 pub fn last_on_connection(mut response: Response<Body>) -> Response<Body> {
     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     response
@@ -48,16 +49,16 @@
 pub enum Answer {
     /// A server's reply.
     Served(Box<Reply>),
-    /// With the advice to come back in so many ms; 0 is none.
+    /// With a retry-after time, ms; 0 for none.
     Rejected(f64),
     /// It may have run, and no server has served it.
     Failed,
-    /// A server can't use the request: its client's fault.
+    /// A server refused the request, which is its client's fault.
     TurnedDown,
 }
 
 impl Answer {
-    /// Is it passed on while it comes?
+    /// Whether it is streamed to the client.
     pub fn is_streamed(&self) -> bool {
         matches!(self, Answer::Served(reply) if matches!(reply.body, Either::Right(_)))
     }
@@ -90,7 +91,7 @@
     plain(StatusCode::BAD_REQUEST, format!("{problem}\n"))
 }
 
-/// The answer to the question whether the node is up.
+/// The answer to `/up`.
 pub fn encode_up(up: bool) -> Response<Body> {
     if up {
         plain(StatusCode::OK, "up\n")
--- a/crates/pearfront-node/src/message/request.rs
+++ b/crates/pearfront-node/src/message/request.rs
@@ -1,4 +1,5 @@
-//! A client's request: decoded once, and encoded for each attempt on a server.
+//! A client's request: decoded once, and encoded for each attempt on a server. Used by
+//! `client_service`, `dispatcher` and `send`.
 
 use super::body::{Body, buffered};
 use super::headers::{CUSTOMER, ID, IDEMPOTENCY_KEY, TIME_LEFT, end_to_end, text};
@@ -15,10 +16,10 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Longest time left, ms, that a request may name: what says more is no time.
+/// Longest time, ms, that a request may name; more is refused as invalid.
 const MAX_TIME_LEFT_MS: f64 = 24.0 * 3_600_000.0;
 
-/// A client's request: its head, and its body once that has come whole.
+/// A client's request: its head, and its body once that has arrived.
 pub struct ClientRequest {
     /// The terms in force when its head was read.
     pub terms: Rc<Terms>,
@@ -35,14 +36,15 @@
 
 /// A request's body.
 pub enum RequestBody {
-    /// Kept, and so it can be sent again.
+    /// Buffered, so it can be sent again.
     Buffered(Bytes),
-    /// Too large to be kept: what came first, and the rest for the first attempt that asks for it.
+    /// Too large to be buffered: the part that arrived first, and the rest for the first attempt
+    /// that claims it.
     Streamed { first: Bytes, rest: RefCell<Option<PieceReceiver>>, length: Option<u64> },
 }
 
 impl ClientRequest {
-    /// Decodes a request's head, its body still to come. The error says what is wrong with it.
+    /// Decodes a request's head, whose body is yet to arrive. The error says what is wrong with it.
     pub(super) fn decode(head: request::Parts, terms: &Rc<Terms>) -> Result<Self, String> {
         let profile = decode_profile(&head, &terms.around)?;
         check_own_headers(&head.headers)?;
@@ -73,12 +75,13 @@
         &self.headers[ID]
     }
 
-    /// Is its body too large to be kept, so that it can be sent only once?
+    /// Whether its body is too large to be buffered, so that it can be sent only once.
     pub fn is_streamed(&self) -> bool {
         matches!(self.body, RequestBody::Streamed { .. })
     }
 
-    /// The request as an attempt that will be waited for so long; none if its body has been sent and was not kept.
+    /// Encodes the request for an attempt that will be waited for `wait` ms; `None` if its body was
+    /// not buffered and has already been sent.
     pub fn encode(&self, wait: f64) -> Option<Request<Body>> {
         let mut attempt = Request::new(match &self.body {
             RequestBody::Buffered(body) => buffered(body.clone()),
@@ -95,7 +98,7 @@
     }
 }
 
-/// The first part of a request's path.
+/// The first segment of a request's path.
 fn profile_name(target: &Uri) -> &str {
     target.path().trim_start_matches('/').split('/').next().unwrap_or_default()
 }
@@ -106,8 +109,8 @@
     profile.ok_or_else(|| format!("unknown profile {named:?}"))
 }
 
-/// The request has an id, and names neither that nor a key nor a time twice: of two a server may take the other one, and so may
-/// whoever owns its time.
+/// Checks that the request has an id, and that id, key and time appear only once: of two values, a
+/// server may use a different one than the node.
 fn check_own_headers(headers: &HeaderMap) -> Result<(), String> {
     if text(headers, &ID).is_none_or(str::is_empty) {
         return Err(format!("no {ID}"));
@@ -119,7 +122,7 @@
     }
 }
 
-/// The request's method and key are those of its profile's effect.
+/// Checks that the request's method and key fit its profile's effect.
 fn check_effect(head: &request::Parts, effect: Effect) -> Result<(), String> {
     let keyed = head.headers.contains_key(&IDEMPOTENCY_KEY);
     let fits = match effect {
@@ -134,7 +137,7 @@
     }
 }
 
-/// The time left, ms.
+/// How long the client will wait, ms.
 fn decode_time_left(headers: &HeaderMap) -> Result<f64, String> {
     let seconds = text(headers, &TIME_LEFT).and_then(|left| left.trim().parse::<f64>().ok());
     let left = seconds.map(|seconds| seconds * 1000.0);
--- a/crates/pearfront-node/src/read_gate.rs
+++ b/crates/pearfront-node/src/read_gate.rs
@@ -1,28 +1,30 @@
-//! What a client has sent behind the request that is being answered. It is looked at, so that it is known when its answer is due,
-//! and stays unread until its turn: a request that was never read may be sent again by its client once its connection has ended,
-//! one that was read and has no answer is lost.
+//! Controls how far a client connection is read. Pipelined requests are peeked at, to know when
+//! their answers are due, but stay unread until their turn: a client may safely resend a request
+//! that was never read once its connection has ended, whereas one that was read and has no answer
+//! is lost. Used by `tracked_stream`.
 
 use std::cell::{Cell, RefCell};
 use std::task::Waker;
 use tokio::sync::Notify;
 
-/// Most bytes that are looked at ahead of their turn.
+/// Most bytes that are peeked at ahead of their turn.
 pub const MAX_PEEKED_BYTES: usize = 256 * 1024;
 
-/// How far a client's connection may be read. Positions count bytes from the beginning of the connection.
+/// How far a client connection may be read. Positions count bytes from the beginning of the
+/// connection.
 #[derive(Default)]
 pub struct ReadGate {
     /// Position up to which bytes were read.
     position: Cell<u64>,
-    /// Is a request that has been handed out without its answer?
+    /// Whether a request that has been handed out has no answer yet.
     is_answering: Cell<bool>,
-    /// Position up to which requests are still begun to be read, where no further ones are.
+    /// Position at which no further request is read, if there is one.
     stop_position: Cell<Option<u64>>,
-    /// Was as much seen ahead as is looked at, so that more may lie behind it?
+    /// Whether the last peek returned as many bytes as possible, so that there may be more.
     may_hide_more: Cell<bool>,
-    /// Rung when one of these changes.
+    /// Notified when one of these changes.
     changed: Notify,
-    /// Woken when bytes that wait for their turn may be read.
+    /// Woken when waiting bytes may be read.
     reader: RefCell<Option<Waker>>,
 }
 
@@ -31,12 +33,12 @@
         self.position.get()
     }
 
-    /// So many bytes more were read.
+    /// Records that `count` more bytes were read.
     pub fn advance(&self, count: usize) {
         self.position.set(self.position.get() + count as u64);
     }
 
-    /// A request has been handed out (or has its answer): what comes behind it waits for its turn (or has it).
+    /// Sets whether a request in progress keeps the data behind it waiting.
     pub fn set_answering(&self, is_answering: bool) {
         self.is_answering.set(is_answering);
         self.wake();
@@ -46,7 +48,7 @@
         self.is_answering.get()
     }
 
-    /// So many bytes lay there at the last look.
+    /// Records how many bytes the last peek returned.
     pub fn record_peek(&self, count: usize) {
         self.may_hide_more.set(count >= MAX_PEEKED_BYTES);
     }
@@ -55,7 +57,7 @@
         self.may_hide_more.get()
     }
 
-    /// No request that begins at this position or behind it is read any more.
+    /// Reads no further request that starts at or after this position.
     pub fn stop_at(&self, position: u64) {
         if self.stop_position.get().is_none() {
             self.stop_position.set(Some(position));
@@ -63,12 +65,12 @@
         }
     }
 
-    /// Is no further request begun to be read?
+    /// Whether no further request is read.
     pub fn is_stopped(&self) -> bool {
         self.stop_position.get().is_some_and(|stop_position| self.position.get() >= stop_position)
     }
 
-    /// Is the connection to end once what has come by then is answered?
+    /// Whether the connection is to end once the requests that had arrived by then are answered.
     pub fn is_ending(&self) -> bool {
         self.stop_position.get().is_some()
     }
@@ -77,7 +79,7 @@
         self.changed.notified().await;
     }
 
-    /// This is woken when bytes that wait may be read.
+    /// Registers the task to wake when waiting bytes may be read.
     pub fn register_reader(&self, reader: &Waker) {
         let mut waiting = self.reader.borrow_mut();
         if !waiting.as_ref().is_some_and(|known| known.will_wake(reader)) {
@@ -85,12 +87,12 @@
         }
     }
 
-    /// A request has been read to its end: what lies behind it has to be looked at.
+    /// A request has been read to its end: the data behind it has to be peeked at.
     pub fn request_complete(&self) {
         self.changed.notify_one();
     }
 
-    /// What waits may be read, or has to be looked at once more.
+    /// Waiting data may be read, or has to be peeked at again.
     pub fn wake(&self) {
         self.changed.notify_one();
         if let Some(reader) = self.reader.take() {
--- a/crates/pearfront-node/src/streaming.rs
+++ b/crates/pearfront-node/src/streaming.rs
@@ -1,6 +1,7 @@
-//! Bodies and answers that are too large to be kept: passed on in pieces. Of an answer the next piece is read once the last was
-//! taken: the client's pace holds back the server, and it takes no more memory than a buffer or two. The pieces of a request's
-//! body come from `upload`, which reads them ahead of the server and bounds what that takes.
+//! Bodies that are too large to be buffered and are passed on in pieces. The next piece of an
+//! answer is read once the last one was taken, so that the client's pace limits the server and only
+//! a buffer or two is used. The pieces of a request body come from `upload`, which reads ahead of
+//! the server within limits. Used by `message`, `send` and `client_service`.
 
 use crate::upload::Piece;
 use bytes::{Buf, Bytes};
@@ -14,40 +15,41 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time::{Instant, Sleep, sleep, timeout};
 
-/// Most bytes that are kept whole.
+/// Largest body that is buffered completely, bytes.
 pub const MAX_BUFFERED_BYTES: usize = 64 * 1024;
-/// Most bytes of any body or answer.
+/// Largest request body or answer, bytes.
 pub const MAX_BODY_BYTES: u64 = 32 * 1024 * 1024;
-/// How long a flow may bring nothing, or its caller take nothing, before it is given up whatever its time: far above any
-/// pause of a server that still gives.
+/// How long a streamed body may make no progress, or its client take none of it, before it is given
+/// up whatever its deadline: far longer than any pause of a server that is still sending.
 pub const STALL_TIMEOUT: Duration = Duration::from_secs(15);
-/// How long a server may give nothing of its answer once the request's time is over: a longer pause, and the answer counts as
-/// lost.
+/// How long a server may pause within its answer once the request's deadline has passed; after a
+/// longer pause the answer counts as lost.
 const MAX_LATE_PAUSE: Duration = Duration::from_millis(350);
-/// Fired later than by this, a timer tells of a process that stood still: what came meanwhile has not been read.
+/// A timer that fires later than this indicates a process stall: data that arrived meanwhile has
+/// not been read.
 const STALL_THRESHOLD: Duration = Duration::from_millis(50);
 
-/// The beginning of a body: all of it, or what came before it grew too large to be kept.
+/// The beginning of a body: all of it, or what was read before it became too large to be buffered.
 pub enum BodyStart {
     Complete(Bytes),
     Partial(Bytes, Incoming),
 }
 
-/// Why a body did not come as it should.
+/// Why a body did not arrive as it should.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyError {
-    /// Its connection broke, or brought what can't be read.
+    /// Its connection broke, or its data could not be parsed.
     Cut,
     TooLong,
     Stalled,
-    /// Its server takes nothing of it.
+    /// Its server accepts none of it.
     NotTaken,
-    /// No server takes it, and there is no room to keep it until one does.
+    /// No server takes it, and there is no memory to hold it until one does.
     NoRoom,
 }
 
 impl BodyError {
-    /// Is its client not to blame: does the body come, and nobody takes it?
+    /// Whether the client is not to blame: the body arrives, but nobody takes it.
     pub fn is_untaken(self) -> bool {
         matches!(self, BodyError::NotTaken | BodyError::NoRoom)
     }
@@ -67,8 +69,9 @@
 
 impl std::error::Error for BodyError {}
 
-/// Reads a body to its end, or until more than `most` is here: who sends none of it costs no server anything. No piece of it may take longer than `pause`.
-/// Without `keep` it is only read.
+/// Reads a body to its end, or until more than `most` bytes have arrived: a client that sends no
+/// body costs no server anything. No frame may take longer than `pause`. Without `keep` the data is
+/// dropped.
 pub async fn read_start(
     mut body: Incoming,
     max: usize,
@@ -101,16 +104,16 @@
     Done,
 }
 
-/// A body on its way through.
+/// A body that is passed on in pieces.
 pub struct StreamedBody {
     first: Bytes,
     rest: Source,
-    /// Bytes to come, where that was told ahead.
+    /// Bytes left, if the length is known.
     bytes_left: Option<u64>,
     max_left: u64,
-    /// When the request's time is over, of an answer.
+    /// The request's deadline, if this is an answer.
     deadline: Option<Instant>,
-    /// Since when its source has been asked for more and has had nothing.
+    /// Since when the source has been polled without yielding data.
     waiting_since: Option<Instant>,
     give_up_timer: Pin<Box<Sleep>>,
     on_end: Option<Box<dyn FnOnce()>>,
@@ -134,33 +137,34 @@
         }
     }
 
-    /// The rest of an answer, behind what was read of it.
+    /// The rest of an answer, after the part that was already read.
     pub fn from_answer(first: Bytes, rest: Incoming) -> Self {
         let left = rest.size_hint().exact().map(|rest| rest + first.len() as u64);
         Self::new(first, Source::Answer(rest), left)
     }
 
-    /// A body of this length, if that was told, whose pieces come through a channel.
+    /// A request body with this length, if known, whose pieces come through a channel.
     pub fn from_channel(first: Bytes, rest: UnboundedReceiver<Piece>, length: Option<u64>) -> Self {
         Self::new(first, Source::Channel(rest), length)
     }
 
-    /// What is done once its last byte has been passed on, and not if it breaks.
+    /// Called once the last byte has been passed on, but not if the body breaks off.
     pub fn on_end(&mut self, act: impl FnOnce() + 'static) {
         self.on_end = Some(Box::new(act));
     }
 
-    /// The request's time is over at that time: from then on it lasts only as long as its server gives.
+    /// Sets the request's deadline: after it, the body continues only as long as its server keeps
+    /// sending.
     pub fn set_deadline(&mut self, at: Instant) {
         self.deadline = Some(at);
     }
 
-    /// What is done if it breaks, beside what else was said so.
+    /// Adds a callback for when the body breaks off.
     pub fn on_break(&mut self, act: impl FnOnce(BodyError) + 'static) {
         self.on_break.push(Box::new(act));
     }
 
-    /// Keeps something as long as it lasts.
+    /// Keeps a value alive as long as the body.
     pub fn keep_alive(&mut self, what: Rc<dyn Any>) {
         self.kept_alive.push(what);
     }
@@ -211,7 +215,7 @@
         Poll::Ready(Some(Err(BodyError::Stalled)))
     }
 
-    /// When it is given up if nothing has come since then.
+    /// When the body is given up if no data has arrived since `since`.
     fn gives_up_at(&self, since: Instant) -> Instant {
         let stalled = since + STALL_TIMEOUT;
         self.deadline.map_or(stalled, |due| (due.max(since) + MAX_LATE_PAUSE).min(stalled))
@@ -233,7 +237,7 @@
                 let length = data.len() as u64;
                 self.max_left -= length;
                 self.bytes_left = self.bytes_left.map(|left| left.saturating_sub(length));
-                // hyper does not ask again once a told length has been passed on.
+                // hyper does not poll again once a known length has been passed on.
                 if self.bytes_left == Some(0) {
                     self.report_end();
                 }
--- a/crates/pearfront-node/src/tcp_info.rs
+++ b/crates/pearfront-node/src/tcp_info.rs
@@ -1,23 +1,24 @@
-//! Since when a client's connection is established, as the kernel says: what has come on it came behind that, however long it
-//! waited to be accepted, and whoever served the listener meanwhile.
+//! Reads from the kernel since when a client connection has been established. Everything on it
+//! arrived later, however long it waited to be accepted, and whichever process served the listener
+//! meanwhile. Used by `accept`.
 
 use nix::{getsockopt_impl, libc, sockopt_impl};
 use std::os::fd::AsFd;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The beginning of what Linux tells of a connection: each version tells more behind it, and one that tells less than it is asked for
-/// is taken for broken.
+/// The beginning of Linux's `tcp_info`. Newer kernels append fields, and the answer of a kernel
+/// that returns fewer bytes than were requested is rejected as an error.
 #[repr(C)]
 pub struct TcpInfo {
     state_and_options: [u8; 8],
     timeouts_and_segments: [u32; 9],
-    /// Time since then, ms.
+    /// Time since the last data was sent, ms.
     last_data_sent: u32,
 }
 
 sockopt_impl!(
-    /// What the kernel knows of a connection.
+    /// The `TCP_INFO` socket option.
     ConnectionInfo,
     GetOnly,
     libc::IPPROTO_TCP,
@@ -25,11 +26,12 @@
     TcpInfo
 );
 
-/// The longest tick by which a kernel counts.
+/// The longest clock tick of any kernel.
 const TICK: Duration = Duration::from_millis(10);
 
-/// The earliest time at which a connection can have been established on which nothing has been sent yet: until then the kernel has the
-/// end of the handshake as the time of the last byte sent. None where it does not say.
+/// The earliest time at which a connection can have been established on which nothing has been sent
+/// yet: until then the kernel reports the end of the handshake as the time of the last byte sent.
+/// `None` if the kernel does not say.
 pub fn earliest_established(stream: &impl AsFd) -> Option<Instant> {
     let now = Instant::now();
     let info = nix::sys::socket::getsockopt(stream, ConnectionInfo).ok()?;
--- a/crates/pearfront-node/src/tcp_info/tests.rs
+++ b/crates/pearfront-node/src/tcp_info/tests.rs
@@ -3,7 +3,8 @@
 use std::net::{TcpListener, TcpStream};
 use std::thread::sleep;
 
-// A request that comes late on a connection that waits to be accepted: what counts is the connection.
+// A request that arrives late on a connection that waits to be accepted: the age of the connection
+// counts.
 #[test]
 fn a_connection_that_waited_to_be_accepted_is_as_old_as_its_handshake() {
     const WAITS: Duration = Duration::from_millis(300);
@@ -19,10 +20,11 @@
     assert!(earliest + 3 * TICK >= before, "{:?} early", before - earliest);
 }
 
-// An older kernel tells less than the C library's header of the day names: the answer was taken for broken, and the process ended.
+// An older kernel returns fewer bytes than the C library's current struct has; that was treated as
+// an error, and the process ended.
 #[test]
 fn tcp_info_is_no_larger_than_every_kernel_provides() {
-    /// What Linux 2.6 tells.
+    /// Size of the struct in Linux 2.6, bytes.
     const TOLD: usize = 104;
     assert!(size_of::<TcpInfo>() <= TOLD, "{} bytes", size_of::<TcpInfo>());
     assert_eq!(
--- a/crates/pearfront-node/src/tracked_stream.rs
+++ b/crates/pearfront-node/src/tracked_stream.rs
@@ -1,5 +1,6 @@
-//! A TCP connection as hyper takes it, which also sees how much of an attempt has really been written, and whether
-//! the other side has something for us. No other file touches a connection's bytes.
+//! A TCP connection as hyper uses it, which also tracks how much of a message the kernel has taken,
+//! and whether the other side has sent data. Nothing else reads or writes client and server
+//! connections. Used by `client_service`, `send` and `admin`.
 
 mod reading;
 
@@ -21,75 +22,77 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout};
 
-/// Bytes read at a time: heads are a few hundred, most bodies a few thousand.
+/// Bytes read at a time: heads are a few hundred bytes, most bodies a few thousand.
 const READ_BYTES: usize = 8 * 1024;
 const END_OF_HEAD: &[u8] = b"\r\n\r\n";
-/// How a body in chunks ends.
+/// End of a chunked body.
 const END_OF_CHUNKS: &[u8] = b"0\r\n\r\n";
-/// An answer up to this is with its client's kernel once it has been written.
+/// An answer of up to this many bytes has reached its client's kernel once it is written.
 const SMALL_ANSWER: usize = 16 * 1024;
-/// How long a connection stays open behind a larger one that its client may still be taking.
+/// How long a connection stays open after a larger answer that its client may still be receiving.
 const RECEIVE_TIMEOUT: Duration = Duration::from_secs(15);
-/// Bytes that the kernel takes of a request beyond what it can send to a server: with more it would show only after seconds that a
-/// slow server still takes a body.
+/// Bytes of a request that the kernel accepts beyond what it can send to a server: with more, it
+/// would take seconds to notice that a slow server still accepts a body.
 const MAX_UNSENT_BYTES: u32 = 64 * 1024;
-/// Longest time and most bytes for which a connection that was answered early is read on.
+/// Longest time and most bytes for which a connection that was answered early is still read.
 const LINGER_TIME: Duration = Duration::from_millis(500);
 const MAX_LINGER_BYTES: usize = 1024 * 1024;
 
-/// What a message needs to be written: asked right before its first byte, and told right behind it.
+/// Permission to write a message: asked for right before its first byte, and notified right after
+/// it.
 pub trait WritePermit {
     fn may_write(&self) -> bool;
     fn written(&self);
 }
 
-/// The socket and what has been written on it; shared by hyper's side and ours.
+/// The socket and the state of the message being written; shared by hyper and the node.
 pub struct TrackedStream {
     stream: TcpStream,
-    /// How much of `END_OF_HEAD` the bytes written last were.
+    /// How much of `END_OF_HEAD` the last written bytes matched.
     head_end_matched: Cell<usize>,
     in_body: Cell<bool>,
-    /// Bytes of its body to be written; none where that was not told ahead.
+    /// Bytes of the body left to be written; `None` if the length is not known.
     body_bytes_left: Cell<Option<u64>>,
-    /// The last bytes written, and whether no more than the end of the chunks is to come.
+    /// The last bytes written, and whether only the end of the chunked body is left.
     tail: Cell<[u8; 5]>,
     last_chunk: Cell<bool>,
     /// Bytes read and written so far.
     bytes_moved: Cell<usize>,
     /// Bytes written since the last request was handed out.
     answer_written: Cell<usize>,
-    /// Does the kernel take no more for now of what is to be written?
+    /// Whether the kernel's send buffer is full.
     is_write_blocked: Cell<bool>,
-    /// Has anything come since a message was expected to be written?
+    /// Whether any data has arrived since `begin_message`.
     has_received: Cell<bool>,
-    /// What the message that is about to be written needs, until the kernel has taken the first byte of it.
+    /// Permission for the message about to be written, until the kernel has taken its first byte.
     permit: RefCell<Option<Rc<dyn WritePermit>>>,
-    /// Was nothing of it written, as it was not allowed any more?
+    /// Whether nothing of the message was written because the permission had lapsed.
     withheld: Cell<bool>,
-    /// What a caller sends; nothing on a connection to a server.
+    /// Parser of a client's requests; `None` on other connections.
     framing: Option<RefCell<Framing>>,
-    /// Nothing came on it before this.
+    /// Nothing arrived before this time.
     opened_at: Instant,
     arrival: Arrival,
-    /// Rung with each read.
+    /// Notified after each read.
     read_notify: Notify,
     gate: ReadGate,
     _slot: ConnectionSlot,
 }
 
 impl TrackedStream {
-    /// A caller's connection; nothing came on it before that time.
+    /// A client connection; nothing arrived on it before `opened_at`.
     pub fn from_client(stream: TcpStream, slot: ConnectionSlot, opened_at: Instant) -> Rc<Self> {
         Self::new(stream, slot, Some(RefCell::default()), opened_at)
     }
 
     pub fn to_server(stream: TcpStream, slot: ConnectionSlot) -> Rc<Self> {
-        // Where the system does not have that it takes more at a time, which only shows later that a server takes something.
+        // On systems without this option the kernel buffers more, which only delays noticing that a
+        // server accepts data.
         let _ = socket2::SockRef::from(&stream).set_tcp_notsent_lowat(MAX_UNSENT_BYTES);
         Self::new(stream, slot, None, Instant::now())
     }
 
-    /// An operator's connection: one call, and nothing to be followed.
+    /// An operator's connection: one call, and no tracking.
     pub fn from_operator(stream: TcpStream) -> Rc<Self> {
         Self::new(stream, ConnectionSlot::uncounted(), None, Instant::now())
     }
@@ -125,7 +128,7 @@
         })
     }
 
-    /// A message with a body of this length, if that is known, is about to be written.
+    /// A message with a body of this length, if known, is about to be written.
     pub fn begin_message(&self, body: Option<u64>) {
         self.head_end_matched.set(0);
         self.in_body.set(false);
@@ -135,29 +138,31 @@
         self.withheld.set(false);
     }
 
-    /// The message that is about to be written needs this: not a byte of it is, unless it holds then.
+    /// Sets the permission without which no byte of the next message is written.
     pub fn set_write_permit(&self, permit: Rc<dyn WritePermit>) {
         self.permit.replace(Some(permit));
     }
 
-    /// Was nothing written, as it was not allowed any more?
+    /// Whether nothing was written because the permission had lapsed.
     pub fn was_withheld(&self) -> bool {
         self.withheld.get()
     }
 
-    /// Looked at right before a write, as much may wait its turn between the choice of a connection and its first byte.
+    /// Checked right before a write, as there may be a long delay between the choice of a
+    /// connection and its first byte.
     fn may_write(&self) -> bool {
         let may_write = self.permit.borrow().as_ref().is_none_or(|permit| permit.may_write());
         self.withheld.set(!may_write);
         may_write
     }
 
-    /// Of a body of unknown length nothing more than its end is to be written.
+    /// Of a body of unknown length only the end is left to be written.
     pub fn expect_final_chunk(&self) {
         self.last_chunk.set(true);
     }
 
-    /// Has the kernel taken the message's last byte? Until then nobody can have acted on it.
+    /// Whether the kernel has taken the message's last byte; until then no server can have acted on
+    /// it.
     pub fn is_fully_written(&self) -> bool {
         self.in_body.get()
             && match self.body_bytes_left.get() {
@@ -202,8 +207,8 @@
         }
     }
 
-    /// A request of the client has been handed out and has no answer yet, or has it: meanwhile what comes behind it stays
-    /// unread.
+    /// Whether a request of the client has been handed out and has no answer yet; if so, data
+    /// behind it stays unread.
     pub fn set_answering(&self, is_answering: bool) {
         if is_answering {
             self.answer_written.set(0);
@@ -212,7 +217,8 @@
         self.read_notify.notify_waiters();
     }
 
-    /// Does an answer wait for the client to take what came before? hyper hands out no answer meanwhile.
+    /// Whether the client has yet to take earlier data. Meanwhile hyper hands out no further
+    /// answer.
     pub fn is_write_blocked(&self) -> bool {
         self.is_write_blocked.get()
     }
@@ -223,43 +229,43 @@
         }
     }
 
-    /// Has the other side begun to answer what was written last?
+    /// Whether any data has arrived since the last message was begun.
     pub fn has_received(&self) -> bool {
         self.has_received.get()
     }
 
-    /// Asks of the requests that a caller sends.
+    /// Queries the parser of a client's requests.
     fn with_framing<T>(&self, ask: impl FnOnce(&mut Framing) -> T) -> Option<T> {
         self.framing.as_ref().map(|framing| ask(&mut framing.borrow_mut()))
     }
 
-    /// Has the caller begun a head and not ended it?
+    /// Whether the client has sent an incomplete head.
     pub fn in_head(&self) -> bool {
         self.with_framing(|framing| framing.in_head()).unwrap_or_default()
     }
 
-    /// The next request of a caller is handed out by hyper. Asked once for each.
+    /// Called once for each request that hyper hands out.
     pub fn next_request(&self) -> ReadRequest {
         self.with_framing(Framing::next_request).unwrap_or_default()
     }
 
-    /// When the last byte of the request that was handed out last came, if that has been read.
+    /// When the last byte of the request handed out last arrived, if it has been read.
     pub fn arrived_at(&self) -> Option<Instant> {
         self.with_framing(|framing| framing.arrived_at()).flatten()
     }
 
-    /// Nothing came on the connection before this time.
+    /// Nothing arrived on the connection before this time.
     pub fn opened_at(&self) -> Instant {
         self.opened_at
     }
 
-    /// Since when that can have come which lies unread.
+    /// The earliest time at which unread data can have arrived.
     pub fn unread_since(&self) -> Instant {
         self.arrival.unread_since()
     }
 
-    /// When the first of the answers is due that can come only behind the one to the request handed out last, of those
-    /// requests that have been read.
+    /// When the first answer is due of those that have to wait for the answer to the request handed
+    /// out last, among the requests that have been read.
     pub fn pipelined_due(&self, arrival_of: impl Fn(Instant) -> Instant) -> Option<Instant> {
         self.with_framing(|framing| framing.pipelined_due(self.gate.may_hide_more(), arrival_of)).flatten()
     }
@@ -274,18 +280,19 @@
         self.arrival.last_empty_at()
     }
 
-    /// Requests of the caller that have come whole and were not handed out.
+    /// Number of complete client requests that were not handed out.
     pub fn waiting_requests(&self) -> usize {
         self.with_framing(|framing| framing.waiting_requests()).unwrap_or_default()
     }
 
-    /// Its close will be a reset, which nobody takes for the end of an answer.
+    /// Makes closing reset the connection, so that the client does not take it for the end of an
+    /// answer.
     pub fn reset_on_close(&self) {
         let _ = socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
 
-    /// Ends the sending, and reads what still comes for a moment: closed with bytes unread, the kernel would tell
-    /// the other side of a reset, which may overtake the answer.
+    /// Shuts down the sending side, and for a moment reads what still arrives: closing with unread
+    /// bytes would make the kernel send a reset, which may overtake the answer.
     pub async fn linger(&self) {
         let _ = socket2::SockRef::from(&self.stream).shutdown(std::net::Shutdown::Write);
         let all = async {
@@ -303,24 +310,25 @@
         let _ = timeout(LINGER_TIME, all).await;
     }
 
-    /// Waits for the end of a client that may still be taking a large answer, where more of what it sends lies unread: closed over
-    /// that, the kernel would drop what the client has not taken.
+    /// Waits for the end of a client that may still be receiving a large answer, if more of its
+    /// data is unread: closing then would make the kernel drop what the client has not received.
     pub async fn wait_for_receiver(&self) {
         if self.has_unread_bytes() && self.answer_written.get() > SMALL_ANSWER {
             let _ = timeout(RECEIVE_TIMEOUT, self.wait_for_end()).await;
         }
     }
 
-    /// Waits until the other side has ended its sending or reset the connection, whatever of it is still unread. hyper
-    /// sees that only once it has read all that came before, and it reads nothing while a job with bytes behind it is
-    /// open, or while a body is held back. The kernel tells it beside unread bytes; to ask for what is urgent waits for
-    /// that alone, as nothing urgent is ever told here.
+    /// Waits until the other side has shut down its sending or reset the connection, whatever is
+    /// still unread. hyper notices that only after reading everything before it, and reads nothing
+    /// while a request with data behind it is open or a body is held back. The kernel reports it to
+    /// every kind of wait, so waiting only for urgent data detects it and ignores unread bytes, as
+    /// no urgent data is ever sent.
     pub async fn wait_for_end(&self) {
         let _ = self.stream.ready(Interest::PRIORITY).await;
     }
 
-    /// The same asked at once: the kernel may know more than the runtime has been told. Behind unread bytes only what the
-    /// runtime has been told counts.
+    /// Checks the same without waiting. The kernel may know more than the runtime, but behind
+    /// unread bytes only the runtime's state counts.
     pub fn has_ended(&self) -> bool {
         match self.peek() {
             Ok(0) => true,
@@ -329,7 +337,7 @@
         }
     }
 
-    /// Looks whether there is a byte, or the end; an interrupted look is taken again.
+    /// Checks for a byte or the end; retried if interrupted.
     fn peek(&self) -> io::Result<usize> {
         loop {
             match socket2::SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]) {
@@ -339,12 +347,12 @@
         }
     }
 
-    /// Bytes that have gone either way: while they grow, the connection is in use.
+    /// Bytes transferred in both directions: while the number grows, the connection is in use.
     pub fn bytes_moved(&self) -> usize {
         self.bytes_moved.get()
     }
 
-    /// Quiet and open: nothing to read, not even the end.
+    /// Whether it is open with nothing to read, not even the end.
     pub fn is_quiet(&self) -> bool {
         self.peek().is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
@@ -353,12 +361,12 @@
         if !is_transient(&error) {
             return Poll::Ready(Err(error));
         }
-        // It lacks something for a moment: others go first.
+        // A resource is missing for a moment: other tasks go first.
         context.waker().wake_by_ref();
         Poll::Pending
     }
 
-    /// Reads what a server sends.
+    /// Reads data from a server.
     fn poll_read_answer(&self, context: &mut Context, chunk: &mut [u8]) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.stream.poll_read_ready(context))?;
@@ -374,7 +382,7 @@
     }
 }
 
-/// hyper's end of a `Wire`.
+/// The I/O handle for hyper.
 pub struct HyperIo(pub Rc<TrackedStream>);
 
 impl Read for HyperIo {
@@ -396,7 +404,8 @@
         self.poll_write_vectored(context, &[IoSlice::new(bytes)])
     }
 
-    /// Whole bodies go out from where they lie: a copy in hyper's buffer would double what a job takes.
+    /// Whole bodies are written from where they are: copying them into hyper's buffer would double
+    /// the memory of a request.
     fn is_write_vectored(&self) -> bool {
         true
     }
@@ -442,8 +451,9 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context) -> Poll<io::Result<()>> {
-        // Closed over what lies unread a connection is reset, which tells its client that nobody has read that: an orderly end
-        // before it would say that somebody may have. But the reset takes away what the client has not taken of an answer.
+        // Closing a connection with unread data resets it, which tells the client that nobody has
+        // read that data; an orderly end would suggest that somebody may have. But a reset also
+        // discards what the client has not received of an answer.
         let is_taken = self.0.answer_written.get() <= SMALL_ANSWER;
         if self.0.framing.is_some() && is_taken && self.0.has_unread_bytes() {
             return Poll::Ready(Ok(()));
--- a/crates/pearfront-node/src/tracked_stream/reading.rs
+++ b/crates/pearfront-node/src/tracked_stream/reading.rs
@@ -1,5 +1,5 @@
-//! Reading what a client sends: one request at a time, and nothing behind its last byte. What comes behind that is looked at and
-//! stays unread until its turn.
+//! Reads what a client sends: one request at a time, and nothing after its last byte. Pipelined
+//! requests are peeked at and stay unread until their turn.
 
 use super::{READ_BYTES, TrackedStream};
 use crate::read_gate::MAX_PEEKED_BYTES;
@@ -12,16 +12,17 @@
 use tokio::io::ReadBuf;
 use tokio::time::{Instant, timeout};
 
-/// How often is looked at what more a client sends behind a request that is being answered, once something lies there.
+/// Interval at which pipelined data behind a request in progress is peeked at, once there is some.
 const PEEK_INTERVAL: Duration = Duration::from_millis(10);
 
 impl TrackedStream {
-    /// How many bytes were looked at that have not been read.
+    /// Number of bytes that were peeked at but not read.
     pub(super) fn peeked_bytes(&self) -> usize {
         self.with_framing(|framing| framing.position() - self.gate.position()).unwrap_or_default() as usize
     }
 
-    /// Follows what lies first in the connection, which was looked at before as far as `ahead`, to the ends of requests.
+    /// Parses `bytes`, the first unread bytes of the connection, of which the first `ahead` have
+    /// been parsed before.
     pub(super) fn parse(&self, bytes: &[u8], ahead: usize, at: Instant) {
         let new = &bytes[ahead.min(bytes.len())..];
         if !new.is_empty() {
@@ -33,19 +34,20 @@
         }
     }
 
-    /// Has a request been read to its end, and nothing of what comes behind it? Also where nothing has been read.
+    /// Whether a request, or nothing, has been read to its end, and nothing behind it.
     pub(super) fn is_between_requests(&self) -> bool {
         self.with_framing(|framing| framing.advance_to(self.gate.position())).unwrap_or_default()
     }
 
-    /// Has what comes next to wait until the request before it is answered, or is it not read any more?
+    /// Whether the data that comes next has to wait for the answer to the request before it, or is
+    /// not read any more.
     fn must_wait(&self) -> bool {
         let is_blocked = self.gate.is_answering() || self.gate.is_stopped() || self.is_write_blocked.get();
         is_blocked && self.is_between_requests()
     }
 
-    /// Looks at what a client sends behind a request that waits for its answer, so that it is known when that came. It has to
-    /// be polled beside hyper's connection, and never returns.
+    /// Peeks at pipelined data behind a request that waits for its answer, to learn when it
+    /// arrived. Has to be polled beside hyper's connection, and never returns.
     pub async fn watch_pipelined(&self) -> Infallible {
         loop {
             if !self.gate.is_answering() || !self.is_between_requests() {
@@ -53,7 +55,7 @@
                 continue;
             }
             tokio::select! {
-                // What it fails with is found by the read.
+                // Errors are reported by the read.
                 _ = self.stream.readable() => {}
                 () = self.gate.changed() => continue,
             }
@@ -63,12 +65,13 @@
         }
     }
 
-    /// Looks once; false if nothing lies there. Once something does, the runtime does not tell when more has come.
+    /// Peeks once; returns false if there is no data. Once there is some, the runtime does not
+    /// report when more arrives.
     fn peek_pipelined(&self) -> bool {
         let mut chunk = [0; READ_BYTES];
         let Some(mut peeked) = self.peek_into(&mut chunk) else { return true };
         if peeked == READ_BYTES {
-            // Few clients send so much at once: only for them there is more room.
+            // Few clients send this much at once: only they get a larger buffer.
             peeked = self.peek_into(&mut vec![0; MAX_PEEKED_BYTES]).unwrap_or(peeked);
         }
         let now = Instant::now();
@@ -81,7 +84,8 @@
         peeked > 0
     }
 
-    /// How many bytes lie there; nothing where the kernel does not say for now, or the client has ended its sending.
+    /// Number of unread bytes; `None` if the kernel cannot say for now, or the client has ended its
+    /// sending.
     fn peek_into(&self, chunk: &mut [u8]) -> Option<usize> {
         let (ahead, now) = (self.peeked_bytes(), Instant::now());
         let peeked = match pin!(self.stream.peek(chunk)).poll(&mut Context::from_waker(Waker::noop())) {
@@ -89,7 +93,7 @@
             Poll::Pending => 0,
         };
         if peeked > ahead {
-            // More than was seen came behind the last look.
+            // Additional data arrived after the last peek.
             let at = if ahead > 0 { now - PEEK_INTERVAL } else { now };
             self.parse(&chunk[..peeked], ahead, at);
             self.read_notify.notify_waiters();
@@ -97,41 +101,43 @@
         Some(peeked)
     }
 
-    /// Are there bytes that hyper has not read yet, and that are to be read?
+    /// Whether there are bytes that hyper has not read yet and is going to read.
     pub fn has_unread(&self) -> bool {
         !self.is_read_out() && self.has_unread_bytes()
     }
 
-    /// Are there bytes that nobody has read?
+    /// Whether there are unread bytes.
     pub(super) fn has_unread_bytes(&self) -> bool {
         self.peek().is_ok_and(|count| count > 0)
     }
 
-    /// Has a request come, or begun to come, behind the one that was handed out last?
+    /// Whether a request has arrived, or started to arrive, behind the one handed out last.
     pub fn has_further_request(&self) -> bool {
         let has_waiting_head = || self.with_framing(|framing| framing.has_waiting_head()).unwrap_or_default();
         !self.is_read_out() && (self.in_head() || has_waiting_head() || self.has_unread_bytes())
     }
 
-    /// No further request is begun to be read than what has come: that has its answer, and the rest was never taken. Behind a
-    /// stop of the process the runtime may not know yet what has come: then this is left to the next time.
+    /// Reads no further requests than those that have arrived: they are answered, and the rest was
+    /// never accepted. After a process stall the runtime may not know yet what has arrived; then
+    /// this is left to the next call.
     pub fn stop_reading(&self) {
         if self.gate.is_ending() {
             return;
         }
-        // In the middle of a body nothing behind it is looked at.
+        // In the middle of a body nothing behind it is peeked at.
         if !self.is_between_requests() || self.peek_pipelined() || !self.has_unread_bytes() {
             self.gate.stop_at(self.with_framing(|framing| framing.position()).unwrap_or_default());
             self.read_notify.notify_waiters();
         }
     }
 
-    /// Is the connection to end once what has come is answered?
+    /// Whether the connection is to end once the requests that have arrived are answered.
     pub fn is_ending(&self) -> bool {
         self.gate.is_ending()
     }
 
-    /// Waits until no further request is read, and the last one has its answer: what comes from then on would lie there.
+    /// Waits until no further request is read and the last one has been answered: what arrives
+    /// later would stay unread.
     pub async fn wait_until_read_out(&self) {
         loop {
             let more = self.read_notify.notified();
@@ -173,7 +179,7 @@
         }
     }
 
-    /// How many bytes may be read: as far as the end of the request, if that is here.
+    /// How many bytes may be read: up to the end of the request, if that has arrived.
     fn poll_readable(&self, context: &mut Context, chunk: &mut [u8]) -> Poll<io::Result<usize>> {
         let ahead = self.peeked_bytes();
         let chunk_left = self.with_framing(|framing| framing.chunk_left()).flatten();
@@ -194,7 +200,7 @@
     }
 
     fn nothing_to_read<T>(&self, context: &Context) -> Poll<T> {
-        // Of a new connection the runtime may not have been told yet what came while it waited to be accepted.
+        // On a new connection the runtime may not know yet what arrived before it was accepted.
         if self.bytes_moved() > 0 || self.is_quiet() {
             self.arrival.found_nothing();
         }
@@ -202,7 +208,7 @@
         Poll::Pending
     }
 
-    /// Of a client that is not read only the end is told.
+    /// Only detects the end of a client that is not being read.
     fn poll_client_end(&self, context: &mut Context) -> Poll<io::Result<usize>> {
         self.gate.register_reader(context.waker());
         loop {
--- a/crates/pearfront-node/src/tracked_stream/tests.rs
+++ b/crates/pearfront-node/src/tracked_stream/tests.rs
@@ -2,7 +2,7 @@
 use crate::capacity::Capacity;
 use test_case::test_case;
 
-// A body whose length is not told ahead is whole with the end of its chunks, and not before the last of them.
+// A body of unknown length is complete with the end of its last chunk, and not before.
 #[test]
 fn a_chunked_message_is_complete_only_with_its_end() {
     let stream = stream();
@@ -23,7 +23,8 @@
     TrackedStream::to_server(runtime.block_on(connect).unwrap(), Capacity::new(64, 1.0).take_slot())
 }
 
-// The boundary between "never ran" and "may have run" is the last byte, in whatever pieces it is written.
+// The boundary between "never ran" and "may have run" is the last byte, however the message is
+// split into writes.
 #[test_case("GET /a HTTP/1.1\r\nHost: b\r\n\r\n", 0; "no body")]
 #[test_case("POST /a HTTP/1.1\r\nX: \r\r\n\r\nbo\r\n\r\ndy", 8; "ends of lines in odd places")]
 fn a_message_is_complete_only_with_its_last_byte(message: &str, body: u64) {
--- a/crates/pearfront-node/src/upload.rs
+++ b/crates/pearfront-node/src/upload.rs
@@ -1,5 +1,6 @@
-//! Request bodies: how they are read from their clients, and how large ones get on to a server. A large body is read ahead of
-//! its server, so that a server that takes nothing hides neither whether the client still sends nor what it sends behind.
+//! Reads request bodies from clients, and passes large ones on to a server. A large body is read
+//! ahead of its server, so that a server that accepts no data hides neither whether the client is
+//! still sending nor the requests behind the body. Used by `client_service`.
 
 use crate::capacity::{Capacity, ReservedBytes};
 use crate::streaming::{self, BodyError, BodyStart, MAX_BODY_BYTES, MAX_BUFFERED_BYTES};
@@ -14,48 +15,51 @@
 use tokio::sync::mpsc::{self, UnboundedReceiver, UnboundedSender};
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// Bytes that a piece takes beside its data: small ones take more for this than for themselves.
+/// Overhead of a piece in bytes beside its data; for small pieces it is larger than the data.
 const PIECE_OVERHEAD: usize = 128;
-/// How long a body may bring nothing, or its server take nothing of it: with the head its client is owed an error or a close
-/// within 3 s of its last byte.
+/// How long a body may make no progress, or its server accept none of it: together with the head,
+/// its client has to get an error or a close within 3 s of its last byte.
 const PROGRESS_TIMEOUT: Duration = Duration::from_millis(2500);
-/// The least of that, where its last bytes had to wait: a client whose sending was held back goes on at once.
+/// The minimum of that if the client's last bytes had to wait to be read: a client whose sending
+/// was held back continues at once.
 const MIN_PROGRESS_TIMEOUT: Duration = Duration::from_millis(400);
-/// A body may take this time, and for each byte what it takes at the slowest: 16 kB a second, a quarter of what slow
-/// clients are said to bring.
+/// A body may take this time, plus the time per byte at the minimum rate of 16 kB/s, which is a
+/// quarter of the specified rate of slow clients.
 const BASE_BODY_TIME: Duration = Duration::from_millis(2500);
 const TIME_PER_BYTE: Duration = Duration::from_nanos(62_500);
-/// How long, and how often, a body that no attempt has asked for is held back for want of room. Meanwhile nobody sees what its client
-/// sends behind it, nor whether that has left; an attempt may begin up to 0.1 s behind the client's end. In several waits, as a
-/// process that stood still has had no time to begin an attempt.
+/// How long and how often a body that no attempt has claimed is held back when there is no memory
+/// to read ahead. Meanwhile nobody sees the data behind it, or whether the client has left; an
+/// attempt may start up to 0.1 s after the client's end. There are several waits because a process
+/// that was stalled had no time to start an attempt.
 const UNCLAIMED_WAIT: Duration = Duration::from_millis(20);
 const UNCLAIMED_WAITS: usize = 4;
-/// How long the rest of a body is read whose request has its answer.
+/// How long the rest of a body is read after its request has been answered.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A part of a body for its server; without an end the body is not whole.
+/// A piece of a body for its server; without an `End` the body is incomplete.
 pub enum Piece {
     Data(Bytes, PieceMemory),
     End,
 }
 
-/// What of a body has been read and has not been taken by its server.
+/// The part of a body that has been read and not yet taken by its server.
 struct ReadAhead {
     capacity: Rc<Capacity>,
     bytes: Cell<usize>,
-    /// Has an attempt asked for it?
+    /// Whether an attempt has claimed the body.
     is_claimed: Cell<bool>,
-    /// When an attempt asked for it, or its server took a piece, last.
+    /// When an attempt claimed the body, or its server last took a piece.
     taken_at: Cell<Instant>,
-    /// Rung when one does.
+    /// Notified when that happens.
     taken: Notify,
 }
 
 impl ReadAhead {
-    /// A place for so many bytes; without room for them once the server has taken all before them.
+    /// Reserves read-ahead memory for `bytes`; if there is none, waits until the server has taken
+    /// everything before them.
     ///
     /// # Errors
-    /// Where the server takes nothing, or there is none.
+    /// If the server accepts no data, or there is no server.
     async fn wait_for_memory(self: &Rc<Self>, bytes: usize) -> Result<PieceMemory, BodyError> {
         let began = Instant::now();
         let mut unclaimed = 0;
@@ -90,7 +94,7 @@
     }
 }
 
-/// What a piece takes of the room until its server has it.
+/// Read-ahead memory of a piece, reserved until its server has it.
 pub struct PieceMemory {
     ahead: Rc<ReadAhead>,
     bytes: usize,
@@ -104,14 +108,14 @@
     }
 }
 
-/// The end of an upload from which its pieces are taken.
+/// The receiving end of an upload.
 pub struct PieceReceiver {
     source: UnboundedReceiver<Piece>,
     ahead: Rc<ReadAhead>,
 }
 
 impl PieceReceiver {
-    /// An attempt begins to take them.
+    /// An attempt starts taking the pieces.
     pub fn claim(self) -> UnboundedReceiver<Piece> {
         self.ahead.is_claimed.set(true);
         self.ahead.note_taken();
@@ -119,7 +123,8 @@
     }
 }
 
-/// How the passing of a body ended, and what is left of it: an error where it did not come whole, or nobody takes it.
+/// How passing on a body ended, and the unread rest of it: an error if it did not arrive
+/// completely, or nobody takes it.
 pub struct PassedBody {
     pub result: Result<(), BodyError>,
     pub body: Incoming,
@@ -132,7 +137,7 @@
 }
 
 impl Upload {
-    /// With the end from which its pieces are taken.
+    /// Returns the upload and its receiving end.
     pub fn new(capacity: Rc<Capacity>) -> (Self, PieceReceiver) {
         let (pieces, source) = mpsc::unbounded_channel();
         let (bytes, is_claimed, taken_at) = (Cell::new(0), Cell::new(false), Cell::new(Instant::now()));
@@ -140,8 +145,9 @@
         (Self { pieces, ahead: ahead.clone() }, PieceReceiver { source, ahead })
     }
 
-    /// Reads the body as it comes, ahead of its server as far as there is room; if nobody takes it any more it is still read to
-    /// its end, as its answer may be on the way. The client's connection is not kept open by it.
+    /// Reads the body as it arrives, ahead of its server as far as there is memory. If nobody takes
+    /// it any more, it is still read to its end, as its answer may be on the way. Does not keep the
+    /// client connection open.
     pub async fn pass_on(self, client: Weak<TrackedStream>, mut body: Incoming) -> PassedBody {
         let result = self.pass(&client, &mut body).await;
         PassedBody { result, body }
@@ -150,7 +156,8 @@
     async fn pass(&self, client: &Weak<TrackedStream>, body: &mut Incoming) -> Result<(), BodyError> {
         let began = Instant::now();
         let mut length = 0_u64;
-        // While a server takes nothing, its client can bring nothing: only the waiting for the client counts.
+        // While a server accepts no data, the client cannot make progress: only the time spent
+        // waiting for the client counts.
         let mut held_back = Duration::ZERO;
         while let Some(data) = next_piece(client, body).await? {
             length += data.len() as u64;
@@ -171,16 +178,17 @@
     async fn push(&self, data: &[u8]) -> Result<(), BodyError> {
         let bytes = data.len() + PIECE_OVERHEAD;
         let memory = self.ahead.wait_for_memory(bytes).await?;
-        // A copy of its own: it would keep the whole buffer into which it was read.
+        // Copied, as a slice would keep the whole read buffer alive.
         let _ = self.pieces.send(Piece::Data(Bytes::copy_from_slice(data), memory));
         Ok(())
     }
 }
 
-/// The next bytes of a body; none at its end.
+/// The next bytes of a body; `None` at its end.
 async fn next_piece(client: &Weak<TrackedStream>, body: &mut Incoming) -> Result<Option<Bytes>, BodyError> {
     loop {
-        // What was read late, as its server took nothing, came long ago; so its client has waited since.
+        // Data that was read late because its server accepted none arrived long ago, and the client
+        // has been waiting since.
         let last_empty_at = client.upgrade().ok_or(BodyError::Cut)?.last_empty_at();
         let limit = PROGRESS_TIMEOUT.saturating_sub(last_empty_at.elapsed()).max(MIN_PROGRESS_TIMEOUT);
         let frame = timeout(limit, body.frame()).await.map_err(|_| BodyError::Stalled)?;
@@ -191,10 +199,11 @@
     }
 }
 
-/// Reads a body as far as it is kept whole; without room for it, nothing of it is. One that comes too slowly is given up.
+/// Reads a body up to the size that is buffered; with `keep` false nothing of it is kept. A body
+/// that arrives too slowly is given up.
 ///
 /// # Errors
-/// Where it does not come.
+/// If the body does not arrive.
 pub async fn read_start(body: Incoming, keep: bool) -> Result<BodyStart, BodyError> {
     let longest = BASE_BODY_TIME + TIME_PER_BYTE * MAX_BUFFERED_BYTES as u32;
     timeout(longest, streaming::read_start(body, MAX_BUFFERED_BYTES, PROGRESS_TIMEOUT, keep))
@@ -202,8 +211,8 @@
         .unwrap_or(Err(BodyError::Stalled))
 }
 
-/// Goes on with a body whose request is answered: where its server still gives a large answer, as long as it takes the body, else
-/// so that its client gets to see the answer.
+/// Continues to read a body whose request is answered: if a large answer is being streamed, as long
+/// as the server takes the body, otherwise only so that the client gets to see the answer.
 pub async fn finish(passing: impl Future<Output = PassedBody>, is_answer_streamed: bool) {
     let all = async {
         let passed = passing.await;
@@ -218,7 +227,8 @@
     }
 }
 
-/// Reads the rest of a body that nobody needs, so that its client gets to see the answer; one that goes on is cut off.
+/// Reads the rest of a body that is not needed, so that the client gets to see the answer; one that
+/// goes on too long is cut off.
 pub async fn drain(mut body: Incoming) {
     let all = async { while let Ok(Some(Ok(_))) = timeout(PROGRESS_TIMEOUT, body.frame()).await {} };
     let _ = timeout(DRAIN_TIMEOUT, all).await;
