--- a/crates/pearfront-node/src/accept_queue.rs
+++ b/crates/pearfront-node/src/accept_queue.rs
@@ -30,7 +30,7 @@
 }
 
 impl AcceptQueue {
-    /// A queue that holds at most `most` connections, none of which arrived before `opened`.
+    /// A queue that holds at most `max_waiting` connections, none of which arrived before `opened`.
     pub fn new(max_waiting: usize, opened: Instant) -> Self {
         Self {
             max_waiting,
