--- a/crates/pearfront-node/src/accept.rs
+++ b/crates/pearfront-node/src/accept.rs
@@ -7,8 +7,8 @@
 use crate::client_service::{CLOSING_PERIOD_MS, ClientService};
 use crate::framing::Framing;
 use crate::inherited;
-use crate::logger::Seldom;
-use crate::pulse::CATCH_UP;
+use crate::logger::WarnLimiter;
+use crate::stall_monitor::CATCH_UP;
 use crate::tcp_info;
 use socket2::SockRef;
 use std::cell::Cell;
@@ -71,8 +71,8 @@
     last_stall: Cell<Option<f64>>,
     /// How many connections were accepted since other tasks last ran.
     accepted_in_a_row: Cell<usize>,
-    failure_log: Seldom,
-    unread_log: Seldom,
+    failure_log: WarnLimiter,
+    unread_log: WarnLimiter,
 }
 
 impl Acceptor {
@@ -81,7 +81,7 @@
     pub fn new(listener: TcpListener, shared: bool, service: Rc<ClientService>) -> Self {
         let now = Instant::now();
         let (max_waiting, opened_at) = if shared {
-            (inherited::longest_queue(), now.checked_sub(MAX_QUEUE_TIME + NO_SLOT_TIME).unwrap_or(now))
+            (inherited::max_accept_queue(), now.checked_sub(MAX_QUEUE_TIME + NO_SLOT_TIME).unwrap_or(now))
         } else {
             (BACKLOG as usize, now)
         };
@@ -94,8 +94,8 @@
             no_slot_since: Cell::new(None),
             last_stall: Cell::new(None),
             accepted_in_a_row: Cell::new(0),
-            failure_log: Seldom::default(),
-            unread_log: Seldom::default(),
+            failure_log: WarnLimiter::default(),
+            unread_log: WarnLimiter::default(),
         }
     }
 
@@ -117,11 +117,13 @@
         };
         tokio::select! {
             never = self.accept_all() => match never {},
-            () = sleep_until(self.service.dispatcher.clock.at(last_answers - CLOSING_PERIOD_MS)) => {}
+            () = sleep_until(self.service.dispatcher.clock.instant_at(last_answers - CLOSING_PERIOD_MS)) => {}
             () = clients_gone => {}
         }
         let end = Instant::now() + FINAL_DRAIN;
-        let _ = timeout_at(end.min(self.service.dispatcher.clock.at(last_answers)), self.empty_queue()).await;
+        let _ =
+            timeout_at(end.min(self.service.dispatcher.clock.instant_at(last_answers)), self.empty_queue())
+                .await;
     }
 
     /// Empties the accept queue. A connection that the kernel has accepted is this process's
@@ -325,7 +327,7 @@
     fn established_no_earlier(&self, stream: &TcpStream) -> Option<Instant> {
         let dispatcher = &self.service.dispatcher;
         tcp_info::earliest_established(stream)
-            .or_else(|| dispatcher.stall_began().map(|began| dispatcher.clock.at(began)))
+            .or_else(|| dispatcher.stall_began().map(|began| dispatcher.clock.instant_at(began)))
     }
 
     async fn yield_periodically(&self) {
--- a/crates/pearfront-node/src/capacity.rs
+++ b/crates/pearfront-node/src/capacity.rs
@@ -116,7 +116,8 @@
             let theirs = all / (others.len() + 1) * others.len();
             all.saturating_sub(used.max(theirs))
         };
-        let reserved = FIXED_DESCRIPTORS * (others.len() + 1) + crate::admin::DESCRIPTORS * others.len();
+        let reserved =
+            FIXED_DESCRIPTORS * (others.len() + 1) + crate::admin::RESERVED_DESCRIPTORS * others.len();
         let reserve = (self.sockets.get() / RESERVE.0).min(RESERVE.1) / (others.len() + 1);
         let connections = self.sockets.get().saturating_sub(reserved + reserve * (others.len() + 1));
         let used = |what: fn(&Usage) -> usize| others.iter().map(what).sum();
--- a/crates/pearfront-node/src/client_service.rs
+++ b/crates/pearfront-node/src/client_service.rs
@@ -4,16 +4,16 @@
 
 use crate::capacity::{Capacity, RequestReservation};
 use crate::client_connection::ClientConnection;
+use crate::connection_pool::{BUFFER_BYTES, ConnectionPool};
 use crate::counters::Counters;
 use crate::deadline::Deadline;
 use crate::dispatcher::{Dispatcher, OpenRequest};
 use crate::late_answers::{AnswerTiming, LateAnswers};
 use crate::lifecycle::Lifecycle;
-use crate::logger::{Limited, Seldom};
+use crate::logger::{InfoLimiter, WarnLimiter};
 use crate::message::{self, Answer, Body, ClientCall, ClientRequest, RequestBody};
-use crate::send::{BUFFER, Senders};
+use crate::runtime_settings::SharedSettings;
 use crate::streaming::{BodyError, BodyStart, MAX_BUFFERED_BYTES};
-use crate::terms::InForce;
 use crate::tracked_stream::{HyperIo, TrackedStream};
 use crate::upload::{self, Upload};
 use http_body_util::Either;
@@ -61,36 +61,36 @@
 pub struct ClientService {
     pub dispatcher: Rc<Dispatcher>,
     pub capacity: Rc<Capacity>,
-    senders: Rc<Senders>,
-    terms: Rc<InForce>,
+    pool: Rc<ConnectionPool>,
+    settings: Rc<SharedSettings>,
     pub counters: Rc<Counters>,
     pub lifecycle: Rc<Lifecycle>,
     late_answers: LateAnswers,
-    malformed_log: Seldom,
-    no_capacity_log: Seldom,
-    broken_off_log: Limited,
+    malformed_log: WarnLimiter,
+    no_capacity_log: WarnLimiter,
+    broken_off_log: InfoLimiter,
 }
 
 impl ClientService {
     pub fn new(
         dispatcher: Rc<Dispatcher>,
         capacity: Rc<Capacity>,
-        senders: Rc<Senders>,
-        terms: Rc<InForce>,
+        pool: Rc<ConnectionPool>,
+        settings: Rc<SharedSettings>,
         counters: Rc<Counters>,
         lifecycle: Rc<Lifecycle>,
     ) -> Rc<Self> {
         Rc::new(Self {
             dispatcher,
             capacity,
-            senders,
-            terms,
+            pool,
+            settings,
             late_answers: LateAnswers::new(counters.clone()),
             counters,
             lifecycle,
-            malformed_log: Seldom::default(),
-            no_capacity_log: Seldom::default(),
-            broken_off_log: Limited::new(LOG_LINES_PER_SECOND),
+            malformed_log: WarnLimiter::default(),
+            no_capacity_log: WarnLimiter::default(),
+            broken_off_log: InfoLimiter::new(LOG_LINES_PER_SECOND),
         })
     }
 
@@ -103,7 +103,7 @@
 
     /// Returns whether one more connection may be accepted; closes idle ones for it if necessary.
     pub fn make_slot(&self) -> bool {
-        self.senders.make_caller_place()
+        self.pool.make_room_for_client()
     }
 
     /// Runs one connection until it ends, is closed or has to be aborted.
@@ -113,8 +113,9 @@
             client.begin_request(request.version());
             self.answer(&client, request)
         });
-        let mut connection =
-            pin!(Builder::new().max_buf_size(BUFFER).serve_connection(HyperIo(stream.clone()), service));
+        let mut connection = pin!(
+            Builder::new().max_buf_size(BUFFER_BYTES).serve_connection(HyperIo(stream.clone()), service)
+        );
         let mut closing = None;
         // Called right before the sending side is shut down. Whoever chose this connection to be
         // closed checked earlier, and many were chosen at once; data that arrived since is a
@@ -174,7 +175,7 @@
             self.counters.flows_broken.add();
             self.broken_off_log.info(|| "answer broken off: the answer to a pipelined request is due".into());
         } else if outcome != ConnectionOutcome::Stalled {
-            self.dispatcher.guard.close(&client, &format!("{outcome:?}"));
+            self.dispatcher.guard.check_close(&client, &format!("{outcome:?}"));
             if !stream.has_ended() {
                 self.late_answers
                     .record_unanswered(client.unanswered(), &format!("their connection ended: {outcome:?}"));
@@ -231,7 +232,7 @@
     ) -> Result<Response<Body>, BodyError> {
         let (head, body) = request.into_parts();
         let has_length = client.stream.next_request().has_length;
-        let call = message::decode_client_call(head, &self.terms.now(), has_length);
+        let call = message::decode_client_call(head, &self.settings.current(), has_length);
         let problem = match call {
             Ok(ClientCall::Up) => return Ok(message::encode_up(self.lifecycle.is_ready())),
             Ok(ClientCall::Request(request)) => match self.answer_request(client, *request, body).await {
@@ -389,7 +390,7 @@
     /// Closes idle connections whenever the node drains. Runs as long as the node.
     pub async fn close_in_drain(self: Rc<Self>) {
         loop {
-            if let Some(pause) = self.lifecycle.spares_for() {
+            if let Some(pause) = self.lifecycle.idle_close_after() {
                 self.capacity.close_idle(pause);
             }
             if !self.lifecycle.reads_requests() {
--- a/crates/pearfront-node/src/deadline.rs
+++ b/crates/pearfront-node/src/deadline.rs
@@ -2,7 +2,7 @@
 //! for meanwhile, and when it has to end early for a pipelined one. Used by `dispatcher`.
 
 use crate::clock::Clock;
-use crate::pulse::{CATCH_UP, Pulse};
+use crate::stall_monitor::{CATCH_UP, StallMonitor};
 use crate::tracked_stream::TrackedStream;
 use std::cell::Cell;
 use std::future::pending;
@@ -28,7 +28,7 @@
 /// earliest moment at which it can have arrived.
 pub struct Deadline {
     clock: Clock,
-    pulse: Rc<Pulse>,
+    stall_monitor: Rc<StallMonitor>,
     /// How long the client waits, ms.
     time_ms: f64,
     /// When the last byte arrived, once the body has been passed on.
@@ -39,8 +39,13 @@
 
 impl Deadline {
     /// Deadline of a request whose head says that its client waits for `time` ms.
-    pub fn new(clock: Clock, pulse: Rc<Pulse>, time_ms: f64, client: &Rc<TrackedStream>) -> Self {
-        Self { clock, pulse, time_ms, completed_at: Cell::new(None), client: Rc::downgrade(client) }
+    pub fn new(
+        clock: Clock,
+        stall_monitor: Rc<StallMonitor>,
+        time_ms: f64,
+        client: &Rc<TrackedStream>,
+    ) -> Self {
+        Self { clock, stall_monitor, time_ms, completed_at: Cell::new(None), client: Rc::downgrade(client) }
     }
 
     /// The last byte has been read, and the body has been passed on.
@@ -58,7 +63,7 @@
         let read = || {
             let client = self.client.upgrade()?;
             let seen = client.arrived_at().unwrap_or_else(|| client.unread_since());
-            Some(self.clock.time_of(earliest_arrival(&client, self.clock, &self.pulse, seen)))
+            Some(self.clock.time_of(earliest_arrival(&client, self.clock, &self.stall_monitor, seen)))
         };
         self.completed_at.get().or_else(read).unwrap_or_else(|| self.clock.now())
     }
@@ -100,7 +105,7 @@
     }
 
     fn pipelined_limit(&self) -> Option<f64> {
-        pipelined_limit(&*self.client.upgrade()?, self.clock, &self.pulse)
+        pipelined_limit(&*self.client.upgrade()?, self.clock, &self.stall_monitor)
     }
 
     /// Waits until then.
@@ -110,7 +115,7 @@
         }
         let wait = || wait_until(self.clock, &self.client, || self.answer_by());
         wait().await;
-        if self.pulse.stopped_at(self.clock.now()).is_some() {
+        if self.stall_monitor.stall_began(self.clock.now()).is_some() {
             // The data that arrived during the stall is being read, and the module has yet to run
             // its round.
             sleep(CATCH_UP_AND_ROUND).await;
@@ -121,23 +126,28 @@
 
 /// The latest time, ms, at which the answer to a request has to end for the first pipelined one
 /// behind it to be in time.
-fn pipelined_limit(client: &TrackedStream, clock: Clock, pulse: &Pulse) -> Option<f64> {
+fn pipelined_limit(client: &TrackedStream, clock: Clock, stall_monitor: &StallMonitor) -> Option<f64> {
     client
-        .pipelined_due(|seen| earliest_arrival(client, clock, pulse, seen))
+        .pipelined_due(|seen| earliest_arrival(client, clock, stall_monitor, seen))
         .map(|due| clock.time_of(due) - EARLY_MARGIN_MS)
 }
 
 /// The earliest time at which data can have arrived that was read or seen at `seen`: during a
 /// process stall nothing was read.
-fn earliest_arrival(client: &TrackedStream, clock: Clock, pulse: &Pulse, seen: Instant) -> Instant {
-    let stall = pulse.stopped_at(clock.time_of(seen)).map(|began| clock.at(began));
+fn earliest_arrival(
+    client: &TrackedStream,
+    clock: Clock,
+    stall_monitor: &StallMonitor,
+    seen: Instant,
+) -> Instant {
+    let stall = stall_monitor.stall_began(clock.time_of(seen)).map(|began| clock.instant_at(began));
     stall.map_or(seen, |began| began.max(client.opened_at()))
 }
 
 /// Waits until an answer under way to this client has to end because the answer to a pipelined
 /// request is due.
-pub async fn pipelined_answer_is_due(clock: Clock, pulse: &Pulse, client: &Rc<TrackedStream>) {
-    let at = || pipelined_limit(client, clock, pulse).unwrap_or(f64::INFINITY);
+pub async fn pipelined_answer_is_due(clock: Clock, stall_monitor: &StallMonitor, client: &Rc<TrackedStream>) {
+    let at = || pipelined_limit(client, clock, stall_monitor).unwrap_or(f64::INFINITY);
     wait_until(clock, &Rc::downgrade(client), at).await;
 }
 
@@ -148,7 +158,7 @@
         && clock.now() < at
     {
         tokio::select! {
-            () = sleep_until(clock.at(at)) => {}
+            () = sleep_until(clock.instant_at(at)) => {}
             () = wait_for_more(client) => {}
         }
     }
--- a/crates/pearfront-node/src/dispatcher.rs
+++ b/crates/pearfront-node/src/dispatcher.rs
@@ -3,22 +3,22 @@
 
 use crate::answer_sender::AnswerSender;
 use crate::capacity::RequestReservation;
-use crate::clock::{Clock, NEVER};
+use crate::clock::{Clock, NEVER_MS};
+use crate::connection_pool::{Attempt, ConnectionEnd, ConnectionPool};
 use crate::counters::Counters;
 use crate::deadline::{self, Deadline};
 use crate::discovery::{self, Discovery, ServerLocation};
 use crate::guard::Guard;
 use crate::handover::Peers;
-use crate::logger::Limited;
+use crate::logger::InfoLimiter;
 use crate::message::{Answer, ClientRequest};
 use crate::probe::Prober;
-use crate::send::{Attempt, ConnectionEnd, Senders};
+use crate::runtime_settings::SharedSettings;
 use crate::streaming::BodyError;
-use crate::terms::InForce;
 use crate::tracked_stream::TrackedStream;
 use http_body_util::Either;
 use hyper::header::HeaderValue;
-use pearfront::interface::{Address, Profile, Writer};
+use pearfront::interface::{Address, DecisionWriter, Profile};
 use pearfront::policy::Balancer;
 use std::borrow::Cow;
 use std::cell::{Cell, RefCell};
@@ -117,7 +117,7 @@
     }
 
     pub fn profile(&self) -> &Profile {
-        &self.request.terms.settings.profiles[self.request.profile]
+        &self.request.settings.policy_settings.profiles[self.request.profile]
     }
 
     /// Whether its client has ended the connection.
@@ -164,7 +164,7 @@
 pub struct Dispatcher {
     pub clock: Clock,
     pub events: Rc<EventQueue>,
-    senders: Rc<Senders>,
+    pool: Rc<ConnectionPool>,
     discovery: Rc<Discovery>,
     pub guard: Rc<Guard>,
     prober: Rc<Prober>,
@@ -173,17 +173,17 @@
     /// The other processes of this node, and the ids of the requests open here.
     peers: Rc<Peers>,
     next_number: Cell<u32>,
-    refused_log: Limited,
-    repeated_log: Limited,
-    unsent_log: Limited,
-    broken_log: Rc<Limited>,
+    refused_log: InfoLimiter,
+    repeated_log: InfoLimiter,
+    unsent_log: InfoLimiter,
+    broken_log: Rc<InfoLimiter>,
 }
 
 impl Dispatcher {
     pub fn new(
         clock: Clock,
         events: Rc<EventQueue>,
-        senders: Rc<Senders>,
+        pool: Rc<ConnectionPool>,
         discovery: Rc<Discovery>,
         prober: Rc<Prober>,
         counters: Rc<Counters>,
@@ -191,12 +191,12 @@
     ) -> Rc<Self> {
         let guard = prober.guard.clone();
         let (open_requests, next_number) = (RefCell::default(), Cell::new(0));
-        let limited = || Limited::new(LOG_LINES_PER_SECOND);
+        let limited = || InfoLimiter::new(LOG_LINES_PER_SECOND);
         let (refused_log, repeated_log, unsent_log) = (limited(), limited(), limited());
         Rc::new(Self {
             clock,
             events,
-            senders,
+            pool,
             discovery,
             guard,
             prober,
@@ -214,7 +214,7 @@
     /// Whether another request with the same id is open, whoever sent it, here or in another
     /// process of this node.
     pub fn has_open_request(&self, request: &ClientRequest) -> bool {
-        self.peers.has_open(&id_text(request.id()))
+        self.peers.has_open_request(&id_text(request.id()))
     }
 
     /// Accepts a request; the receiver gets its answer in any case. While the body is still
@@ -229,7 +229,7 @@
         let (sender, answer) = AnswerSender::new(self.counters.clone());
         let number = self.next_number.get();
         self.next_number.set(number.wrapping_add(1));
-        let (terms, profile, customer) = (request.terms.clone(), request.profile, request.customer);
+        let (settings, profile, customer) = (request.settings.clone(), request.profile, request.customer);
         let limit = if request.is_streamed() { f64::INFINITY } else { deadline.at() };
         let open = Rc::new(OpenRequest {
             number,
@@ -242,30 +242,31 @@
             attempts_running: Cell::new(0),
             _reservation: reservation,
         });
-        self.peers.open(id_text(open.request.id()).into());
+        self.peers.request_opened(id_text(open.request.id()).into());
         self.open_requests.borrow_mut().insert(number, open.clone());
         self.counters.taken.add();
-        self.events
-            .push(move |balancer| balancer.job_under(&terms.settings, number, profile, customer, limit));
+        self.events.push(move |balancer| {
+            balancer.request_received_under(&settings.policy_settings, number, profile, customer, limit)
+        });
         (open, answer)
     }
 
     /// The deadline of the request that was read last on this connection; its client waits for
     /// `time` ms.
     pub fn deadline(&self, time: f64, stream: &Rc<TrackedStream>) -> Deadline {
-        Deadline::new(self.clock, self.discovery.pulse(), time, stream)
+        Deadline::new(self.clock, self.discovery.stall_monitor(), time, stream)
     }
 
     /// When the last process stall began, ms, if it has just ended and the data that arrived
     /// meanwhile may not have been read yet.
     pub fn stall_began(&self) -> Option<f64> {
-        self.discovery.pulse().stopped_at(self.clock.now())
+        self.discovery.stall_monitor().stall_began(self.clock.now())
     }
 
     /// Waits until an answer under way to this client has to end because the answer to a pipelined
     /// request is due.
     pub async fn pipelined_answer_is_due(&self, client: &Rc<TrackedStream>) {
-        deadline::pipelined_answer_is_due(self.clock, &self.discovery.pulse(), client).await;
+        deadline::pipelined_answer_is_due(self.clock, &self.discovery.stall_monitor(), client).await;
     }
 
     /// The last byte of a request has arrived: its deadline runs from now on.
@@ -274,7 +275,7 @@
         open.deadline.body_complete();
         let limit = open.deadline.at();
         open.completed.notify_waiters();
-        self.events.push(move |balancer| balancer.body_came(number, limit));
+        self.events.push(move |balancer| balancer.body_received(number, limit));
     }
 
     /// The client of a request has left, if it had no answer yet.
@@ -340,7 +341,7 @@
     fn remove_if_done(&self, open: &OpenRequest) {
         if open.attempts_running.get() == 0 && !open.answer.is_open() {
             self.open_requests.borrow_mut().remove(&open.number);
-            self.peers.over(&id_text(open.request.id()));
+            self.peers.request_closed(&id_text(open.request.id()));
         }
     }
 
@@ -349,7 +350,7 @@
         let Some(open) = self.open_requests.borrow().get(&number).cloned() else { return };
         let called_off = Rc::new(Notify::new());
         let index = open.attempts.borrow().len();
-        let to = discovery::address(server);
+        let to = discovery::decode_address(server);
         if index > 0 {
             let line =
                 || format!("request {} sent again, to {to}: {}", id_text(open.request.id()), open.history());
@@ -357,7 +358,7 @@
         }
         open.attempts.borrow_mut().push(AttemptRecord {
             server: to,
-            server_location: self.discovery.place_of(to),
+            server_location: self.discovery.location_of(to),
             written_at: None,
             called_off: called_off.clone(),
             end: None,
@@ -367,19 +368,19 @@
         let dispatcher = self.clone();
         spawn_local(async move {
             let started = dispatcher.clock.now();
-            let until = dispatcher.clock.at(started + limit);
+            let until = dispatcher.clock.instant_at(started + limit);
             let permit = || {
-                let permit = dispatcher.guard.attempt(&open, index, to)?;
+                let permit = dispatcher.guard.permit_attempt(&open, index, to)?;
                 // Once its first byte is written it cannot be sent again.
                 if open.request.is_streamed() {
-                    dispatcher.events.push(move |balancer| balancer.spent(number));
+                    dispatcher.events.push(move |balancer| balancer.body_not_replayable(number));
                 }
                 Some(permit)
             };
             let timeout = dispatcher.attempt_timeout(&open, until);
             let (closed, called_off) = (open.answer.closed(), called_off.notified());
             let attempt =
-                dispatcher.senders.attempt(to, &open.request, timeout, closed, permit, called_off).await;
+                dispatcher.pool.attempt(to, &open.request, timeout, closed, permit, called_off).await;
             if attempt.end == ConnectionEnd::CallerGone {
                 dispatcher.client_left(&open);
             }
@@ -401,7 +402,7 @@
         }
         // The last byte may have arrived between the decision for the attempt and its start, so
         // there may be no notification.
-        sleep_until(until.min(self.clock.at(open.deadline.at()))).await;
+        sleep_until(until.min(self.clock.instant_at(open.deadline.at()))).await;
     }
 
     fn attempt_ended(
@@ -418,7 +419,7 @@
         }
         if matches!(attempt.end, ConnectionEnd::NotSent | ConnectionEnd::CallerGone | ConnectionEnd::Withheld)
         {
-            let to = discovery::address(server);
+            let to = discovery::decode_address(server);
             let line =
                 || format!("request {} not sent to {to}: {:?}", id_text(open.request.id()), attempt.end);
             self.unsent_log.info(line);
@@ -431,7 +432,7 @@
             if let Either::Right(streamed) = &mut reply.body {
                 self.counters.flows.add();
                 streamed.keep_alive(open.clone());
-                streamed.set_deadline(self.clock.at(open.deadline.at()));
+                streamed.set_deadline(self.clock.instant_at(open.deadline.at()));
                 streamed.on_break(self.break_callback(open));
             }
             open.answer.send(Answer::Served(Box::new(reply)));
@@ -468,16 +469,16 @@
 
     /// Runs rounds as long as the node: one whenever an event arrives or a wake-up is due, at least
     /// `round` apart.
-    pub async fn run_rounds(self: Rc<Self>, mut balancer: Balancer, terms: Rc<InForce>) {
-        let mut wake = NEVER;
+    pub async fn run_rounds(self: Rc<Self>, mut balancer: Balancer, settings: Rc<SharedSettings>) {
+        let mut wake = NEVER_MS;
         loop {
             tokio::select! {
                 () = self.events.pushed.notified() => {}
-                () = sleep_until(self.clock.at(wake)) => {}
+                () = sleep_until(self.clock.instant_at(wake)) => {}
             }
             let now = self.clock.now();
             if wake <= now {
-                wake = NEVER;
+                wake = NEVER_MS;
             }
             let events = self.events.queued.take();
             let feed = |balancer: &mut Balancer| {
@@ -488,7 +489,7 @@
             let Ok(()) = balancer.round(now, feed, &mut decisions);
             wake = decisions.wake;
             self.counters.rounds.add();
-            sleep_until(self.clock.at(now + terms.now().settings.round)).await;
+            sleep_until(self.clock.instant_at(now + settings.current().policy_settings.round_interval)).await;
         }
     }
 }
@@ -500,12 +501,12 @@
     wake: f64,
 }
 
-impl Writer for Decisions<'_> {
+impl DecisionWriter for Decisions<'_> {
     fn attempt(&mut self, request: u32, server: Address, limit: f64) {
         self.dispatcher.attempt(request, server, limit);
     }
 
-    fn call_off(&mut self, request: u32, attempt: u16) {
+    fn cancel(&mut self, request: u32, attempt: u16) {
         if let Some(open) = self.dispatcher.open_requests.borrow().get(&request)
             && let Some(attempt) = open.attempts.borrow().get(usize::from(attempt))
         {
@@ -522,15 +523,15 @@
     }
 
     fn probe(&mut self, server: Address) {
-        spawn_local(self.dispatcher.prober.clone().probe(server, discovery::address(server)));
+        spawn_local(self.dispatcher.prober.clone().probe(server, discovery::decode_address(server)));
     }
 
-    fn wake(&mut self, delay: f64) {
+    fn wake_after(&mut self, delay: f64) {
         self.wake = self.wake.min(self.now + delay + WAKE_MARGIN_MS);
     }
 
-    fn watch(&mut self) {
-        self.dispatcher.discovery.watch();
+    fn watch_list(&mut self) {
+        self.dispatcher.discovery.start_watch();
     }
 
     fn log(&mut self, line: &str) {
--- a/crates/pearfront-node/src/late_answers.rs
+++ b/crates/pearfront-node/src/late_answers.rs
@@ -1,7 +1,7 @@
 //! Counts and logs answers that came too late or not at all. Used by `client_service`.
 
 use crate::counters::Counters;
-use crate::logger::Limited;
+use crate::logger::InfoLimiter;
 use hyper::StatusCode;
 use hyper::header::HeaderValue;
 use std::rc::Rc;
@@ -27,16 +27,16 @@
 /// Counts and logs answers that came too late or not at all.
 pub struct LateAnswers {
     counters: Rc<Counters>,
-    late_log: Limited,
-    unanswered_log: Limited,
+    late_log: InfoLimiter,
+    unanswered_log: InfoLimiter,
 }
 
 impl LateAnswers {
     pub fn new(counters: Rc<Counters>) -> Self {
         Self {
             counters,
-            late_log: Limited::new(LOG_LINES_PER_SECOND),
-            unanswered_log: Limited::new(LOG_LINES_PER_SECOND),
+            late_log: InfoLimiter::new(LOG_LINES_PER_SECOND),
+            unanswered_log: InfoLimiter::new(LOG_LINES_PER_SECOND),
         }
     }
 
--- a/crates/pearfront-node/src/message/clients.rs
+++ b/crates/pearfront-node/src/message/clients.rs
@@ -3,7 +3,7 @@
 use super::body::{Body, plain};
 use super::request::ClientRequest;
 use super::servers::Reply;
-use crate::terms::Terms;
+use crate::runtime_settings::RuntimeSettings;
 use http_body_util::Either;
 use hyper::header::{self, HeaderMap, HeaderValue};
 use hyper::http::request;
@@ -23,7 +23,7 @@
 /// readers may find another request hidden in the body.
 pub fn decode_client_call(
     head: request::Parts,
-    terms: &Rc<Terms>,
+    settings: &Rc<RuntimeSettings>,
     may_have_length: bool,
 ) -> Result<ClientCall, String> {
     if may_have_length && is_chunked(&head.headers) {
@@ -32,7 +32,7 @@
     if head.method == Method::GET && head.uri.path() == "/up" {
         return Ok(ClientCall::Up);
     }
-    Ok(ClientCall::Request(Box::new(ClientRequest::decode(head, terms)?)))
+    Ok(ClientCall::Request(Box::new(ClientRequest::decode(head, settings)?)))
 }
 
 fn is_chunked(headers: &HeaderMap) -> bool {
