--- a/crates/pearfront-node/src/accept.rs
+++ b/crates/pearfront-node/src/accept.rs
@@ -36,7 +36,7 @@
 const NO_SLOT_TIME: Duration = Duration::from_millis(20);
 /// How long the accept queue is emptied at the end: time to wait for slots, and to close the
 /// connections that got none.
-const FINAL_DRAIN: Duration = Duration::from_millis(400);
+const FINAL_QUEUE_TIME: Duration = Duration::from_millis(400);
 /// Pause between two passes over the accept queue while each new connection takes the slot of
 /// another. Requests under way arrive meanwhile, and clients that reconnect at once do not use up
 /// the CPU.
@@ -120,7 +120,7 @@
             () = sleep_until(self.service.dispatcher.clock.instant_at(last_answers - CLOSING_PERIOD_MS)) => {}
             () = clients_gone => {}
         }
-        let end = Instant::now() + FINAL_DRAIN;
+        let end = Instant::now() + FINAL_QUEUE_TIME;
         let _ =
             timeout_at(end.min(self.service.dispatcher.clock.instant_at(last_answers)), self.empty_queue())
                 .await;
--- a/crates/pearfront-node/src/client_connection.rs
+++ b/crates/pearfront-node/src/client_connection.rs
@@ -33,7 +33,9 @@
     has_sent_request: Cell<bool>,
     /// HTTP version of the last request.
     version: Cell<Version>,
+    /// When it was opened, or its last request was answered.
     pub idle_since: Cell<Instant>,
+    /// Whether it has been chosen to be closed or aborted.
     closing: Cell<bool>,
     answered_early: Cell<bool>,
     /// When a partial head was first seen on it.
@@ -42,6 +44,7 @@
     progress: Cell<(usize, Instant)>,
     /// Notified when an answer starts or stops being streamed to it.
     streaming_changed: Notify,
+    /// Notified when it is to be closed once it has nothing unanswered.
     pub close_requested: Notify,
     /// Notified when it is to be aborted in the middle of an exchange.
     pub abort_requested: Notify,
@@ -142,6 +145,7 @@
         must_abort
     }
 
+    /// Whether a complete head has been missing for too long.
     pub fn is_head_overdue(&self) -> bool {
         let partial_head_since =
             self.stream.in_head().then(|| self.partial_head_since.get().unwrap_or_else(Instant::now));
@@ -223,6 +227,7 @@
         self.abort_requested.notify_one();
     }
 
+    /// Asks the task that serves it to close it in an orderly way.
     pub fn request_close(&self) {
         self.closing.set(true);
         self.close_requested.notify_one();
--- a/crates/pearfront-node/src/client_service.rs
+++ b/crates/pearfront-node/src/client_service.rs
@@ -237,12 +237,12 @@
             Ok(ClientCall::Up) => return Ok(message::encode_up(self.lifecycle.is_ready())),
             Ok(ClientCall::Request(request)) => match self.answer_request(client, *request, body).await {
                 Ok(answer) => return Ok(answer),
-                Err(Problem::Gone) => return Err(BodyError::Cut),
+                Err(Problem::ClientLeft) => return Err(BodyError::Cut),
                 Err(Problem::Malformed(problem)) => problem,
             },
             Err(problem) => match upload::read_start(body, false).await {
                 Ok(start) => {
-                    drain_rest(start);
+                    discard_rest(start);
                     return Ok(self.refuse_malformed(&problem));
                 }
                 Err(BodyError::Cut) => return Err(BodyError::Cut),
@@ -311,7 +311,7 @@
             return Ok(reject(start));
         }
         if self.dispatcher.has_open_request(&request) {
-            drain_rest(start);
+            discard_rest(start);
             return Ok(self.refuse_malformed("another job with its id is open"));
         }
         match start {
@@ -355,17 +355,17 @@
             }
             // While a server accepts no data, nobody reads the body, so its reader does not notice
             // the client's end.
-            () = client.stream.wait_for_end() => return Err(Problem::Gone),
+            () = client.stream.wait_for_end() => return Err(Problem::ClientLeft),
             passed = passing.as_mut() => passed,
             never = self.dispatcher.expire(&guard.open) => match never {},
         };
         match passed.result {
             Ok(()) => self.dispatcher.body_complete(&guard.open),
-            Err(broken) if broken.is_untaken() => {
-                self.dispatcher.give_up(&guard.open, &broken.to_string());
-                spawn_local(upload::drain(passed.body));
+            Err(error) if error.is_untaken() => {
+                self.dispatcher.give_up(&guard.open, &error.to_string());
+                spawn_local(upload::discard(passed.body));
             }
-            Err(broken) => return Err(broken.into()),
+            Err(error) => return Err(error.into()),
         }
         self.wait_for_answer(client, &guard.open, answer).await
     }
@@ -382,7 +382,7 @@
         tokio::select! {
             biased;
             answer = answer => Ok(answer.unwrap_or(Answer::Failed).encode()),
-            () = client.stream.wait_for_end() => Err(Problem::Gone),
+            () = client.stream.wait_for_end() => Err(Problem::ClientLeft),
             never = self.dispatcher.expire(open) => match never {},
         }
     }
@@ -429,14 +429,14 @@
 /// Why a request is not accepted.
 enum Problem {
     /// Its client disconnected.
-    Gone,
+    ClientLeft,
     Malformed(String),
 }
 
 impl From<BodyError> for Problem {
-    fn from(broken: BodyError) -> Self {
-        match broken {
-            BodyError::Cut => Problem::Gone,
+    fn from(error: BodyError) -> Self {
+        match error {
+            BodyError::Cut => Problem::ClientLeft,
             other => Problem::Malformed(other.to_string()),
         }
     }
@@ -444,14 +444,14 @@
 
 /// Rejects a request of which only this much has been read.
 fn reject(start: BodyStart) -> Response<Body> {
-    drain_rest(start);
+    discard_rest(start);
     Answer::Rejected(0.0).encode()
 }
 
 /// Reads and drops the rest of a body that is not needed, so that the next request on the
 /// connection can be read.
-fn drain_rest(start: BodyStart) {
+fn discard_rest(start: BodyStart) {
     if let BodyStart::Partial(_, rest) = start {
-        spawn_local(upload::drain(rest));
+        spawn_local(upload::discard(rest));
     }
 }
--- a/crates/pearfront-node/src/deadline.rs
+++ b/crates/pearfront-node/src/deadline.rs
@@ -38,7 +38,7 @@
 }
 
 impl Deadline {
-    /// Deadline of a request whose head says that its client waits for `time` ms.
+    /// Deadline of a request whose head says that its client waits for `time_ms` ms.
     pub fn new(
         clock: Clock,
         stall_monitor: Rc<StallMonitor>,
@@ -68,6 +68,7 @@
         self.completed_at.get().or_else(read).unwrap_or_else(|| self.clock.now())
     }
 
+    /// When the answer is due, ms.
     pub fn at(&self) -> f64 {
         self.starts_at() + self.time_ms
     }
--- a/crates/pearfront-node/src/dispatcher.rs
+++ b/crates/pearfront-node/src/dispatcher.rs
@@ -252,9 +252,9 @@
     }
 
     /// The deadline of the request that was read last on this connection; its client waits for
-    /// `time` ms.
-    pub fn deadline(&self, time: f64, stream: &Rc<TrackedStream>) -> Deadline {
-        Deadline::new(self.clock, self.discovery.stall_monitor(), time, stream)
+    /// `time_ms` ms.
+    pub fn deadline(&self, time_ms: f64, stream: &Rc<TrackedStream>) -> Deadline {
+        Deadline::new(self.clock, self.discovery.stall_monitor(), time_ms, stream)
     }
 
     /// When the last process stall began, ms, if it has just ended and the data that arrived
--- a/crates/pearfront-node/src/framing.rs
+++ b/crates/pearfront-node/src/framing.rs
@@ -34,7 +34,7 @@
 
 /// A request whose head has been read.
 #[derive(Default, Clone, Copy, PartialEq, Eq, Debug)]
-pub struct ReadRequest {
+pub struct ParsedRequest {
     /// Whether its head had a Content-Length.
     pub has_length: bool,
     /// When its last byte arrived, once that has been read.
@@ -45,7 +45,7 @@
     pub time_left: Option<Duration>,
 }
 
-impl ReadRequest {
+impl ParsedRequest {
     /// When its answer is due, if it is complete; with `may_be_complete`, the missing part may have
     /// arrived without having been looked at.
     fn due_at(&self, may_be_complete: bool, arrival_of: impl Fn(Instant) -> Instant) -> Option<Instant> {
@@ -65,9 +65,9 @@
     time_left: Option<Duration>,
     chunked: bool,
     /// Read, and not yet handed out.
-    waiting: VecDeque<ReadRequest>,
+    waiting: VecDeque<ParsedRequest>,
     /// Handed out last.
-    current: Option<ReadRequest>,
+    current: Option<ParsedRequest>,
     /// Number of bytes parsed, and the end positions of the requests that have not been read to
     /// their end.
     position: u64,
@@ -176,7 +176,7 @@
 
     fn head_complete(&mut self, arrived_at: Instant) {
         let (has_length, time_left) = (self.length.is_some(), self.time_left.take());
-        self.waiting.push_back(ReadRequest {
+        self.waiting.push_back(ParsedRequest {
             has_length,
             arrived_at: None,
             head_arrived_at: Some(arrived_at),
@@ -192,10 +192,10 @@
 
     /// Hands out the next request. One whose head was not seen, because the previous request was
     /// parsed differently from hyper, is assumed to have a length.
-    pub fn next_request(&mut self) -> ReadRequest {
+    pub fn next_request(&mut self) -> ParsedRequest {
         let next = self.waiting.pop_front();
         self.current = next;
-        next.unwrap_or(ReadRequest { has_length: true, ..ReadRequest::default() })
+        next.unwrap_or(ParsedRequest { has_length: true, ..ParsedRequest::default() })
     }
 
     /// When the last byte of the request handed out last arrived; `None` until it has been read.
@@ -222,7 +222,7 @@
         may_be_complete: bool,
         arrival_of: impl Fn(Instant) -> Instant,
     ) -> Option<Instant> {
-        let due = |(index, request): (usize, &ReadRequest)| {
+        let due = |(index, request): (usize, &ParsedRequest)| {
             let due = request.due_at(may_be_complete, &arrival_of)?;
             due.checked_sub(TIME_PER_ANSWER * index as u32)
         };
--- a/crates/pearfront-node/src/message/request.rs
+++ b/crates/pearfront-node/src/message/request.rs
@@ -1,5 +1,6 @@
 //! A client's request: decoded once, and encoded for each attempt on a server. Used by
-//! `client_service`, `dispatcher` and `send`.
+//! `client_service`, `dispatcher` and
+//! `connection_pool`.
 
 use super::body::{Body, buffered};
 use super::headers::{CUSTOMER, ID, IDEMPOTENCY_KEY, TIME_LEFT, end_to_end, text};
--- a/crates/pearfront-node/src/streaming.rs
+++ b/crates/pearfront-node/src/streaming.rs
@@ -1,7 +1,7 @@
 //! Bodies that are too large to be buffered and are passed on in pieces. The next piece of an
 //! answer is read once the last one was taken, so that the client's pace limits the server and only
 //! a buffer or two is used. The pieces of a request body come from `upload`, which reads ahead of
-//! the server within limits. Used by `message`, `send` and `client_service`.
+//! the server within limits. Used by `message`, `connection_pool` and `client_service`.
 
 use crate::upload::Piece;
 use bytes::{Buf, Bytes};
--- a/crates/pearfront-node/src/tracked_stream.rs
+++ b/crates/pearfront-node/src/tracked_stream.rs
@@ -1,12 +1,12 @@
 //! A TCP connection as hyper uses it, which also tracks how much of a message the kernel has taken,
 //! and whether the other side has sent data. Nothing else reads or writes client and server
-//! connections. Used by `client_service`, `send` and `admin`.
+//! connections. Used by `client_service`, `connection_pool` and `admin`.
 
 mod reading;
 
 use crate::arrival::Arrival;
 use crate::capacity::ConnectionSlot;
-use crate::framing::{Framing, ReadRequest};
+use crate::framing::{Framing, ParsedRequest};
 use crate::read_gate::ReadGate;
 use crate::system::{is_interrupted, is_transient};
 use hyper::rt::{Read, ReadBufCursor, Write};
@@ -85,6 +85,7 @@
         Self::new(stream, slot, Some(RefCell::default()), opened_at)
     }
 
+    /// A connection to a server.
     pub fn to_server(stream: TcpStream, slot: ConnectionSlot) -> Rc<Self> {
         // On systems without this option the kernel buffers more, which only delays noticing that a
         // server accepts data.
@@ -104,7 +105,7 @@
         opened_at: Instant,
     ) -> Rc<Self> {
         if let Err(error) = stream.set_nodelay(true) {
-            log::warn!("a connection stays slow, nodelay was refused: {error}");
+            log::warn!("TCP_NODELAY refused, a connection stays slow: {error}");
         }
         Rc::new(Self {
             stream,
@@ -171,6 +172,7 @@
             }
     }
 
+    /// Follows the message that is being written to the end of its head and body.
     fn note_written(&self, written: &[u8]) {
         let mut rest = written.iter();
         while !self.in_body.get() {
@@ -195,6 +197,7 @@
         self.tail.set(tail);
     }
 
+    /// Records bytes that were read.
     fn note_read(&self, bytes: &[u8]) {
         self.has_received.set(self.has_received.get() || !bytes.is_empty());
         self.bytes_moved.set(self.bytes_moved.get() + bytes.len());
@@ -207,7 +210,7 @@
         }
     }
 
-    /// Whether a request of the client has been handed out and has no answer yet; if so, data
+    /// Sets whether a request of the client has been handed out and has no answer yet; if so, data
     /// behind it stays unread.
     pub fn set_answering(&self, is_answering: bool) {
         if is_answering {
@@ -245,7 +248,7 @@
     }
 
     /// Called once for each request that hyper hands out.
-    pub fn next_request(&self) -> ReadRequest {
+    pub fn next_request(&self) -> ParsedRequest {
         self.with_framing(Framing::next_request).unwrap_or_default()
     }
 
--- a/crates/pearfront-node/src/upload.rs
+++ b/crates/pearfront-node/src/upload.rs
@@ -34,7 +34,7 @@
 const UNCLAIMED_WAIT: Duration = Duration::from_millis(20);
 const UNCLAIMED_WAITS: usize = 4;
 /// How long the rest of a body is read after its request has been answered.
-const DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A piece of a body for its server; without an `End` the body is incomplete.
 pub enum Piece {
@@ -217,19 +217,19 @@
     let all = async {
         let passed = passing.await;
         if passed.result.is_err_and(BodyError::is_untaken) {
-            drain(passed.body).await;
+            discard(passed.body).await;
         }
     };
     if is_answer_streamed {
         all.await;
     } else {
-        let _ = timeout(DRAIN_TIMEOUT, all).await;
+        let _ = timeout(DISCARD_TIMEOUT, all).await;
     }
 }
 
 /// Reads the rest of a body that is not needed, so that the client gets to see the answer; one that
 /// goes on too long is cut off.
-pub async fn drain(mut body: Incoming) {
+pub async fn discard(mut body: Incoming) {
     let all = async { while let Ok(Some(Ok(_))) = timeout(PROGRESS_TIMEOUT, body.frame()).await {} };
-    let _ = timeout(DRAIN_TIMEOUT, all).await;
+    let _ = timeout(DISCARD_TIMEOUT, all).await;
 }
