--- a/crates/pearfront-settings/src/sidecar.rs
+++ b/crates/pearfront-settings/src/sidecar.rs
@@ -1,10 +1,11 @@
-//! An operator's file for a node of a pool, turned into one for a node beside a single caller's process. Pure: the
-//! command line reads and writes the files. What can't be carried over is told by key, never dropped in silence.
+//! Converts the configuration file of a node in a pool into that of a sidecar, a node beside a single client
+//! process. It does no input or output: the command line reads and writes the files. What cannot be carried over is
+//! listed by key, never dropped silently.
 
 use crate::{JsonField, NodeSettings, decode};
 use serde_json::{Map, Value, json};
 
-/// Keys that a file may have, by the object they stand in; `*` stands for any object of a list.
+/// Keys that a file may have, by the object that they are in; `*` stands for any object of a list.
 const KEYS: &[(&str, &[&str])] = &[
     (
         "",
@@ -118,37 +119,40 @@
     ("settings.specifics", &["passes_deadline", "warm_keys"]),
 ];
 
-/// What the old file can't know of the new place.
+/// What the old file cannot state about the new place.
 pub struct SidecarTarget {
-    /// Nodes in all, one for each client process.
+    /// Total number of nodes, one for each client process.
     pub nodes: u32,
+    /// All zones, in the order of the new settings.
     pub zones: Vec<String>,
-    /// Where this node stands.
+    /// The zone of this node.
     pub zone: String,
-    /// Jobs that a connection carries at once.
+    /// Requests that a connection carries at the same time.
     pub streams: u32,
-    /// This node's own, hexadecimal: nodes of one seed would all draw alike.
+    /// This node's own seed, hexadecimal: nodes with the same seed would all draw alike.
     pub seed: String,
 }
 
+/// The new file, and what is different in it.
 pub struct SidecarConfig {
     pub file: Value,
-    /// One line for each key that could not be carried over, or that the new place makes another thing of.
+    /// One line for each key that could not be carried over, or that means something else for the new node.
     pub not_carried_over: Vec<String>,
 }
 
+/// Converts a file; the error names the faulty key.
 pub fn to_sidecar(old: &Value, target: &SidecarTarget) -> Result<SidecarConfig, String> {
     known_keys(old, "")?;
-    let top = JsonField::root(old, "config");
-    let settings = top.required("settings")?;
-    let around = NodeSettings::decode(&settings)?;
-    let read = decode(&settings)?;
-    top.required("seed")?.string()?;
-    let instances = top.required("known")?.required("instances")?.list()?;
-    if !read.discovery_on_request {
+    let root = JsonField::root(old, "config");
+    let settings = root.required("settings")?;
+    let node_settings = NodeSettings::decode(&settings)?;
+    let decoded = decode(&settings)?;
+    root.required("seed")?.string()?;
+    let instances = root.required("known")?.required("instances")?.list()?;
+    if !decoded.discovery_on_request {
         return settings.required("discovery")?.error("is \"pushed\": the file has been moved already");
     }
-    if read.tier > 0 {
+    if decoded.tier > 0 {
         return settings.required("tier")?.error("is not 0: only nodes that clients call move");
     }
     let zone = target.zones.iter().position(|zone| *zone == target.zone);
@@ -161,18 +165,18 @@
     for key in ["name", "listen", "admin", "peer_listen", "peers", "peers_all"] {
         drop_key(&mut file, key, &mut not_carried_over, "belongs to the old node");
     }
-    let mut kept = Vec::new();
-    for (at, value) in instances.iter().zip(old["known"]["instances"].as_array().into_iter().flatten()) {
-        match at.optional("zone").map(|zone| zone.string()).transpose()? {
-            Some(name) if target.zones.iter().any(|zone| zone == name) => kept.push(value.clone()),
+    let mut kept_instances = Vec::new();
+    for (field, value) in instances.iter().zip(old["known"]["instances"].as_array().into_iter().flatten()) {
+        match field.optional("zone").map(|zone| zone.string()).transpose()? {
+            Some(name) if target.zones.iter().any(|zone| zone == name) => kept_instances.push(value.clone()),
             other => not_carried_over.push(format!(
                 "{}: zone {} is none of the new ones",
-                at.path,
+                field.path,
                 other.unwrap_or("none")
             )),
         }
     }
-    file["known"]["instances"] = Value::Array(kept);
+    file["known"]["instances"] = Value::Array(kept_instances);
     let new = &mut file["settings"];
     new["discovery"] = json!("pushed");
     new["siblings"] = json!(target.nodes);
@@ -180,35 +184,37 @@
     new["locality"] = json!(zone);
     new["limits"]["parallel_tries"] = json!(false);
     new["limits"]["streams_per_conn"] = json!(target.streams);
-    if read.may_hedge {
+    if decoded.may_hedge {
         not_carried_over.push("settings.limits.parallel_tries: no second copies".into());
     }
     drop_key(new, "me", &mut not_carried_over, "is the old node's number");
     drop_key(&mut new["rules"], "ask_within", &mut not_carried_over, "the list comes unasked");
-    if around.zones != target.zones {
+    if node_settings.zones != target.zones {
         not_carried_over.push(format!(
             "settings.azs: {} became {}",
-            around.zones.join(", "),
+            node_settings.zones.join(", "),
             target.zones.join(", ")
         ));
     }
     for (key, what) in
         [("probe", "with it a draw asks first or not"), ("cross_zone", "it keeps jobs at home")]
     {
-        let price = settings.optional("deductions").map_or(Ok(0.0), |at| at.number_or(key, 0.0))?;
+        let price = settings.optional("deductions").map_or(Ok(0.0), |field| field.number_or(key, 0.0))?;
         not_carried_over.push(format!("settings.deductions.{key}: stays {price}, the old price; {what}"));
     }
-    // What is written must be what a node takes.
+    // The new settings must be valid.
     decode(&JsonField::root(&file["settings"], "config.settings"))?;
     Ok(SidecarConfig { file, not_carried_over })
 }
 
+/// Removes a key, and lists it where it was there.
 fn drop_key(object: &mut Value, key: &str, not_carried_over: &mut Vec<String>, why: &str) {
     if object.as_object_mut().and_then(|object| object.remove(key)).is_some() {
         not_carried_over.push(format!("{key}: {why}"));
     }
 }
 
+/// Checks that the file has known keys only.
 fn known_keys(value: &Value, path: &str) -> Result<(), String> {
     let below = |key: &str| if path.is_empty() { key.to_string() } else { format!("{path}.{key}") };
     let checked = |object: &Map<String, Value>, keys: &[&str]| {
