--- a/crates/pearfront-node/src/main.rs
+++ b/crates/pearfront-node/src/main.rs
@@ -177,7 +177,7 @@
                 .instant_at(answered - client_service::CLOSING_PERIOD_MS)
                 .saturating_duration_since(Instant::now()),
         );
-        take_in.dispatcher.inbox.push(move |balancer| balancer.shutdown_at(answered));
+        take_in.dispatcher.events.push(move |balancer| balancer.shutdown_at(answered));
         answered
     };
     Acceptor::new(listener, shared, take_in.clone()).run(ended).await;
@@ -290,7 +290,10 @@
 fn retune(in_force: &SharedSettings, settings: RuntimeSettings, take_in: &ClientService) {
     let settings = Rc::new(settings);
     in_force.replace(settings.clone());
-    take_in.dispatcher.inbox.push(move |balancer| balancer.update_settings(settings.policy_settings.clone()));
+    take_in
+        .dispatcher
+        .events
+        .push(move |balancer| balancer.update_settings(settings.policy_settings.clone()));
 }
 
 /// Puts the stages together and starts what runs by itself.
--- a/crates/pearfront-node/src/message/request.rs
+++ b/crates/pearfront-node/src/message/request.rs
@@ -1,10 +1,12 @@
-//! A client's request: decoded once, and encoded for each attempt on a server.
+//! A client's request: decoded once, and encoded for each attempt on a server. Used by
+//! `client_service`, `dispatcher` and
+//! `connection_pool`.
 
-use super::body::{Body, whole};
+use super::body::{Body, buffered};
 use super::headers::{CUSTOMER, ID, IDEMPOTENCY_KEY, TIME_LEFT, end_to_end, text};
 use crate::runtime_settings::RuntimeSettings;
 use crate::streaming::StreamedBody;
-use crate::upload::Pieces;
+use crate::upload::PieceReceiver;
 use bytes::Bytes;
 use http_body_util::Either;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
@@ -15,18 +17,18 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Longest time left, ms, that a request may name: what says more is no time.
-const LONGEST_LEFT: f64 = 24.0 * 3_600_000.0;
+/// Longest time, ms, that a request may name; more is refused as invalid.
+const MAX_TIME_LEFT_MS: f64 = 24.0 * 3_600_000.0;
 
-/// A client's request: its head, and its body once that has come whole.
+/// A client's request: its head, and its body once that has arrived.
 pub struct ClientRequest {
-    /// The terms in force when its head was read.
+    /// The settings in force when its head was read.
     pub settings: Rc<RuntimeSettings>,
     pub profile: usize,
     pub customer: usize,
     pub non_idempotent: bool,
     /// How long the client will wait, ms.
-    pub left: f64,
+    pub time_left: f64,
     pub body: RequestBody,
     method: Method,
     target: Uri,
@@ -35,20 +37,21 @@
 
 /// A request's body.
 pub enum RequestBody {
-    /// Kept, and so it can be sent again.
-    Whole(Bytes),
-    /// Too large to be kept: what came first, and the rest for the first attempt that asks for it.
-    Flowing { first: Bytes, rest: RefCell<Option<Pieces>>, length: Option<u64> },
+    /// Buffered, so it can be sent again.
+    Buffered(Bytes),
+    /// Too large to be buffered: the part that arrived first, and the rest for the first attempt
+    /// that claims it.
+    Streamed { first: Bytes, rest: RefCell<Option<PieceReceiver>>, length: Option<u64> },
 }
 
 impl ClientRequest {
-    /// Decodes a request's head, its body still to come. The error says what is wrong with it.
+    /// Decodes a request's head, whose body is yet to arrive. The error says what is wrong with it.
     pub(super) fn decode(head: request::Parts, settings: &Rc<RuntimeSettings>) -> Result<Self, String> {
         let profile = decode_profile(&head, &settings.node_settings)?;
         check_own_headers(&head.headers)?;
         let effect = settings.policy_settings.profiles[profile].effect;
         check_effect(&head, effect)?;
-        let left = decode_time_left(&head.headers)?;
+        let time_left = decode_time_left(&head.headers)?;
         let customer = decode_customer(&head.headers, &settings.node_settings)?;
         let keyed = head.headers.contains_key(&IDEMPOTENCY_KEY);
         let headers = end_to_end(head.headers);
@@ -60,8 +63,8 @@
             profile,
             customer,
             non_idempotent: effect == Effect::NonIdempotent,
-            left,
-            body: RequestBody::Whole(Bytes::new()),
+            time_left,
+            body: RequestBody::Buffered(Bytes::new()),
             method: head.method,
             target: head.uri,
             headers,
@@ -73,16 +76,17 @@
         &self.headers[ID]
     }
 
-    /// Is its body too large to be kept, so that it can be sent only once?
-    pub fn flows(&self) -> bool {
-        matches!(self.body, RequestBody::Flowing { .. })
+    /// Whether its body is too large to be buffered, so that it can be sent only once.
+    pub fn is_streamed(&self) -> bool {
+        matches!(self.body, RequestBody::Streamed { .. })
     }
 
-    /// The request as an attempt that will be waited for so long; none if its body has been sent and was not kept.
+    /// Encodes the request for an attempt that will be waited for `wait` ms; `None` if its body was
+    /// not buffered and has already been sent.
     pub fn encode(&self, wait: f64) -> Option<Request<Body>> {
         let mut attempt = Request::new(match &self.body {
-            RequestBody::Whole(body) => whole(body.clone()),
-            RequestBody::Flowing { first, rest, length } => {
+            RequestBody::Buffered(body) => buffered(body.clone()),
+            RequestBody::Streamed { first, rest, length } => {
                 Either::Right(StreamedBody::from_channel(first.clone(), rest.take()?.claim(), *length))
             }
         });
@@ -95,7 +99,7 @@
     }
 }
 
-/// The first part of a request's path.
+/// The first segment of a request's path.
 fn profile_name(target: &Uri) -> &str {
     target.path().trim_start_matches('/').split('/').next().unwrap_or_default()
 }
@@ -106,8 +110,8 @@
     profile.ok_or_else(|| format!("unknown profile {named:?}"))
 }
 
-/// The request has an id, and names neither that nor a key nor a time twice: of two a server may take the other one, and so may
-/// whoever owns its time.
+/// Checks that the request has an id, and that id, key and time appear only once: of two values, a
+/// server may use a different one than the node.
 fn check_own_headers(headers: &HeaderMap) -> Result<(), String> {
     if text(headers, &ID).is_none_or(str::is_empty) {
         return Err(format!("no {ID}"));
@@ -119,7 +123,7 @@
     }
 }
 
-/// The request's method and key are those of its profile's effect.
+/// Checks that the request's method and key fit its profile's effect.
 fn check_effect(head: &request::Parts, effect: Effect) -> Result<(), String> {
     let keyed = head.headers.contains_key(&IDEMPOTENCY_KEY);
     let fits = match effect {
@@ -134,11 +138,11 @@
     }
 }
 
-/// The time left, ms.
+/// How long the client will wait, ms.
 fn decode_time_left(headers: &HeaderMap) -> Result<f64, String> {
     let seconds = text(headers, &TIME_LEFT).and_then(|left| left.trim().parse::<f64>().ok());
     let left = seconds.map(|seconds| seconds * 1000.0);
-    let left = left.filter(|left| left.is_finite() && *left < LONGEST_LEFT);
+    let left = left.filter(|left| left.is_finite() && *left < MAX_TIME_LEFT_MS);
     left.ok_or_else(|| format!("no time in {TIME_LEFT}"))
 }
 
@@ -147,6 +151,6 @@
         return Ok(0);
     }
     let named = text(headers, &CUSTOMER).ok_or_else(|| format!("no {CUSTOMER}"))?;
-    let place = node_settings.customers.iter().position(|name| name == named);
-    place.ok_or_else(|| format!("unknown customer {named:?}"))
+    let index = node_settings.customers.iter().position(|name| name == named);
+    index.ok_or_else(|| format!("unknown customer {named:?}"))
 }
