--- a/crates/pearfront-node/src/config.rs
+++ b/crates/pearfront-node/src/config.rs
@@ -11,10 +11,10 @@
 use std::rc::Rc;
 
 /// Memory, MB, and descriptors where the file has no limits: the least that any deployment gives.
-const MEMORY_MB: f64 = 192.0;
-const SOCKETS: f64 = 1024.0;
-pub const ADMIN: &str = "ROUTER_ADMIN";
-pub const INHERITED: &str = "ROUTER_INHERITED_FD";
+const DEFAULT_MEMORY_MB: f64 = 192.0;
+const DEFAULT_SOCKETS: f64 = 1024.0;
+pub const ADMIN_VARIABLE: &str = "ROUTER_ADMIN";
+pub const INHERITED_VARIABLE: &str = "ROUTER_INHERITED_FD";
 
 pub struct Config {
     pub name: String,
@@ -28,40 +28,40 @@
     pub memory_mb: f64,
     /// Descriptors, without those kept for operators.
     pub sockets: usize,
-    pub known: ServerList,
+    pub initial_list: ServerList,
     /// Other processes that this one may talk to; on the platform there are none.
     pub cluster: Option<pearfront_cluster::Settings>,
     pub settings: RuntimeSettings,
     /// The file as it stands, which a new one is held against.
-    pub as_written: Value,
+    pub file_content: Value,
 }
 
 /// The file again, for a node that runs by the one written so: one that lacks a key that this one had is no new
 /// configuration but a broken one, and so is one that asks for what only a new start can bring.
-pub fn read_again(before: &Value) -> Result<Config, String> {
+pub fn reload(before: &Value) -> Result<Config, String> {
     let config = read()?;
-    if let Some(key) = pearfront_settings::missing_key(before, &config.as_written, "config") {
+    if let Some(key) = pearfront_settings::missing_key(before, &config.file_content, "config") {
         return Err(format!("{key} is missing"));
     }
-    if before["cluster"] != config.as_written["cluster"] {
+    if before["cluster"] != config.file_content["cluster"] {
         return Err("config.cluster can only change with a new start".into());
     }
-    let fixed = ["tier", "layers", "discovery"];
-    let differs = |key: &&&str| before["settings"][**key] != config.as_written["settings"][**key];
-    match fixed.iter().find(differs) {
+    let restart_only = ["tier", "layers", "discovery"];
+    let differs = |key: &&&str| before["settings"][**key] != config.file_content["settings"][**key];
+    match restart_only.iter().find(differs) {
         Some(key) => Err(format!("config.settings.{key} can only change with a new start")),
         None => Ok(config),
     }
 }
 
 pub fn read() -> Result<Config, String> {
-    let maybe = |key: &str| std::env::var(key).ok().filter(|value| !value.is_empty());
-    let needed = |key: &str| maybe(key).ok_or_else(|| format!("{key} is not set"));
+    let optional = |key: &str| std::env::var(key).ok().filter(|value| !value.is_empty());
+    let required = |key: &str| optional(key).ok_or_else(|| format!("{key} is not set"));
     let parsed = |key: &str, value: String| -> Result<SocketAddr, String> {
         value.parse().map_err(|_| format!("{key}: {value:?} is no address and port"))
     };
-    let address = |key: &str| parsed(key, needed(key)?);
-    let (name, path) = (needed("ROUTER_NAME")?, needed("ROUTER_CONFIG")?);
+    let address = |key: &str| parsed(key, required(key)?);
+    let (name, path) = (required("ROUTER_NAME")?, required("ROUTER_CONFIG")?);
     let (listen, discovery) = (address("ROUTER_LISTEN")?, address("ROUTER_DISCOVERY")?);
     let text = std::fs::read(&path).map_err(|error| format!("ROUTER_CONFIG: {path}: {error}"))?;
     let json: Value =
@@ -73,27 +73,28 @@
         None => discovery,
     };
     // At an upgrade two processes may share the file, and each has variables of its own.
-    let admin = match (maybe(ADMIN), top.maybe("admin")) {
-        (Some(value), _) => Some(parsed(ADMIN, value)?),
+    let admin = match (optional(ADMIN_VARIABLE), top.maybe("admin")) {
+        (Some(value), _) => Some(parsed(ADMIN_VARIABLE, value)?),
         (None, Some(at)) => Some(at.text()?.parse().or_else(|_| at.problem("is no address and port"))?),
         (None, None) => None,
     };
     let number = |value: String| value.parse().ok().filter(|number| *number > 2);
-    let inherited = maybe(INHERITED)
-        .map(|value| number(value.clone()).ok_or(format!("{INHERITED}: {value:?} is no descriptor")))
+    let inherited = optional(INHERITED_VARIABLE)
+        .map(|value| number(value.clone()).ok_or(format!("{INHERITED_VARIABLE}: {value:?} is no descriptor")))
         .transpose()?;
     let seed = top.needed("seed")?;
     let limits = top.maybe("limits");
     let limit = |key: &str, default: f64| {
         limits.as_ref().and_then(|at| at.maybe(key)).map_or(Ok(default), |at| at.above_0())
     };
-    let kept = if admin.is_some() { crate::admin::RESERVED_DESCRIPTORS } else { 0 };
+    let reserved_descriptors = if admin.is_some() { crate::admin::RESERVED_DESCRIPTORS } else { 0 };
     let cluster = top.maybe("cluster").map(|_| cluster(&json["cluster"])).transpose()?;
-    let kept = kept + if cluster.is_some() { Cluster::descriptors() } else { 0 };
+    let reserved_descriptors =
+        reserved_descriptors + if cluster.is_some() { Cluster::descriptors() } else { 0 };
     let settings = top.needed("settings")?;
     let node_settings = Surroundings::decode(&settings)?;
-    let known = message::decode_list_json(&top.needed("known")?, &node_settings)?;
-    if let Some((_, problem)) = known.invalid.first() {
+    let initial_list = message::decode_list_json(&top.needed("known")?, &node_settings)?;
+    if let Some((_, problem)) = initial_list.invalid.first() {
         return Err(problem.clone());
     }
     Ok(Config {
@@ -103,15 +104,15 @@
         inherited,
         discovery,
         seed: u64::from_str_radix(seed.text()?, 16).or_else(|_| seed.problem("is no hexadecimal number"))?,
-        memory_mb: limit("memory_mb", MEMORY_MB)?,
-        sockets: (limit("sockets", SOCKETS)? as usize).saturating_sub(kept),
-        known,
+        memory_mb: limit("memory_mb", DEFAULT_MEMORY_MB)?,
+        sockets: (limit("sockets", DEFAULT_SOCKETS)? as usize).saturating_sub(reserved_descriptors),
+        initial_list,
         cluster,
         settings: RuntimeSettings {
             policy_settings: Rc::new(pearfront_settings::decode(&settings)?),
             node_settings,
         },
-        as_written: json,
+        file_content: json,
     })
 }
 
--- a/crates/pearfront-node/src/connection_pool.rs
+++ b/crates/pearfront-node/src/connection_pool.rs
@@ -17,7 +17,7 @@
 use crate::logger::WarnLimiter;
 use crate::runtime_settings::SharedSettings;
 use break_rates::BreakRates;
-use http_connection::{Idle, QUIET};
+use http_connection::{Idle, QUIET_PERIOD};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -28,15 +28,15 @@
 use tokio::time::{Instant, sleep_until, timeout};
 
 /// Share of the time after which servers close idle connections for which ours are kept: they close by then.
-const IDLE_PART: f64 = 0.8;
+const IDLE_SHARE: f64 = 0.8;
 /// So many connections to a server may be resting at once; a node that needs more of them than that uses the one that has
 /// been quiet longest.
-const MOST_RESTING: usize = 8;
+const MAX_RESTING: usize = 8;
 /// How long a connection may take to become free behind a whole answer: where its server takes no more of the request, or its side
 /// does not end, it never does.
-const LONGEST_SETTLING: Duration = Duration::from_secs(1);
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(1);
 /// How often idle connections are looked through.
-const SWEEP: Duration = Duration::from_secs(1);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Connections to servers, the idle ones kept for the next attempt.
 pub struct ConnectionPool {
@@ -44,62 +44,62 @@
     break_rates: BreakRates,
     dialer: Dialer,
     settings: Rc<SharedSettings>,
-    room: Rc<Capacity>,
+    capacity: Rc<Capacity>,
     book: Rc<Counters>,
-    crowded: WarnLimiter,
+    descriptor_log: WarnLimiter,
 }
 
 impl ConnectionPool {
-    pub fn new(settings: Rc<SharedSettings>, room: Rc<Capacity>, book: Rc<Counters>) -> Rc<Self> {
+    pub fn new(settings: Rc<SharedSettings>, capacity: Rc<Capacity>, book: Rc<Counters>) -> Rc<Self> {
         Rc::new(Self {
             idle: RefCell::default(),
             break_rates: BreakRates::default(),
             dialer: Dialer::default(),
             settings,
-            room,
+            capacity,
             book,
-            crowded: WarnLimiter::default(),
+            descriptor_log: WarnLimiter::default(),
         })
     }
 
     /// The idle connection to the server that was used last, of those that have been quiet for long enough and are still
     /// open.
-    fn rested(&self, server: SocketAddr) -> Option<HttpConnection> {
+    fn take_idle(&self, server: SocketAddr) -> Option<HttpConnection> {
         loop {
             let mut idle = {
                 let mut idle = self.idle.borrow_mut();
-                let links = idle.get_mut(&server)?;
-                let rested = links.iter().rposition(Idle::is_quiet);
-                let longest = (links.len() >= MOST_RESTING).then_some(0);
-                links.remove(rested.or(longest)?)
+                let connections = idle.get_mut(&server)?;
+                let quiet = connections.iter().rposition(Idle::is_quiet);
+                let oldest = (connections.len() >= MAX_RESTING).then_some(0);
+                connections.remove(quiet.or(oldest)?)
             };
-            if self.is_fresh(&idle) {
+            if self.is_reusable(&idle) {
                 self.book.connections_reused.add();
-                idle.link.kept = true;
-                return Some(idle.link);
+                idle.connection.reused = true;
+                return Some(idle.connection);
             }
         }
     }
 
     /// When the next one will have been.
-    fn next_rested(&self, server: SocketAddr) -> Option<Instant> {
-        Some(self.idle.borrow().get(&server)?.first()?.since + QUIET)
+    fn next_idle_at(&self, server: SocketAddr) -> Option<Instant> {
+        Some(self.idle.borrow().get(&server)?.first()?.since + QUIET_PERIOD)
     }
 
     /// A connection to the server: an idle one, or a new one. Where one is only resting it is what comes first: a new one
     /// may come up late.
-    pub async fn link(&self, server: SocketAddr) -> Result<HttpConnection, ()> {
-        if let Some(link) = self.rested(server) {
-            return Ok(link);
+    pub async fn connection(&self, server: SocketAddr) -> Result<HttpConnection, ()> {
+        if let Some(connection) = self.take_idle(server) {
+            return Ok(connection);
         }
-        let mut new = pin!(self.new_link(server));
-        while let Some(at) = self.next_rested(server) {
+        let mut new = pin!(self.open_connection(server));
+        while let Some(at) = self.next_idle_at(server) {
             tokio::select! {
                 biased;
-                link = new.as_mut() => return link,
+                connection = new.as_mut() => return connection,
                 () = sleep_until(at) => {
-                    if let Some(link) = self.rested(server) {
-                        return Ok(link);
+                    if let Some(connection) = self.take_idle(server) {
+                        return Ok(connection);
                     }
                 }
             }
@@ -109,29 +109,29 @@
 
     /// A new connection in the place of the one to this server that has been idle longest: where none of those is used, one
     /// more would stay with each attempt, until the server takes no further ones.
-    async fn renewed_link(&self, server: SocketAddr) -> Result<HttpConnection, ()> {
-        if let Some(links) = self.idle.borrow_mut().get_mut(&server)
-            && !links.is_empty()
+    async fn replace_oldest_connection(&self, server: SocketAddr) -> Result<HttpConnection, ()> {
+        if let Some(connections) = self.idle.borrow_mut().get_mut(&server)
+            && !connections.is_empty()
         {
-            links.remove(0);
+            connections.remove(0);
         }
-        self.new_link(server).await
+        self.open_connection(server).await
     }
 
-    async fn new_link(&self, server: SocketAddr) -> Result<HttpConnection, ()> {
-        self.wait_for_place().await;
+    async fn open_connection(&self, server: SocketAddr) -> Result<HttpConnection, ()> {
+        self.wait_for_descriptor().await;
         self.book.connections.add();
         let limit = ms(self.settings.current().node_settings.connect_timeout);
-        let open = async || HttpConnection::open(server, self.room.take_slot()).await.map_err(drop);
-        self.dialer.dial(limit, open, || self.room.has_slot()).await
+        let open = async || HttpConnection::open(server, self.capacity.take_slot()).await.map_err(drop);
+        self.dialer.dial(limit, open, || self.capacity.has_slot()).await
     }
 
     /// Takes a connection back whose message has been answered whole. One that does not become free again is closed.
-    pub fn keep_link(self: &Rc<Self>, server: SocketAddr, mut link: HttpConnection) {
+    pub fn release(self: &Rc<Self>, server: SocketAddr, mut connection: HttpConnection) {
         let pool = self.clone();
         spawn_local(async move {
-            if timeout(LONGEST_SETTLING, link.settle()).await.unwrap_or(false) {
-                let idle = Idle { link, since: Instant::now() };
+            if timeout(SETTLE_TIMEOUT, connection.wait_until_free()).await.unwrap_or(false) {
+                let idle = Idle { connection, since: Instant::now() };
                 pool.idle.borrow_mut().entry(server).or_default().push(idle);
             }
         });
@@ -139,70 +139,74 @@
 
     /// Is there a descriptor for one more connection?
     pub fn has_room(&self) -> bool {
-        self.room.has_slot()
+        self.capacity.has_slot()
     }
 
     /// Closes the idle connections to a server that has gone or started anew.
-    pub fn forget(&self, server: SocketAddr) {
+    pub fn close_idle(&self, server: SocketAddr) {
         self.idle.borrow_mut().remove(&server);
     }
 
     /// Room for one more connection to a server; if need be idle ones are closed for it: servers' go first unless callers
     /// hold most.
-    fn make_place(&self) -> bool {
-        let crowding = || self.room.clients_hold_most() && self.room.evict_client();
-        if self.room.has_slot() {
+    fn make_room(&self) -> bool {
+        let close_spare_client = || self.capacity.clients_hold_most() && self.capacity.evict_client();
+        if self.capacity.has_slot() {
             return true;
         }
         // What is closed makes room where there may be one more, and no further one for whoever has all of its own.
-        if crowding() || !self.close_one() {
+        if close_spare_client() || !self.close_longest_idle() {
             // Where callers crowd this is a second one: with one alone more of the servers' connections had to go.
-            self.room.evict_client();
+            self.capacity.evict_client();
         }
-        self.room.has_reserve_slot()
+        self.capacity.has_reserve_slot()
     }
 
     /// Room for one more caller, whose request may lie on its connection: for each that is let in beyond the ordinary most
     /// one goes that has none.
     pub fn make_room_for_client(&self) -> bool {
-        if self.room.has_client_slot() {
+        if self.capacity.has_client_slot() {
             return true;
         }
-        let close_server = || self.room.servers_exceed_share() && self.close_one();
-        let _ =
-            !self.room.clients_hold_most() && close_server() || self.room.evict_client() || close_server();
-        self.room.has_reserve_client_slot()
+        let close_server = || self.capacity.servers_exceed_share() && self.close_longest_idle();
+        let _ = !self.capacity.clients_hold_most() && close_server()
+            || self.capacity.evict_client()
+            || close_server();
+        self.capacity.has_reserve_client_slot()
     }
 
     /// Requests are let in only as far as there can be connections for them: one is free in a moment.
-    async fn wait_for_place(&self) {
-        let _waiting = self.room.register_waiter();
-        while !self.make_place() {
-            self.crowded.warn("an attempt waits for a descriptor");
-            self.room.slot_may_be_free().await;
+    async fn wait_for_descriptor(&self) {
+        let _waiting = self.capacity.register_waiter();
+        while !self.make_room() {
+            self.descriptor_log.warn("an attempt waits for a descriptor");
+            self.capacity.slot_may_be_free().await;
         }
     }
 
     /// Closes the connection that has been idle longest; false if there is none.
-    fn close_one(&self) -> bool {
+    fn close_longest_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let oldest = idle.values_mut().filter(|links| !links.is_empty()).min_by_key(|links| links[0].since);
-        oldest.map(|links| links.remove(0)).is_some()
+        let oldest = idle
+            .values_mut()
+            .filter(|connections| !connections.is_empty())
+            .min_by_key(|connections| connections[0].since);
+        oldest.map(|connections| connections.remove(0)).is_some()
     }
 
     /// Neither closed by its server nor idle for so long that it soon will be.
-    fn is_fresh(&self, idle: &Idle) -> bool {
-        idle.link.is_usable()
-            && idle.since.elapsed() < ms(self.settings.current().node_settings.conn_idle * IDLE_PART)
+    fn is_reusable(&self, idle: &Idle) -> bool {
+        idle.connection.is_usable()
+            && idle.since.elapsed() < ms(self.settings.current().node_settings.conn_idle * IDLE_SHARE)
     }
 
     /// Closes what has been idle for long, or was closed by its server.
-    pub async fn sweep(self: Rc<Self>) {
+    pub async fn close_expired(self: Rc<Self>) {
         loop {
-            tokio::time::sleep(SWEEP).await;
-            self.idle.borrow_mut().retain(|_, links| {
-                links.retain(|idle| self.is_fresh(idle));
-                !links.is_empty()
+            tokio::time::sleep(SWEEP_INTERVAL).await;
+            self.idle.borrow_mut().retain(|_, connections| {
+                connections.retain(|idle| self.is_reusable(idle));
+                !connections.is_empty()
             });
         }
     }
--- a/crates/pearfront-node/src/connection_pool/attempt.rs
+++ b/crates/pearfront-node/src/connection_pool/attempt.rs
@@ -43,9 +43,9 @@
         permit: impl Fn() -> Option<Rc<Permit>>,
         called_off: impl Future<Output = ()>,
     ) -> Attempt {
-        let (mut link, wire) = (None, OnceCell::new());
-        let written = || wire.get().is_some_and(|wire: &Rc<TrackedStream>| wire.is_fully_written());
-        let exchange = self.exchange(&mut link, &wire, server, request, permit);
+        let (mut connection, stream) = (None, OnceCell::new());
+        let written = || stream.get().is_some_and(|stream: &Rc<TrackedStream>| stream.is_fully_written());
+        let exchange = self.exchange(&mut connection, &stream, server, request, permit);
         let request_closed_before_written = async {
             request_closed.await;
             if written() {
@@ -54,7 +54,7 @@
         };
         let (before, after) = tokio::select! {
             biased;
-            attempt = exchange => return self.finish(server, link, attempt),
+            attempt = exchange => return self.finish(server, connection, attempt),
             () = called_off => (ConnectionEnd::CalledOffBefore, ConnectionEnd::CalledOffAfter),
             () = timed_out => (ConnectionEnd::TooLateBefore, ConnectionEnd::TooLateAfter),
             () = request_closed_before_written => (ConnectionEnd::CalledOffBefore, ConnectionEnd::CalledOffBefore),
@@ -65,34 +65,38 @@
     async fn exchange(
         &self,
         slot: &mut Option<HttpConnection>,
-        wire: &OnceCell<Rc<TrackedStream>>,
+        stream: &OnceCell<Rc<TrackedStream>>,
         server: SocketAddr,
         request: &ClientRequest,
         permit: impl Fn() -> Option<Rc<Permit>>,
     ) -> Attempt {
         // A server may have closed a kept connection without our knowing yet. Where that happens, a request that could
         // not go again must not be what finds out.
-        let needs_new = request.non_idempotent && self.break_rates.is_higher_when_kept();
-        let link = if needs_new { self.renewed_link(server).await } else { self.link(server).await };
-        let Ok(link) = link else { return Attempt::ended(ConnectionEnd::NeverUp) };
+        let needs_new = request.non_idempotent && self.break_rates.is_higher_when_reused();
+        let connection = if needs_new {
+            self.replace_oldest_connection(server).await
+        } else {
+            self.connection(server).await
+        };
+        let Ok(connection) = connection else { return Attempt::ended(ConnectionEnd::NeverUp) };
         // What was written on it before belongs to another message.
-        link.wire.begin_message(Some(0));
-        wire.get_or_init(|| link.wire.clone());
-        let link = slot.insert(link);
+        connection.stream.begin_message(Some(0));
+        stream.get_or_init(|| connection.stream.clone());
+        let connection = slot.insert(connection);
         let encoded = permit().and_then(|permit| Some((request.encode(permit.remaining_ms)?, permit)));
         let Some((encoded, permit)) = encoded else {
             return Attempt::ended(ConnectionEnd::NotSent);
         };
-        link.wire.set_write_permit(permit.clone());
-        let answer = link.begin(encoded).await;
-        if link.wire.was_withheld() {
+        connection.stream.set_write_permit(permit.clone());
+        let answer = connection.request_streaming(encoded).await;
+        if connection.stream.was_withheld() {
             let gone = permit.client_has_left();
             return Attempt::ended(if gone { ConnectionEnd::CallerGone } else { ConnectionEnd::Withheld });
         }
-        self.break_rates.record(link.kept, answer.is_err() && !link.wire.has_received());
+        self.break_rates.record(connection.reused, answer.is_err() && !connection.stream.has_received());
         match answer {
             Ok((head, body)) => self.read(head, body),
-            Err(_) if !link.wire.is_fully_written() => Attempt::ended(ConnectionEnd::BrokenBefore),
+            Err(_) if !connection.stream.is_fully_written() => Attempt::ended(ConnectionEnd::BrokenBefore),
             Err(_) => Attempt::ended(ConnectionEnd::BrokenAfter),
         }
     }
@@ -108,21 +112,21 @@
     fn finish(
         self: &Rc<Self>,
         server: SocketAddr,
-        link: Option<HttpConnection>,
+        connection: Option<HttpConnection>,
         mut attempt: Attempt,
     ) -> Attempt {
         use ConnectionEnd::{Error, NotSent, Served, TurnedAway, TurnedDown};
-        let Some(link) =
-            link.filter(|_| matches!(attempt.end, Served | Error | TurnedAway | TurnedDown | NotSent))
+        let Some(connection) =
+            connection.filter(|_| matches!(attempt.end, Served | Error | TurnedAway | TurnedDown | NotSent))
         else {
             return attempt;
         };
         let pool = self.clone();
         match attempt.reply.as_mut().map(|reply| &mut reply.body) {
             // Its connection is free again once the last byte of the answer has been passed on.
-            Some(Either::Right(flow)) => flow.on_end(move || pool.keep_link(server, link)),
-            _ if attempt.is_complete && (attempt.end == NotSent || link.wire.is_fully_written()) => {
-                pool.keep_link(server, link);
+            Some(Either::Right(body)) => body.on_end(move || pool.release(server, connection)),
+            _ if attempt.is_complete && (attempt.end == NotSent || connection.stream.is_fully_written()) => {
+                pool.release(server, connection);
             }
             _ => {}
         }
--- a/crates/pearfront-node/src/discovery.rs
+++ b/crates/pearfront-node/src/discovery.rs
@@ -88,7 +88,7 @@
     pub settings: Rc<SharedSettings>,
     pub pool: Rc<ConnectionPool>,
     pub book: Rc<Counters>,
-    pub inbox: Rc<EventQueue>,
+    pub event_queue: Rc<EventQueue>,
     pub peers: Rc<Peers>,
 }
 
@@ -101,7 +101,7 @@
     /// When a list was heard last.
     last_list_at: Cell<Option<f64>>,
     settings: Rc<SharedSettings>,
-    inbox: Rc<EventQueue>,
+    event_queue: Rc<EventQueue>,
     pool: Rc<ConnectionPool>,
     book: Rc<Counters>,
     /// Other processes of this node.
@@ -127,7 +127,7 @@
 
 impl Discovery {
     pub fn new(service: SocketAddr, dependencies: Dependencies) -> Rc<Self> {
-        let Dependencies { clock, settings, pool, book, inbox, peers } = dependencies;
+        let Dependencies { clock, settings, pool, book, event_queue, peers } = dependencies;
         let leases = Leases::default();
         leases.start(lease_rules(&settings), clock.now());
         Rc::new(Self {
@@ -141,7 +141,7 @@
             clock,
             stall_monitor: clock.stall_monitor(),
             settings,
-            inbox,
+            event_queue,
             pool,
             book,
             peers,
@@ -240,7 +240,7 @@
             log::info!("server {} at {} is {:?}, version {version}", entry.id, entry.address, entry.standing);
         }
         for server in stale {
-            self.pool.forget(server);
+            self.pool.close_idle(server);
             self.leases.forget(server);
         }
         self.wall.observe(wall_clock::unix_now(), now);
@@ -252,7 +252,7 @@
             self.last_list_at.set(Some(now));
             self.list_received.notify_waiters();
         }
-        self.inbox.push(move |balancer| {
+        self.event_queue.push(move |balancer| {
             balancer.listed(false, may_be_old, entries.into_iter());
         });
     }
@@ -366,7 +366,7 @@
         if list.version >= self.list_version.get() || self.list_version.get() == from {
             self.apply_list(list, false);
         }
-        if watch_connection.settle().await {
+        if watch_connection.wait_until_free().await {
             self.watch_connection.replace(Some(watch_connection));
         }
         Ok(())
--- a/crates/pearfront-node/src/discovery/tests.rs
+++ b/crates/pearfront-node/src/discovery/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::test_support::{Stages, run};
+use crate::test_support::{TestNode, run};
 use test_case::test_case;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
@@ -34,14 +34,14 @@
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let stages = Stages::new(address);
-        stages.list(3, address, Standing::Ready);
-        let discovery = stages.discovery.clone();
+        let node = TestNode::new(address);
+        node.list_server(3, address, Standing::Ready);
+        let discovery = node.discovery.clone();
         let answer = async {
             let (mut stream, _) = listener.accept().await.unwrap();
             let mut call = [0; 1024];
             assert!(stream.read(&mut call).await.unwrap() > 0);
-            stages.list(5, address, Standing::Draining);
+            node.list_server(5, address, Standing::Draining);
             let body = list_of(answered, address, lifecycle);
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
             stream.write_all((head + &body).as_bytes()).await.unwrap();
--- a/crates/pearfront-node/src/guard.rs
+++ b/crates/pearfront-node/src/guard.rs
@@ -64,23 +64,23 @@
     /// A permit to write an attempt: the `place`-th of its request.
     pub fn permit_attempt(
         self: &Rc<Self>,
-        held: &Rc<OpenRequest>,
+        request: &Rc<OpenRequest>,
         index: usize,
         server: SocketAddr,
     ) -> Option<Rc<Permit>> {
         let now = self.clock.now();
         let permit = Permit {
             guard: self.clone(),
-            held: held.clone(),
+            request: request.clone(),
             index,
             server,
             granted_at: now,
-            remaining_ms: held.time_left(now),
+            remaining_ms: request.time_left(now),
         };
         match self.enforced(permit.refusal(now)) {
             None => Some(Rc::new(permit)),
             Some(refusal) => {
-                self.log_refusal(held, server, refusal);
+                self.log_refusal(request, server, refusal);
                 None
             }
         }
@@ -90,9 +90,10 @@
         refusal.filter(|_| Self::is_enforced())
     }
 
-    fn log_refusal(&self, held: &OpenRequest, server: SocketAddr, refusal: Refusal) {
+    fn log_refusal(&self, request: &OpenRequest, server: SocketAddr, refusal: Refusal) {
         self.book.guard_refused.add();
-        self.refusal_log.info(|| format!("request {}: attempt on {server} refused, {refusal:?}", held.id()));
+        self.refusal_log
+            .info(|| format!("request {}: attempt on {server} refused, {refusal:?}", request.id()));
     }
 
     /// May the server be probed? Not one that the list has as draining or gone.
@@ -135,7 +136,7 @@
 /// A permit to write one attempt, good for a moment.
 pub struct Permit {
     guard: Rc<Guard>,
-    held: Rc<OpenRequest>,
+    request: Rc<OpenRequest>,
     index: usize,
     server: SocketAddr,
     granted_at: f64,
@@ -146,13 +147,13 @@
 impl Permit {
     /// Has the request's client ended its connection?
     pub fn client_has_left(&self) -> bool {
-        self.held.client_has_left()
+        self.request.client_has_left()
     }
 
     fn refusal(&self, now: f64) -> Option<Refusal> {
-        if !self.held.is_open() {
+        if !self.request.is_open() {
             Some(Refusal::Over)
-        } else if self.held.time_left(now) <= 0.0 {
+        } else if self.request.time_left(now) <= 0.0 {
             Some(Refusal::TooLate)
         } else if !self.guard.discovery.may_send(self.server) {
             Some(Refusal::NoLease)
@@ -165,20 +166,20 @@
 
     /// Why the request may not run again, if it may have run.
     fn repeat_refusal(&self, now: f64) -> Option<Refusal> {
-        let earlier = self.held.first_that_may_have_run(self.index)?;
-        let profile = self.held.profile();
+        let earlier = self.request.first_that_may_have_run(self.index)?;
+        let profile = self.request.profile();
         match profile.effect {
             Effect::Idempotent => None,
             Effect::NonIdempotent => Some(Refusal::MayHaveRun),
             Effect::Keyed => {
-                let place = self.guard.discovery.location_of(self.server);
+                let location = self.guard.discovery.location_of(self.server);
                 let within = match profile.group {
                     Group::All => true,
                     Group::Zone => {
-                        place.zip(earlier.location).is_some_and(|(own, first)| own.zone == first.zone)
+                        location.zip(earlier.location).is_some_and(|(own, first)| own.zone == first.zone)
                     }
                     Group::Cell => {
-                        place.zip(earlier.location).is_some_and(|(own, first)| own.cell == first.cell)
+                        location.zip(earlier.location).is_some_and(|(own, first)| own.cell == first.cell)
                     }
                 };
                 (!within || now >= earlier.written_at + profile.window).then_some(Refusal::OutsideWindow)
@@ -190,7 +191,7 @@
     fn violation(&self, now: f64) -> Option<&'static str> {
         if self.guard.discovery.is_overdue(self.server, now) {
             Some("sent behind the grace of a drain")
-        } else if self.held.time_left(now) + WRITE_DELAY_MARGIN_MS < self.remaining_ms {
+        } else if self.request.time_left(now) + WRITE_DELAY_MARGIN_MS < self.remaining_ms {
             Some("a server was told of more time than is left")
         } else if self.repeat_refusal(now - WRITE_DELAY_MARGIN_MS).is_some() {
             Some("sent again although it may have run")
@@ -202,21 +203,21 @@
 
 impl WritePermit for Permit {
     fn may_write(&self) -> bool {
-        if self.held.client_has_left() {
+        if self.request.client_has_left() {
             return false;
         }
         let refusal = self.guard.enforced(self.refusal(self.guard.clock.now()));
-        refusal.inspect(|refusal| self.guard.log_refusal(&self.held, self.server, *refusal)).is_none()
+        refusal.inspect(|refusal| self.guard.log_refusal(&self.request, self.server, *refusal)).is_none()
     }
 
     fn written(&self) {
         let now = self.guard.clock.now();
-        self.held.record_written(self.index, now);
+        self.request.record_written(self.index, now);
         if let Some(violation) = self.violation(now) {
             let book = &self.guard.book;
             let count = if self.index == 0 { &book.violations_send } else { &book.violations_repeat };
             count.add();
-            let line = || format!("violation: request {} to {}: {violation}", self.held.id(), self.server);
+            let line = || format!("violation: request {} to {}: {violation}", self.request.id(), self.server);
             self.guard.violation_log.info(line);
         }
     }
--- a/crates/pearfront-node/src/handover.rs
+++ b/crates/pearfront-node/src/handover.rs
@@ -93,7 +93,7 @@
     peers: RefCell<Vec<Rc<Peer>>>,
     /// The ids open here.
     open_ids: RefCell<HashSet<String>>,
-    pub room: Rc<Capacity>,
+    pub capacity: Rc<Capacity>,
     lifecycle: Rc<Lifecycle>,
     greeted: Notify,
     /// Rung when the last other process has gone.
@@ -102,12 +102,12 @@
 }
 
 impl Peers {
-    pub fn new(room: Rc<Capacity>, lifecycle: Rc<Lifecycle>) -> Rc<Self> {
+    pub fn new(capacity: Rc<Capacity>, lifecycle: Rc<Lifecycle>) -> Rc<Self> {
         let (peers, open_ids, greeted) = (RefCell::default(), RefCell::default(), Notify::new());
         Rc::new(Self {
             peers,
             open_ids,
-            room,
+            capacity,
             lifecycle,
             greeted,
             all_gone: Notify::new(),
@@ -259,7 +259,7 @@
             biased;
             message = messages.recv() => message,
             _ = tick.tick() => {
-                let Usage { connections, bytes } = self.room.usage();
+                let Usage { connections, bytes } = self.capacity.usage();
                 Some(PeerMessage::Usage { connections, bytes })
             }
         }
@@ -329,7 +329,7 @@
     fn update_shared_state(&self) {
         let peers = self.peers.borrow();
         let known: Vec<_> = peers.iter().filter(|peer| peer.greeted.get()).collect();
-        self.room.set_others(&known.iter().map(|peer| peer.uses.get()).collect::<Vec<_>>());
+        self.capacity.set_others(&known.iter().map(|peer| peer.uses.get()).collect::<Vec<_>>());
         self.lifecycle.set_successor(known.iter().any(|peer| peer.ready.get() && !peer.silent.get()));
     }
 }
--- a/crates/pearfront-node/src/handover/tests.rs
+++ b/crates/pearfront-node/src/handover/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::test_support::{Stages, run};
+use crate::test_support::{TestNode, run};
 use test_case::test_case;
 use tokio::time::Instant;
 
@@ -20,7 +20,7 @@
 fn a_stalled_process_counts_until_it_ends() {
     const PATIENCE: Duration = Duration::from_secs(10);
     run(async {
-        let discovery = Stages::new("127.0.0.1:1".parse().unwrap()).discovery;
+        let discovery = TestNode::new("127.0.0.1:1".parse().unwrap()).discovery;
         let peers = discovery.peers.clone();
         let (local, mut peer) = UnixStream::pair().unwrap();
         let exchange = spawn_local(peers.clone().exchange_messages(local, discovery.clone()));
--- a/crates/pearfront-node/src/lease_monitor.rs
+++ b/crates/pearfront-node/src/lease_monitor.rs
@@ -41,7 +41,7 @@
 pub struct LeaseMonitor {
     discovery: Rc<Discovery>,
     prober: Rc<Prober>,
-    inbox: Rc<EventQueue>,
+    event_queue: Rc<EventQueue>,
     settings: Rc<SharedSettings>,
     clock: Clock,
     /// Those that the module is told not to send to.
@@ -55,13 +55,13 @@
     pub fn new(
         discovery: Rc<Discovery>,
         prober: Rc<Prober>,
-        inbox: Rc<EventQueue>,
+        event_queue: Rc<EventQueue>,
         settings: Rc<SharedSettings>,
         clock: Clock,
     ) -> Self {
         let (suspended, last_probes) = (RefCell::default(), RefCell::default());
         let change_log = InfoLimiter::new(LOG_LINES_PER_S);
-        Self { discovery, prober, inbox, settings, clock, suspended, change_log, last_probes }
+        Self { discovery, prober, event_queue, settings, clock, suspended, change_log, last_probes }
     }
 
     /// Looks at the leases as long as the node runs.
@@ -117,7 +117,7 @@
             self.change_log.info(|| {
                 format!("{without} of {all} servers without a lease, that of the list ended {age:.0} ms ago")
             });
-            self.inbox.push(move |balancer| balancer.suspended(entries.into_iter()));
+            self.event_queue.push(move |balancer| balancer.suspended(entries.into_iter()));
         }
     }
 
--- a/crates/pearfront-node/src/main.rs
+++ b/crates/pearfront-node/src/main.rs
@@ -41,7 +41,7 @@
 mod watch;
 
 use accept::Acceptor;
-use admin::Admin;
+use admin::AdminServer;
 use capacity::Capacity;
 use client_service::ClientService;
 use clock::Clock;
@@ -78,17 +78,17 @@
 const BACKLOG: u32 = 1024;
 /// Longest the node runs on after SIGTERM: the kill comes no sooner than the longest limit, of which at most
 /// `LONGEST_COUNTED` counts, and 700 ms.
-const AFTER_LIMIT: f64 = 500.0;
-const LONGEST_COUNTED: f64 = 3000.0;
+const AFTER_DEADLINE_MS: f64 = 500.0;
+const MAX_COUNTED_DEADLINE_MS: f64 = 3000.0;
 /// How long the permit to be away may take to come where the node is told to end: the end comes in any case, within what
 /// the platform gives. Without the key nothing is waited for.
-const PERMIT: Duration = Duration::from_millis(100);
+const PERMIT_TIMEOUT: Duration = Duration::from_millis(100);
 /// How long a node that may not be alone waits for its first list before it says that it is ready.
-const FIRST_LIST: Duration = Duration::from_millis(2500);
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(2500);
 /// How long answers that are given only then have to be written.
-const LAST_WRITES: Duration = Duration::from_millis(50);
+const FINAL_WRITE_TIME: Duration = Duration::from_millis(50);
 /// Time, ms, between the module's last answers and the node's end: they have to be written.
-const LAST_ANSWERS: f64 = 100.0;
+const FINAL_ANSWERS_MS: f64 = 100.0;
 
 fn main() -> ExitCode {
     match config::read().and_then(run) {
@@ -124,14 +124,17 @@
         None => bind("ROUTER_LISTEN", config.listen),
         Some(number) => inherited::listener(number, config.listen)
             .and_then(|listener| TcpListener::from_std(listener).map_err(|error| error.to_string()))
-            .map_err(|problem| format!("{}: {problem}", config::INHERITED)),
+            .map_err(|problem| format!("{}: {problem}", config::INHERITED_VARIABLE)),
     }
 }
 
 async fn serve(mut config: Config) -> Result<(), String> {
-    let told = |kind| retry_transient(|| signal(kind)).map_err(|error| format!("signals: {error}"));
-    let (mut end, mut interrupt) = (told(SignalKind::terminate())?, told(SignalKind::interrupt())?);
-    let (show, again) = (told(SignalKind::user_defined1())?, told(SignalKind::hangup())?);
+    let listen_for_signal =
+        |kind| retry_transient(|| signal(kind)).map_err(|error| format!("signals: {error}"));
+    let (mut terminate, mut interrupt) =
+        (listen_for_signal(SignalKind::terminate())?, listen_for_signal(SignalKind::interrupt())?);
+    let (counters_signal, reload_signal) =
+        (listen_for_signal(SignalKind::user_defined1())?, listen_for_signal(SignalKind::hangup())?);
     // The operators' address first: if it can't be had, no client is accepted.
     let operators = config.admin.map(|address| bind("admin", address)).transpose()?;
     let listener = listen(&config)?;
@@ -140,57 +143,69 @@
     let (name, address) = (config.name.clone(), config.listen);
     let cluster = config.cluster.take().map(|settings| Cluster::start(settings, &name)).transpose();
     let cluster = cluster.map_err(|problem| format!("config.cluster.{problem}"))?;
-    let as_written = config.as_written.clone();
+    let file_content = config.file_content.clone();
     let settings = SharedSettings::new(std::mem::take(&mut config.settings));
-    let place = if shared { Peers::socket_path(&name) } else { None };
-    let (take_in, book, discovery) = build(config, &settings, lifecycle.clone());
+    let socket_path = if shared { Peers::socket_path(&name) } else { None };
+    let (client_service, book, discovery) = build(config, &settings, lifecycle.clone());
     log::info!("node {name} listens on {address}");
     if let Some(operators) = operators {
         log::info!(
             "operators call at {}",
             operators.local_addr().map_or_else(|error| error.to_string(), |at| at.to_string())
         );
-        spawn_local(Admin::new(lifecycle.clone(), cluster.clone()).serve(operators));
+        spawn_local(AdminServer::new(lifecycle.clone(), cluster.clone()).serve(operators));
     }
-    spawn_local(take_in.clone().close_in_drain());
-    let guard = take_in.dispatcher.guard.clone();
-    spawn_local(start(shared, place, lifecycle.clone(), guard, discovery.clone()));
-    spawn_local(print_counters(show, book.clone(), take_in.capacity.clone(), cluster.clone()));
-    spawn_local(read_again(again, as_written, settings.clone(), discovery, take_in.clone()));
-    let (clock, last) = (take_in.dispatcher.clock, Cell::new(f64::INFINITY));
+    spawn_local(client_service.clone().close_in_drain());
+    let guard = client_service.dispatcher.guard.clone();
+    spawn_local(announce_when_ready(shared, socket_path, lifecycle.clone(), guard, discovery.clone()));
+    spawn_local(print_counters(
+        counters_signal,
+        book.clone(),
+        client_service.capacity.clone(),
+        cluster.clone(),
+    ));
+    spawn_local(reload_on_signal(
+        reload_signal,
+        file_content,
+        settings.clone(),
+        discovery,
+        client_service.clone(),
+    ));
+    let (clock, last_moment) = (client_service.dispatcher.clock, Cell::new(f64::INFINITY));
     let ended = async {
         tokio::select! {
-            _ = end.recv() => {}
+            _ = terminate.recv() => {}
             _ = interrupt.recv() => {}
         }
-        log::info!("told to end, {} jobs held", take_in.capacity.open_requests());
+        log::info!("told to end, {} jobs held", client_service.capacity.open_requests());
         if let Some(cluster) = &cluster
-            && let Err(problem) = cluster.take_permit(PERMIT).await
+            && let Err(problem) = cluster.take_permit(PERMIT_TIMEOUT).await
         {
             log::warn!("ends without a permit: {problem}");
         }
-        let longest = settings.current().node_settings.longest_deadline.min(LONGEST_COUNTED) + AFTER_LIMIT;
-        last.set(clock.now() + longest);
-        let answered = last.get() - LAST_ANSWERS;
+        let longest = settings.current().node_settings.longest_deadline.min(MAX_COUNTED_DEADLINE_MS)
+            + AFTER_DEADLINE_MS;
+        last_moment.set(clock.now() + longest);
+        let answered = last_moment.get() - FINAL_ANSWERS_MS;
         lifecycle.end(
             clock
                 .instant_at(answered - client_service::CLOSING_PERIOD_MS)
                 .saturating_duration_since(Instant::now()),
         );
-        take_in.dispatcher.inbox.push(move |balancer| balancer.closing(answered));
+        client_service.dispatcher.inbox.push(move |balancer| balancer.closing(answered));
         answered
     };
-    Acceptor::new(listener, shared, take_in.clone()).run(ended).await;
-    if timeout_at(clock.instant_at(last.get()), take_in.close_all()).await.is_err() {
+    Acceptor::new(listener, shared, client_service.clone()).run(ended).await;
+    if timeout_at(clock.instant_at(last_moment.get()), client_service.close_all()).await.is_err() {
         // Whatever they still wait for, also where the process stood still beyond its last moment.
-        take_in.dispatcher.expire_all();
-        if timeout(LAST_WRITES, take_in.close_all()).await.is_err() {
-            log::warn!("ended with {} jobs unanswered", take_in.capacity.open_requests());
-            take_in.log_unanswered("the process ends");
-            take_in.dispatcher.guard.record_unanswered(take_in.capacity.unanswered_requests());
+        client_service.dispatcher.expire_all();
+        if timeout(FINAL_WRITE_TIME, client_service.close_all()).await.is_err() {
+            log::warn!("ended with {} jobs unanswered", client_service.capacity.open_requests());
+            client_service.log_unanswered("the process ends");
+            client_service.dispatcher.guard.record_unanswered(client_service.capacity.unanswered_requests());
         }
     }
-    log::info!("{book} {}{}", take_in.capacity, beside(cluster.as_ref()));
+    log::info!("{book} {}{}", client_service.capacity, cluster_counters(cluster.as_ref()));
     if let Some(cluster) = cluster {
         cluster.leave();
     }
@@ -199,87 +214,91 @@
 
 /// Says that the node is ready: at once where it serves alone. Where others may serve the same socket they go on
 /// meanwhile, so the list that discovery has now comes first, if it comes soon: what is told counts from the yes on.
-async fn start(
+async fn announce_when_ready(
     shared: bool,
-    place: Option<PathBuf>,
+    socket_path: Option<PathBuf>,
     lifecycle: Rc<Lifecycle>,
     guard: Rc<Guard>,
     discovery: Rc<Discovery>,
 ) {
     if shared {
         discovery.start_watch();
-        wait_beside_others(&place, &discovery).await;
+        wait_for_other_process(&socket_path, &discovery).await;
     }
     guard.mark_ready(&lifecycle);
     discovery.peers.announce_ready();
-    if let Some(place) = place {
-        discovery.peers.clone().serve(place, discovery).await;
+    if let Some(socket_path) = socket_path {
+        discovery.peers.clone().serve(socket_path, discovery).await;
     }
 }
 
 /// Asks the process that serves the same socket, and waits for the list that discovery has. Where there is none, or
 /// none any more, nothing is waited for: what clients have sent meanwhile has only this process.
-async fn wait_beside_others(place: &Option<PathBuf>, discovery: &Rc<Discovery>) {
-    let mut asked = pin!(async {
-        match place {
-            Some(place) => discovery.peers.connect(place, discovery).await,
+async fn wait_for_other_process(socket_path: &Option<PathBuf>, discovery: &Rc<Discovery>) {
+    let mut connecting = pin!(async {
+        match socket_path {
+            Some(socket_path) => discovery.peers.connect(socket_path, discovery).await,
             None => true,
         }
     });
-    let (mut heard, mut is_heard) = (pin!(timeout(FIRST_LIST, discovery.list_received())), false);
-    let is_beside = loop {
+    let (mut first_list, mut has_list) =
+        (pin!(timeout(FIRST_LIST_TIMEOUT, discovery.list_received())), false);
+    let has_other_process = loop {
         tokio::select! {
             biased;
-            is_beside = asked.as_mut() => break is_beside,
-            _ = heard.as_mut(), if !is_heard => is_heard = true,
+            has_other_process = connecting.as_mut() => break has_other_process,
+            _ = first_list.as_mut(), if !has_list => has_list = true,
         }
     };
-    if is_beside && !is_heard {
+    if has_other_process && !has_list {
         tokio::select! {
-            _ = heard => {}
+            _ = first_list => {}
             () = discovery.peers.all_gone() => {}
         }
     }
 }
 
 /// The cluster's counters, behind the others.
-fn beside(cluster: Option<&Rc<Cluster>>) -> String {
+fn cluster_counters(cluster: Option<&Rc<Cluster>>) -> String {
     let counters = cluster.map(|cluster| cluster.counters()).unwrap_or_default();
     counters.iter().map(|(name, value)| format!(" {name}={value}")).collect()
 }
 
 async fn print_counters(
-    mut show: Signal,
+    mut counters_signal: Signal,
     book: Rc<Counters>,
-    room: Rc<Capacity>,
+    capacity: Rc<Capacity>,
     cluster: Option<Rc<Cluster>>,
 ) {
-    while show.recv().await.is_some() {
-        log::info!("{book} {room}{}", beside(cluster.as_ref()));
+    while counters_signal.recv().await.is_some() {
+        log::info!("{book} {capacity}{}", cluster_counters(cluster.as_ref()));
     }
 }
 
 /// Takes over a replaced configuration, whole or not at all: where discovery is, the limits and the settings. Only
 /// the list in the file is older than what the watch has told.
-async fn read_again(
-    mut again: Signal,
-    mut as_written: serde_json::Value,
+async fn reload_on_signal(
+    mut reload_signal: Signal,
+    mut file_content: serde_json::Value,
     settings: Rc<SharedSettings>,
     discovery: Rc<Discovery>,
-    take_in: Rc<ClientService>,
+    client_service: Rc<ClientService>,
 ) {
-    while again.recv().await.is_some() {
-        match config::read_again(&as_written) {
+    while reload_signal.recv().await.is_some() {
+        match config::reload(&file_content) {
             Ok(config) => {
                 discovery.set_service(config.discovery);
-                take_in.capacity.set_limits(config.sockets, config.memory_mb);
-                let same = config.as_written["settings"] == as_written["settings"];
-                let which = if same { "the same" } else { "new" };
-                log::info!("configuration read again, discovery at {}, {which} settings", config.discovery);
-                if !same {
-                    retune(&settings, config.settings, &take_in);
+                client_service.capacity.set_limits(config.sockets, config.memory_mb);
+                let unchanged = config.file_content["settings"] == file_content["settings"];
+                let settings_kind = if unchanged { "the same" } else { "new" };
+                log::info!(
+                    "configuration read again, discovery at {}, {settings_kind} settings",
+                    config.discovery
+                );
+                if !unchanged {
+                    apply_settings(&settings, config.settings, &client_service);
                 }
-                as_written = config.as_written;
+                file_content = config.file_content;
             }
             Err(problem) => log::warn!("configuration stays as it was: {problem}"),
         }
@@ -287,10 +306,14 @@
 }
 
 /// New terms: jobs whose head is read from now on come under them.
-fn retune(in_force: &SharedSettings, settings: RuntimeSettings, take_in: &ClientService) {
+fn apply_settings(
+    shared_settings: &SharedSettings,
+    settings: RuntimeSettings,
+    client_service: &ClientService,
+) {
     let settings = Rc::new(settings);
-    in_force.replace(settings.clone());
-    take_in.dispatcher.inbox.push(move |balancer| balancer.retune(settings.policy_settings.clone()));
+    shared_settings.replace(settings.clone());
+    client_service.dispatcher.inbox.push(move |balancer| balancer.retune(settings.policy_settings.clone()));
 }
 
 /// Puts the stages together and starts what runs by itself.
@@ -302,10 +325,10 @@
     let clock = Clock::start();
     let book = Rc::new(Counters::default());
     let policy_settings = settings.current().policy_settings.clone();
-    let room = Capacity::new(config.sockets, config.memory_mb);
-    let inbox = Rc::new(EventQueue::default());
-    let pool = ConnectionPool::new(settings.clone(), room.clone(), book.clone());
-    let peers = Peers::new(room.clone(), lifecycle.clone());
+    let capacity = Capacity::new(config.sockets, config.memory_mb);
+    let event_queue = Rc::new(EventQueue::default());
+    let pool = ConnectionPool::new(settings.clone(), capacity.clone(), book.clone());
+    let peers = Peers::new(capacity.clone(), lifecycle.clone());
     let discovery = Discovery::new(
         config.discovery,
         discovery::Dependencies {
@@ -313,7 +336,7 @@
             settings: settings.clone(),
             pool: pool.clone(),
             book: book.clone(),
-            inbox: inbox.clone(),
+            event_queue: event_queue.clone(),
             peers: peers.clone(),
         },
     );
@@ -327,7 +350,7 @@
     let guard = Guard::new(discovery.clone(), clock, book.clone());
     let prober = Rc::new(Prober {
         pool: pool.clone(),
-        inbox: inbox.clone(),
+        event_queue: event_queue.clone(),
         settings: settings.clone(),
         book: book.clone(),
         discovery: discovery.clone(),
@@ -338,17 +361,24 @@
         outstanding: Cell::new(0),
     });
     let lease_monitor =
-        LeaseMonitor::new(discovery.clone(), prober.clone(), inbox.clone(), settings.clone(), clock);
-    let route = Dispatcher::new(clock, inbox, pool.clone(), discovery.clone(), prober, book.clone(), peers);
-    discovery.apply_list(config.known, true);
+        LeaseMonitor::new(discovery.clone(), prober.clone(), event_queue.clone(), settings.clone(), clock);
+    let dispatcher =
+        Dispatcher::new(clock, event_queue, pool.clone(), discovery.clone(), prober, book.clone(), peers);
+    discovery.apply_list(config.initial_list, true);
     if !policy_settings.listed_on_request {
         discovery.start_watch();
     }
-    spawn_local(pool.clone().sweep());
+    spawn_local(pool.clone().close_expired());
     spawn_local(lease_monitor.run(stream(2)));
-    spawn_local(room.clone().close_incomplete(book.clone()));
+    spawn_local(capacity.clone().close_incomplete(book.clone()));
     spawn_local(
-        route.clone().run_rounds(Balancer::new((*policy_settings).clone(), config.seed), settings.clone()),
+        dispatcher
+            .clone()
+            .run_rounds(Balancer::new((*policy_settings).clone(), config.seed), settings.clone()),
     );
-    (ClientService::new(route, room, pool, settings.clone(), book.clone(), lifecycle), book, discovery)
+    (
+        ClientService::new(dispatcher, capacity, pool, settings.clone(), book.clone(), lifecycle),
+        book,
+        discovery,
+    )
 }
--- a/crates/pearfront-node/src/message.rs
+++ b/crates/pearfront-node/src/message.rs
@@ -15,6 +15,8 @@
     ServerEntry, ServerList, decode_list, decode_list_json, encode_list, encode_list_request,
 };
 pub use load_report::{decode_report, decode_report_of};
-pub use operators::{AdminCall, decode_admin, encode_admin, encode_conflict, encode_no_call, encode_view};
+pub use operators::{
+    AdminCall, decode_admin, encode_admin, encode_conflict, encode_json, encode_unknown_call,
+};
 pub use request::{ClientRequest, RequestBody};
 pub use servers::{Reply, decode_end, decode_reply, encode_probe};
--- a/crates/pearfront-node/src/message/discovery.rs
+++ b/crates/pearfront-node/src/message/discovery.rs
@@ -73,7 +73,7 @@
     entries: impl Iterator<Item = &'a ServerEntry>,
     node_settings: &Surroundings,
 ) -> Value {
-    let name = |names: &[String], place: usize| names.get(place).cloned().unwrap_or_default();
+    let name = |names: &[String], index: usize| names.get(index).cloned().unwrap_or_default();
     let entry = |entry: &ServerEntry| {
         let lifecycle = match entry.standing {
             Standing::Ready => "Ready",
--- a/crates/pearfront-node/src/message/operators.rs
+++ b/crates/pearfront-node/src/message/operators.rs
@@ -16,11 +16,11 @@
     /// Who holds which duty.
     Duties,
     /// A command wants a duty, or goes on with it.
-    Hold(Hold),
+    HoldDuty(Hold),
     /// A command is done with its duty.
-    GiveUp { duty: String, client: String, well: bool },
+    ReleaseDuty { duty: String, client: String, was_successful: bool },
     /// Whoever holds a duty is to leave it, for that one if one is named.
-    Move { duty: String, to: Option<String> },
+    MoveDuty { duty: String, to: Option<String> },
     /// Let clients go; `force` where no permit is to be asked for.
     Drain { force: bool },
     /// Stop draining, and serve again.
@@ -28,7 +28,7 @@
     /// A path that there is not.
     Unknown,
     /// A path that has this method only.
-    Only(Method),
+    WrongMethod(Method),
 }
 
 /// Decodes the head of an operator's request.
@@ -39,40 +39,42 @@
         "/_lameduck/on" => (AdminCall::Drain { force: head.headers.contains_key(FORCE) }, Method::PUT),
         "/_lameduck/off" => (AdminCall::Resume, Method::PUT),
         "/_duties" => (AdminCall::Duties, Method::GET),
-        path => match path.strip_prefix("/_duties/").and_then(|rest| duty_call(rest, head.uri.query())) {
-            Some(call) => (call, Method::PUT),
-            None => return AdminCall::Unknown,
-        },
+        path => {
+            match path.strip_prefix("/_duties/").and_then(|rest| decode_duty_call(rest, head.uri.query())) {
+                Some(call) => (call, Method::PUT),
+                None => return AdminCall::Unknown,
+            }
+        }
     };
-    if head.method == method { call } else { AdminCall::Only(method) }
+    if head.method == method { call } else { AdminCall::WrongMethod(method) }
 }
 
 /// `NAME/hold?client=C[&once_per_ms=T]`, `NAME/give-up?client=C[&well=true]`, `NAME/move[?to=N]`. Names hold nothing that
 /// a path would write otherwise.
-fn duty_call(rest: &str, query: Option<&str>) -> Option<AdminCall> {
-    let (duty, act) = rest.split_once('/')?;
+fn decode_duty_call(rest: &str, query: Option<&str>) -> Option<AdminCall> {
+    let (duty, action) = rest.split_once('/')?;
     let parts: Vec<(&str, &str)> =
         query.unwrap_or("").split('&').filter_map(|part| part.split_once('=')).collect();
     let value = |key: &str| parts.iter().find(|(known, _)| *known == key).map(|(_, value)| value.to_string());
     let duty = duty.to_string();
-    match act {
+    match action {
         "hold" => {
-            let once = value("once_per_ms").map_or(Some(0.0), |text| text.parse().ok());
-            let once_per_ms = once.filter(|ms: &f64| ms.is_finite() && *ms >= 0.0)?;
-            Some(AdminCall::Hold(Hold { duty, client: value("client")?, once_per_ms }))
+            let period = value("once_per_ms").map_or(Some(0.0), |text| text.parse().ok());
+            let once_per_ms = period.filter(|ms: &f64| ms.is_finite() && *ms >= 0.0)?;
+            Some(AdminCall::HoldDuty(Hold { duty, client: value("client")?, once_per_ms }))
         }
         "give-up" => {
-            let well = value("well").is_some_and(|text| text == "true");
-            Some(AdminCall::GiveUp { duty, client: value("client")?, well })
+            let was_successful = value("well").is_some_and(|text| text == "true");
+            Some(AdminCall::ReleaseDuty { duty, client: value("client")?, was_successful })
         }
-        "move" => Some(AdminCall::Move { duty, to: value("to") }),
+        "move" => Some(AdminCall::MoveDuty { duty, to: value("to") }),
         _ => None,
     }
 }
 
 /// What an operator is told who asked for what there is not.
-pub fn encode_no_call(only: Option<Method>) -> Response<Body> {
-    let Some(method) = only else { return plain(StatusCode::NOT_FOUND, "no such call\n") };
+pub fn encode_unknown_call(allowed_method: Option<Method>) -> Response<Body> {
+    let Some(method) = allowed_method else { return plain(StatusCode::NOT_FOUND, "no such call\n") };
     let mut response = plain(StatusCode::METHOD_NOT_ALLOWED, format!("only {method}\n"));
     response.headers_mut().insert(header::ALLOW, HeaderValue::from_str(method.as_str()).expect("a method"));
     response
@@ -89,8 +91,8 @@
 }
 
 /// A view for an operator, as JSON.
-pub fn encode_view(view: &impl serde::Serialize) -> Response<Body> {
-    let text = serde_json::to_string(view).unwrap_or_default();
+pub fn encode_json(value: &impl serde::Serialize) -> Response<Body> {
+    let text = serde_json::to_string(value).unwrap_or_default();
     let mut response = plain(StatusCode::OK, format!("{text}\n"));
     response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
--- a/crates/pearfront-node/src/probe.rs
+++ b/crates/pearfront-node/src/probe.rs
@@ -48,7 +48,7 @@
 /// Probes servers, and tells the module and discovery what they answer.
 pub struct Prober {
     pub pool: Rc<ConnectionPool>,
-    pub inbox: Rc<EventQueue>,
+    pub event_queue: Rc<EventQueue>,
     pub settings: Rc<SharedSettings>,
     pub book: Rc<Counters>,
     pub discovery: Rc<Discovery>,
@@ -78,7 +78,7 @@
         self.outstanding.set(self.outstanding.get() + 1);
         let answer = timeout(PROBE_TIMEOUT, self.exchange(server)).await.unwrap_or(Err(Failure::TooLate));
         self.outstanding.set(self.outstanding.get() - 1);
-        let took = started.elapsed().as_secs_f64() * 1000.0;
+        let took_ms = started.elapsed().as_secs_f64() * 1000.0;
         if answer.is_ok() {
             self.discovery.confirm(server, at);
         }
@@ -87,28 +87,30 @@
                 if failure.concerns_server() {
                     self.book.probes_failed.add();
                 }
-                self.failure_log.info(|| format!("probe of {server} failed after {took:.0} ms: {failure:?}"));
+                self.failure_log
+                    .info(|| format!("probe of {server} failed after {took_ms:.0} ms: {failure:?}"));
                 None
             }
             Ok(Ok(report)) => Some(report),
             // The server is well, and what was known of it stays.
             Ok(Err(problem)) => return self.drop_report(&problem),
         };
-        self.inbox.push(move |balancer| {
-            balancer.probe_answered(address, report.is_some(), &report.unwrap_or_default(), took);
+        self.event_queue.push(move |balancer| {
+            balancer.probe_answered(address, report.is_some(), &report.unwrap_or_default(), took_ms);
         });
     }
 
     /// The server's load report, empty where there are none.
     async fn exchange(&self, server: SocketAddr) -> Result<Result<Vec<f64>, String>, Failure> {
-        let mut link = self.pool.link(server).await.map_err(|()| Failure::NoConnection)?;
+        let mut connection = self.pool.connection(server).await.map_err(|()| Failure::NoConnection)?;
         if !self.guard.permits_probe(server) {
-            self.pool.keep_link(server, link);
+            self.pool.release(server, connection);
             return Err(Failure::Refused);
         }
         let call = message::encode_probe(server, self.settings.current().node_settings.reports);
-        let (head, body) = link.ask(call, MAX_REPORT_BYTES).await.map_err(|()| Failure::Broken)?;
-        self.pool.keep_link(server, link);
+        let (head, body) =
+            connection.request_whole(call, MAX_REPORT_BYTES).await.map_err(|()| Failure::Broken)?;
+        self.pool.release(server, connection);
         let report = || {
             message::decode_report(&String::from_utf8_lossy(&body), &self.settings.current().node_settings)
         };
--- a/crates/pearfront-node/src/probe/tests.rs
+++ b/crates/pearfront-node/src/probe/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::test_support::{Stages, run};
+use crate::test_support::{TestNode, run};
 use hyper::StatusCode;
 use pearfront::interface::Standing;
 use std::future::pending;
@@ -49,18 +49,18 @@
         let server = listener.local_addr().unwrap();
         let bytes_read = Rc::new(Cell::new(0));
         spawn_local(serve(listener, bytes_read.clone()));
-        let stages = Stages::new(server);
-        stages.list(2, server, Standing::Ready);
-        stages.list(3, server, standing);
+        let node = TestNode::new(server);
+        node.list_server(2, server, Standing::Ready);
+        node.list_server(3, server, standing);
         for _ in 0..MAX_PROBES {
-            stages.prober.clone().probe([0; 6], server).await;
+            node.prober.clone().probe([0; 6], server).await;
             if bytes_read.get() > 0 {
                 break;
             }
         }
         assert_eq!(bytes_read.get() > 0, is_probed);
-        let refused = stages.book.guard_refused.value();
-        assert_eq!(refused, if is_probed { 0 } else { stages.book.probes.value() });
-        assert!(is_probed || stages.book.probes_failed.value() == 0);
+        let refused = node.book.guard_refused.value();
+        assert_eq!(refused, if is_probed { 0 } else { node.book.probes.value() });
+        assert!(is_probed || node.book.probes_failed.value() == 0);
     });
 }
--- a/crates/pearfront-node/src/test_support.rs
+++ b/crates/pearfront-node/src/test_support.rs
@@ -19,13 +19,13 @@
 use std::rc::Rc;
 use tokio::task::LocalSet;
 
-pub struct Stages {
+pub struct TestNode {
     pub book: Rc<Counters>,
     pub discovery: Rc<Discovery>,
     pub prober: Rc<Prober>,
 }
 
-impl Stages {
+impl TestNode {
     /// Stages whose discovery service has this address; only within `run`.
     pub fn new(service: SocketAddr) -> Self {
         let node_settings = Surroundings {
@@ -35,23 +35,23 @@
             ..Surroundings::default()
         };
         let settings = SharedSettings::new(RuntimeSettings { node_settings, ..RuntimeSettings::default() });
-        let (clock, inbox) = (Clock::start(), Rc::new(EventQueue::default()));
-        let (room, book) = (crate::capacity::Capacity::new(64, 1.0), Rc::new(Counters::default()));
-        let pool = ConnectionPool::new(settings.clone(), room.clone(), book.clone());
-        let peers = Peers::new(room, Rc::new(Lifecycle::new()));
+        let (clock, event_queue) = (Clock::start(), Rc::new(EventQueue::default()));
+        let (capacity, book) = (crate::capacity::Capacity::new(64, 1.0), Rc::new(Counters::default()));
+        let pool = ConnectionPool::new(settings.clone(), capacity.clone(), book.clone());
+        let peers = Peers::new(capacity, Rc::new(Lifecycle::new()));
         let dependencies = Dependencies {
             clock,
             settings: settings.clone(),
             pool: pool.clone(),
             book: book.clone(),
-            inbox: inbox.clone(),
+            event_queue: event_queue.clone(),
             peers,
         };
         let discovery = Discovery::new(service, dependencies);
         let guard = Guard::new(discovery.clone(), clock, book.clone());
         let prober = Rc::new(Prober {
             pool,
-            inbox,
+            event_queue,
             settings,
             book: book.clone(),
             discovery: discovery.clone(),
@@ -65,7 +65,7 @@
     }
 
     /// Tells the stages that a list of this version has the server so.
-    pub fn list(&self, version: u64, server: SocketAddr, standing: Standing) {
+    pub fn list_server(&self, version: u64, server: SocketAddr, standing: Standing) {
         let SocketAddr::V4(address) = server else { panic!("no such addresses here") };
         let entry = ServerEntry {
             id: "s0".into(),
@@ -85,7 +85,7 @@
 }
 
 /// Runs a test's play as the node runs its stages.
-pub fn run(play: impl Future<Output = ()>) {
+pub fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    LocalSet::new().block_on(&runtime, play);
+    LocalSet::new().block_on(&runtime, test);
 }
