--- a/crates/pearfront-node/src/admin.rs
+++ b/crates/pearfront-node/src/admin.rs
@@ -193,7 +193,7 @@
                 message::encode_conflict("that command does not want it")
             }
         }
-        AdminCall::MoveDuty { duty, to } => match cluster.order(&duty, to.as_deref()).await {
+        AdminCall::MoveDuty { duty, to } => match cluster.move_duty(&duty, to.as_deref()).await {
             Ok(answer) => message::encode_json(&answer),
             Err(problem) => message::encode_conflict(&problem),
         },
--- a/crates/pearfront-node/src/connection_pool.rs
+++ b/crates/pearfront-node/src/connection_pool.rs
@@ -197,7 +197,7 @@
     /// Neither closed by its server nor idle for so long that it soon will be.
     fn is_reusable(&self, idle: &Idle) -> bool {
         idle.connection.is_usable()
-            && idle.since.elapsed() < ms(self.settings.current().node_settings.conn_idle * IDLE_SHARE)
+            && idle.since.elapsed() < ms(self.settings.current().node_settings.idle_timeout * IDLE_SHARE)
     }
 
     /// Closes what has been idle for long, or was closed by its server.
--- a/crates/pearfront-node/src/main.rs
+++ b/crates/pearfront-node/src/main.rs
@@ -55,8 +55,8 @@
 use lease_monitor::LeaseMonitor;
 use lifecycle::Lifecycle;
 use logger::{InfoLimiter, WarnLimiter};
-use pearfront::chance::Chance;
 use pearfront::policy::Balancer;
+use pearfront::rng::SeededRng;
 use pearfront_cluster::Cluster;
 use probe::Prober;
 use runtime_settings::{RuntimeSettings, SharedSettings};
@@ -183,8 +183,8 @@
         {
             log::warn!("ends without a permit: {problem}");
         }
-        let longest = settings.current().node_settings.longest_deadline.min(MAX_COUNTED_DEADLINE_MS)
-            + AFTER_DEADLINE_MS;
+        let longest =
+            settings.current().node_settings.max_deadline.min(MAX_COUNTED_DEADLINE_MS) + AFTER_DEADLINE_MS;
         last_moment.set(clock.now() + longest);
         let answered = last_moment.get() - FINAL_ANSWERS_MS;
         lifecycle.end(
@@ -192,7 +192,7 @@
                 .instant_at(answered - client_service::CLOSING_PERIOD_MS)
                 .saturating_duration_since(Instant::now()),
         );
-        client_service.dispatcher.inbox.push(move |balancer| balancer.closing(answered));
+        client_service.dispatcher.inbox.push(move |balancer| balancer.shutdown_at(answered));
         answered
     };
     Acceptor::new(listener, shared, client_service.clone()).run(ended).await;
@@ -313,7 +313,10 @@
 ) {
     let settings = Rc::new(settings);
     shared_settings.replace(settings.clone());
-    client_service.dispatcher.inbox.push(move |balancer| balancer.retune(settings.policy_settings.clone()));
+    client_service
+        .dispatcher
+        .inbox
+        .push(move |balancer| balancer.update_settings(settings.policy_settings.clone()));
 }
 
 /// Puts the stages together and starts what runs by itself.
@@ -342,7 +345,7 @@
     );
     // The module's seed, and other streams of it.
     let stream = |number| {
-        let mut chance = Chance::seeded(config.seed);
+        let mut chance = SeededRng::from_seed(config.seed);
         chance.0.set_stream(number);
         chance
     };
@@ -365,7 +368,7 @@
     let dispatcher =
         Dispatcher::new(clock, event_queue, pool.clone(), discovery.clone(), prober, book.clone(), peers);
     discovery.apply_list(config.initial_list, true);
-    if !policy_settings.listed_on_request {
+    if !policy_settings.discovery_on_request {
         discovery.start_watch();
     }
     spawn_local(pool.clone().close_expired());
--- a/crates/pearfront-node/src/probe.rs
+++ b/crates/pearfront-node/src/probe.rs
@@ -107,7 +107,7 @@
             self.pool.release(server, connection);
             return Err(Failure::Refused);
         }
-        let call = message::encode_probe(server, self.settings.current().node_settings.reports);
+        let call = message::encode_probe(server, self.settings.current().node_settings.load_reports);
         let (head, body) =
             connection.request_whole(call, MAX_REPORT_BYTES).await.map_err(|()| Failure::Broken)?;
         self.pool.release(server, connection);
@@ -115,7 +115,7 @@
             message::decode_report(&String::from_utf8_lossy(&body), &self.settings.current().node_settings)
         };
         match head.status {
-            hyper::StatusCode::OK if self.settings.current().node_settings.reports => Ok(report()),
+            hyper::StatusCode::OK if self.settings.current().node_settings.load_reports => Ok(report()),
             hyper::StatusCode::OK => Ok(Ok(Vec::new())),
             status => Err(Failure::Status(status)),
         }
