--- a/crates/pearfront-node/src/config.rs
+++ b/crates/pearfront-node/src/config.rs
@@ -69,13 +69,15 @@
     let top = JsonField::root(&json, "config");
     // Discovery may have moved since the variable was set: the file, which can be replaced, says where it is now.
     let discovery = match top.optional("discovery") {
-        Some(at) => at.string()?.parse().or_else(|_| at.error("is no address and port"))?,
+        Some(field) => field.string()?.parse().or_else(|_| field.error("is no address and port"))?,
         None => discovery,
     };
     // At an upgrade two processes may share the file, and each has variables of its own.
     let admin = match (optional(ADMIN_VARIABLE), top.optional("admin")) {
         (Some(value), _) => Some(parsed(ADMIN_VARIABLE, value)?),
-        (None, Some(at)) => Some(at.string()?.parse().or_else(|_| at.error("is no address and port"))?),
+        (None, Some(field)) => {
+            Some(field.string()?.parse().or_else(|_| field.error("is no address and port"))?)
+        }
         (None, None) => None,
     };
     let number = |value: String| value.parse().ok().filter(|number| *number > 2);
@@ -85,7 +87,10 @@
     let seed = top.required("seed")?;
     let limits = top.optional("limits");
     let limit = |key: &str, default: f64| {
-        limits.as_ref().and_then(|at| at.optional(key)).map_or(Ok(default), |at| at.positive_number())
+        limits
+            .as_ref()
+            .and_then(|field| field.optional(key))
+            .map_or(Ok(default), |field| field.positive_number())
     };
     let reserved_descriptors = if admin.is_some() { crate::admin::RESERVED_DESCRIPTORS } else { 0 };
     let cluster = top.optional("cluster").map(|_| cluster(&json["cluster"])).transpose()?;
--- a/crates/pearfront-node/src/discovery.rs
+++ b/crates/pearfront-node/src/discovery.rs
@@ -70,10 +70,10 @@
 }
 
 /// A line in the module's terms; `start` gives its start in the node's time.
-pub fn listing(entry: &ServerEntry, start: impl Fn(f64) -> f64) -> ListedServer {
+pub fn listed_server(entry: &ServerEntry, start: impl Fn(f64) -> f64) -> ListedServer {
     ListedServer {
         address: encode_address(entry.address),
-        state: entry.standing,
+        state: entry.state,
         cell: entry.cell,
         zone: entry.zone,
         machine_type: entry.machine_type,
@@ -206,12 +206,12 @@
 
     /// The servers that the list has as ready, in the module's terms.
     pub fn ready(&self) -> Vec<ListedServer> {
-        self.roster.borrow().ready().map(|entry| self.listing(entry)).collect()
+        self.roster.borrow().ready().map(|entry| self.listed_server(entry)).collect()
     }
 
-    fn listing(&self, entry: &ServerEntry) -> ListedServer {
+    fn listed_server(&self, entry: &ServerEntry) -> ListedServer {
         let (now, absent_at) = (self.clock.now(), self.last_list_at.get());
-        listing(entry, |unix| self.wall.start_of(&entry.id, unix, now, absent_at))
+        listed_server(entry, |unix| self.wall.start_of(&entry.id, unix, now, absent_at))
     }
 
     fn lease_rules(&self) -> LeaseRules {
@@ -232,19 +232,19 @@
         let mut left = self.left_at.borrow_mut();
         left.retain(|_, at| now - *at < LEFT_RETENTION_MS);
         for entry in &entries {
-            if entry.standing == ServerState::Ready {
+            if entry.state == ServerState::Ready {
                 left.remove(&entry.address.into());
                 continue;
             }
             left.entry(entry.address.into()).or_insert(now);
-            log::info!("server {} at {} is {:?}, version {version}", entry.id, entry.address, entry.standing);
+            log::info!("server {} at {} is {:?}, version {version}", entry.id, entry.address, entry.state);
         }
         for server in stale {
             self.pool.close_idle(server);
             self.leases.forget(server);
         }
         self.wall.observe(wall_clock::unix_now(), now);
-        let entries: Vec<ListedServer> = entries.iter().map(|entry| self.listing(entry)).collect();
+        let entries: Vec<ListedServer> = entries.iter().map(|entry| self.listed_server(entry)).collect();
         if entries.iter().any(|entry| entry.state == ServerState::Gone) {
             self.wall.retain_servers(|server| self.roster.borrow().entries.contains_key(server));
         }
@@ -289,9 +289,9 @@
 
     /// Begins the watch, unless it is on: from then on it goes on by itself, whether lists come so or are asked for.
     pub fn start_watch(self: &Rc<Self>) {
-        if let Some(chance) = self.jitter.take() {
+        if let Some(rng) = self.jitter.take() {
             let discovery = self.clone();
-            spawn_local(async move { watch::run(&*discovery, chance).await });
+            spawn_local(async move { watch::run(&*discovery, rng).await });
         }
     }
 
--- a/crates/pearfront-node/src/discovery/roster.rs
+++ b/crates/pearfront-node/src/discovery/roster.rs
@@ -21,7 +21,7 @@
 impl Roster {
     /// The servers that the list has as ready.
     pub(super) fn ready(&self) -> impl Iterator<Item = &ServerEntry> {
-        self.entries.values().filter(|entry| entry.standing == ServerState::Ready)
+        self.entries.values().filter(|entry| entry.state == ServerState::Ready)
     }
 
     /// Where the server at this address stands.
@@ -33,7 +33,7 @@
     /// Does the list have the server as ready?
     pub(super) fn is_ready(&self, server: SocketAddr) -> bool {
         let at_address = |entry: &&ServerEntry| SocketAddr::from(entry.address) == server;
-        self.entries.values().filter(at_address).any(|entry| entry.standing == ServerState::Ready)
+        self.entries.values().filter(at_address).any(|entry| entry.state == ServerState::Ready)
     }
 
     /// Takes in a list. Returns what the module is to be told, and the servers whose connections are stale.
@@ -55,7 +55,7 @@
             let before = self.entries.remove(&entry.id);
             let other = self.entries.values().find(same_address).map(|other| other.id.clone());
             // The rest of what is told of a server may come after its successor at that address.
-            let stays = match entry.standing {
+            let stays = match entry.state {
                 ServerState::Ready => true,
                 ServerState::Draining => other.is_none(),
                 ServerState::Gone => false,
@@ -74,7 +74,7 @@
             }
         }
         stale.extend(gone.iter().map(|entry| SocketAddr::from(entry.address)));
-        let gone = gone.into_iter().map(|entry| ServerEntry { standing: ServerState::Gone, ..entry });
+        let gone = gone.into_iter().map(|entry| ServerEntry { state: ServerState::Gone, ..entry });
         let now = changed.iter().filter_map(|id| self.entries.get(id).cloned());
         (gone.chain(now).collect(), stale)
     }
--- a/crates/pearfront-node/src/discovery/roster/tests.rs
+++ b/crates/pearfront-node/src/discovery/roster/tests.rs
@@ -6,7 +6,7 @@
     ServerEntry {
         id: id.into(),
         address,
-        standing: ServerState::Ready,
+        state: ServerState::Ready,
         cell: 0,
         zone: 0,
         machine_type: 0,
@@ -21,7 +21,7 @@
     entries: Vec<ServerEntry>,
 ) -> (Vec<(u16, ServerState)>, Vec<u16>) {
     let (told, stale) = roster.update(ServerList { version: 1, is_full, entries, invalid: Vec::new() });
-    let told = told.iter().map(|entry| (entry.address.port(), entry.standing)).collect();
+    let told = told.iter().map(|entry| (entry.address.port(), entry.state)).collect();
     (told, stale.iter().map(SocketAddr::port).collect())
 }
 
@@ -45,10 +45,10 @@
     assert_eq!(update(&mut roster, false, vec![entry("b", 2, Some(6.0))]).1, [2]);
     assert_eq!(update(&mut roster, true, vec![entry("b", 2, Some(6.0))]).1, [1, 3]);
     assert!(roster.is_ready("127.0.0.1:2".parse().unwrap()));
-    let draining = ServerEntry { standing: ServerState::Draining, ..entry("b", 2, Some(6.0)) };
+    let draining = ServerEntry { state: ServerState::Draining, ..entry("b", 2, Some(6.0)) };
     update(&mut roster, false, vec![draining]);
     assert!(!roster.is_ready("127.0.0.1:2".parse().unwrap()));
-    let gone = ServerEntry { standing: ServerState::Gone, ..entry("b", 2, Some(6.0)) };
+    let gone = ServerEntry { state: ServerState::Gone, ..entry("b", 2, Some(6.0)) };
     assert_eq!(update(&mut roster, false, vec![gone]), (vec![(2, ServerState::Gone)], vec![2]));
 }
 
@@ -57,7 +57,7 @@
 #[test]
 fn a_new_server_at_the_address_of_another_is_a_new_one() {
     let (gone, ready) = (ServerState::Gone, ServerState::Ready);
-    let old = |standing| ServerEntry { standing, ..entry("old", 1, None) };
+    let old = |state| ServerEntry { state, ..entry("old", 1, None) };
     for (is_full, entries) in [
         (false, vec![old(gone), entry("new", 1, None)]),
         (false, vec![entry("new", 1, None), old(gone)]),
@@ -71,7 +71,7 @@
         }
         assert!(roster.is_ready("127.0.0.1:1".parse().unwrap()));
         // What comes last in a list holds.
-        let entries = vec![entry("new", 1, None), ServerEntry { standing: gone, ..entry("new", 1, None) }];
+        let entries = vec![entry("new", 1, None), ServerEntry { state: gone, ..entry("new", 1, None) }];
         assert_eq!(update(&mut roster, false, entries).0, [(1, gone)]);
     }
 }
--- a/crates/pearfront-node/src/discovery/tests.rs
+++ b/crates/pearfront-node/src/discovery/tests.rs
@@ -9,7 +9,7 @@
     ServerEntry {
         id: id.into(),
         address,
-        standing: ServerState::Ready,
+        state: ServerState::Ready,
         cell: 0,
         zone: 0,
         machine_type: 0,
@@ -20,10 +20,10 @@
 
 #[test]
 fn addresses_and_starts_are_put_in_the_modules_terms() {
-    let listed = listing(&entry("a", 8443, Some(1500.0)), |unix| unix - 1000.0);
+    let listed = listed_server(&entry("a", 8443, Some(1500.0)), |unix| unix - 1000.0);
     assert_eq!((listed.address, listed.started_at), ([127, 0, 0, 1, 0x20, 0xfb], 500.0));
     assert_eq!(decode_address(listed.address), "127.0.0.1:8443".parse().unwrap());
-    assert_eq!(listing(&entry("a", 1, None), |unix| unix - 1000.0).started_at, f64::NEG_INFINITY);
+    assert_eq!(listed_server(&entry("a", 1, None), |unix| unix - 1000.0).started_at, f64::NEG_INFINITY);
 }
 
 // While a call is held, another process of the node tells of a later list. What the call is answered with may be older: it does
--- a/crates/pearfront-node/src/lease_monitor.rs
+++ b/crates/pearfront-node/src/lease_monitor.rs
@@ -65,7 +65,7 @@
     }
 
     /// Looks at the leases as long as the node runs.
-    pub async fn run(self, mut chance: SeededRng) {
+    pub async fn run(self, mut rng: SeededRng) {
         loop {
             sleep(MIN_CHECK_SPACING).await;
             let pause = (self.discovery.confirmation_lifetime_ms() * CHECK_SHARE)
@@ -75,12 +75,12 @@
             } else {
                 let _ = timeout(ms(pause), self.discovery.server_confirmed()).await;
             }
-            self.check(pause, &mut chance);
+            self.check(pause, &mut rng);
         }
     }
 
     /// Looks once; the next look comes after such a pause, ms.
-    fn check(&self, pause: f64, chance: &mut SeededRng) {
+    fn check(&self, pause: f64, rng: &mut SeededRng) {
         let (now, lifetime_ms) = (self.clock.now(), self.discovery.confirmation_lifetime_ms());
         let ahead = (lifetime_ms * PROBE_AHEAD_SHARE).min(MAX_PROBE_AHEAD_MS);
         let is_old = self.discovery.list_lease_until() <= now + ahead;
@@ -91,7 +91,7 @@
         self.suspend(&ready, now + pause);
         if is_old && self.settings.current().policy_settings.may_probe {
             let interval_ms = PROBE_INTERVAL_MS.min(lifetime_ms / 2.0);
-            self.probe(&ready, now, now + ahead, interval_ms, chance);
+            self.probe(&ready, now, now + ahead, interval_ms, rng);
         }
     }
 
@@ -107,11 +107,11 @@
         let changed = ready
             .iter()
             .filter(|entry| suspended.contains(&entry.address) != before.contains(&entry.address));
-        let standing = |entry: &ListedServer| match suspended.contains(&entry.address) {
+        let state = |entry: &ListedServer| match suspended.contains(&entry.address) {
             true => ListedServer { state: ServerState::Draining, ..*entry },
             false => *entry,
         };
-        let entries: Vec<ListedServer> = changed.map(standing).collect();
+        let entries: Vec<ListedServer> = changed.map(state).collect();
         if !entries.is_empty() {
             let age = self.clock.now() - self.discovery.list_lease_until();
             let (without, all) = (suspended.len(), ready.len());
@@ -123,7 +123,7 @@
     }
 
     /// Probes servers whose lease ends by that time, and that were not probed within the last `again` ms, until enough have one.
-    fn probe(&self, ready: &[ListedServer], now: f64, until: f64, interval_ms: f64, chance: &mut SeededRng) {
+    fn probe(&self, ready: &[ListedServer], now: f64, until: f64, interval_ms: f64, rng: &mut SeededRng) {
         let ends_soon = |entry: &&ListedServer| self.lease_until(entry) <= until;
         let mut ending: Vec<&ListedServer> = ready.iter().filter(ends_soon).collect();
         // Where there is hardly a descriptor left one probe at a time has one.
@@ -133,7 +133,7 @@
         let mut last_probes = self.last_probes.borrow_mut();
         last_probes.retain(|_, at| now - *at < interval_ms);
         ending.retain(|entry| !last_probes.contains_key(&entry.address));
-        ending.shuffle(&mut chance.0);
+        ending.shuffle(&mut rng.0);
         for entry in ending.into_iter().take(wanted) {
             last_probes.insert(entry.address, now);
             spawn_local(self.prober.clone().probe(entry.address, discovery::decode_address(entry.address)));
--- a/crates/pearfront-node/src/main.rs
+++ b/crates/pearfront-node/src/main.rs
@@ -345,9 +345,9 @@
     );
     // The module's seed, and other streams of it.
     let stream = |number| {
-        let mut chance = SeededRng::from_seed(config.seed);
-        chance.0.set_stream(number);
-        chance
+        let mut rng = SeededRng::from_seed(config.seed);
+        rng.0.set_stream(number);
+        rng
     };
     discovery.set_jitter(stream(1));
     let guard = Guard::new(discovery.clone(), clock, book.clone());
--- a/crates/pearfront-node/src/message/discovery.rs
+++ b/crates/pearfront-node/src/message/discovery.rs
@@ -28,7 +28,7 @@
 pub struct ServerEntry {
     pub id: String,
     pub address: SocketAddrV4,
-    pub standing: ServerState,
+    pub state: ServerState,
     pub cell: u16,
     pub zone: u16,
     pub machine_type: usize,
@@ -39,9 +39,9 @@
 }
 
 /// A server of no size would never be drawn, or always.
-fn weight(at: &JsonField) -> Result<f64, String> {
-    let weight = at.number_or("weight", 1.0)?;
-    if weight > 0.0 { Ok(weight) } else { at.error("has a weight of 0") }
+fn weight(field: &JsonField) -> Result<f64, String> {
+    let weight = field.number_or("weight", 1.0)?;
+    if weight > 0.0 { Ok(weight) } else { field.error("has a weight of 0") }
 }
 
 /// Decodes discovery's answer. The error says what is wrong with it.
@@ -54,11 +54,11 @@
 pub fn decode_list_json(top: &JsonField, node_settings: &NodeSettings) -> Result<ServerList, String> {
     let mut entries = Vec::new();
     let mut invalid = Vec::new();
-    for at in top.required("instances")?.list()? {
-        match decode_entry(&at, node_settings) {
+    for field in top.required("instances")?.list()? {
+        match decode_entry(&field, node_settings) {
             Ok(entry) => entries.push(entry),
             Err(problem) => {
-                let id = at.optional("instanceId").and_then(|id| id.string().ok().map(str::to_string));
+                let id = field.optional("instanceId").and_then(|id| id.string().ok().map(str::to_string));
                 invalid.push((id, problem));
             }
         }
@@ -75,7 +75,7 @@
 ) -> Value {
     let name = |names: &[String], index: usize| names.get(index).cloned().unwrap_or_default();
     let entry = |entry: &ServerEntry| {
-        let lifecycle = match entry.standing {
+        let lifecycle = match entry.state {
             ServerState::Ready => "Ready",
             ServerState::Draining => "Terminating",
             ServerState::Gone => "Gone",
@@ -89,28 +89,28 @@
     serde_json::json!({"generation": version, "reset": true, "instances": entries})
 }
 
-fn decode_entry(at: &JsonField, node_settings: &NodeSettings) -> Result<ServerEntry, String> {
-    let lifecycle = at.required("lifecycle")?;
-    let standing = match lifecycle.string()? {
+fn decode_entry(field: &JsonField, node_settings: &NodeSettings) -> Result<ServerEntry, String> {
+    let lifecycle = field.required("lifecycle")?;
+    let state = match lifecycle.string()? {
         "Ready" => ServerState::Ready,
         "Terminating" => ServerState::Draining,
         "Gone" => ServerState::Gone,
         other => return lifecycle.error(format!("{other:?} is unknown")),
     };
-    let address = at.required("hostPort")?;
+    let address = field.required("hostPort")?;
     let named = |key: &str, names: &[String]| -> Result<usize, String> {
-        let Some(name) = at.optional(key) else { return Ok(0) };
+        let Some(name) = field.optional(key) else { return Ok(0) };
         let name = name.string()?;
         // A name that the settings lack is none of theirs: one more.
         Ok(names.iter().position(|known| known == name).unwrap_or(names.len()))
     };
-    let started = at.number_or("startedAtMs", 0.0)?;
+    let started = field.number_or("startedAtMs", 0.0)?;
     Ok(ServerEntry {
-        id: at.required("instanceId")?.string()?.to_string(),
+        id: field.required("instanceId")?.string()?.to_string(),
         address: address.string()?.parse().or_else(|_| address.error("is no address and port"))?,
-        standing,
-        cell: at.number_or("cell", 0.0)? as u16,
-        weight: weight(at)?,
+        state,
+        cell: field.number_or("cell", 0.0)? as u16,
+        weight: weight(field)?,
         zone: named("zone", &node_settings.zones)? as u16,
         machine_type: named("machineType", &node_settings.machine_types)?,
         started: (started > 0.0).then_some(started),
--- a/crates/pearfront-node/src/message/discovery/tests.rs
+++ b/crates/pearfront-node/src/message/discovery/tests.rs
@@ -9,10 +9,10 @@
 // What one process tells the next must be what it knows.
 #[test]
 fn a_list_is_read_as_it_was_written() {
-    let entry = |id: &str, standing, started| ServerEntry {
+    let entry = |id: &str, state, started| ServerEntry {
         id: id.into(),
         address: "127.0.0.1:8443".parse().unwrap(),
-        standing,
+        state,
         cell: 3,
         zone: 1,
         machine_type: 2,
@@ -36,13 +36,13 @@
     assert_eq!((list.version, list.is_full), (41, true));
     let address = "10.1.0.18:8443".parse().unwrap();
     // A machine type that the settings lack is one more.
-    let (standing, started) = (ServerState::Ready, Some(5.0));
+    let (state, started) = (ServerState::Ready, Some(5.0));
     assert_eq!(
         list.entries,
         [ServerEntry {
             id: "s-1".into(),
             address,
-            standing,
+            state,
             cell: 3,
             zone: 1,
             machine_type: 2,
--- a/crates/pearfront-node/src/probe/tests.rs
+++ b/crates/pearfront-node/src/probe/tests.rs
@@ -43,7 +43,7 @@
 #[test_case(ServerState::Ready, true; "ready")]
 #[test_case(ServerState::Draining, false; "draining")]
 #[test_case(ServerState::Gone, false; "gone")]
-fn only_a_ready_server_is_probed(standing: ServerState, is_probed: bool) {
+fn only_a_ready_server_is_probed(state: ServerState, is_probed: bool) {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let server = listener.local_addr().unwrap();
@@ -51,7 +51,7 @@
         spawn_local(serve(listener, bytes_read.clone()));
         let node = TestNode::new(server);
         node.list_server(2, server, ServerState::Ready);
-        node.list_server(3, server, standing);
+        node.list_server(3, server, state);
         for _ in 0..MAX_PROBES {
             node.prober.clone().probe([0; 6], server).await;
             if bytes_read.get() > 0 {
--- a/crates/pearfront-node/src/test_support.rs
+++ b/crates/pearfront-node/src/test_support.rs
@@ -65,12 +65,12 @@
     }
 
     /// Tells the stages that a list of this version has the server so.
-    pub fn list_server(&self, version: u64, server: SocketAddr, standing: ServerState) {
+    pub fn list_server(&self, version: u64, server: SocketAddr, state: ServerState) {
         let SocketAddr::V4(address) = server else { panic!("no such addresses here") };
         let entry = ServerEntry {
             id: "s0".into(),
             address,
-            standing,
+            state,
             cell: 0,
             zone: 0,
             machine_type: 0,
--- a/crates/pearfront-node/src/watch.rs
+++ b/crates/pearfront-node/src/watch.rs
@@ -158,7 +158,7 @@
         now: f64,
         problem: &Failure,
         backoff: Backoff,
-        chance: &mut SeededRng,
+        rng: &mut SeededRng,
     ) -> f64 {
         let was_stable =
             self.connected_since.take().is_some_and(|connected_since| now - connected_since > STABLE_MS);
@@ -178,13 +178,13 @@
         let waited = matches!(problem, Failure::TimedOut(_)) && !self.missed;
         let from = if waited { self.call_began } else { now };
         let longest = (self.remaining(from) * DEADLINE_SHARE).max(MIN_PAUSE_MS);
-        let pause = self.last_pause_ms.min(longest) * chance.0.random_range(MIN_JITTER..1.0);
+        let pause = self.last_pause_ms.min(longest) * rng.0.random_range(MIN_JITTER..1.0);
         (from + pause - now).max(0.0)
     }
 }
 
 /// Calls the service again and again, for good.
-pub async fn run(service: &impl DiscoveryService, mut chance: SeededRng) -> ! {
+pub async fn run(service: &impl DiscoveryService, mut rng: SeededRng) -> ! {
     let started = Instant::now();
     let now = || started.elapsed().as_secs_f64() * 1000.0;
     let mut deadline = Deadline::new(now());
@@ -220,7 +220,7 @@
             }
             Err(problem) => {
                 service.call_failed(&problem, deadline.next_may_succeed(&problem));
-                let pause = deadline.pause_after_failure(now(), &problem, service.backoff(), &mut chance);
+                let pause = deadline.pause_after_failure(now(), &problem, service.backoff(), &mut rng);
                 tokio::select! {
                     () = sleep(ms(pause)) => {}
                     // The pause was meant for the old place.
--- a/crates/pearfront-node/src/watch/tests.rs
+++ b/crates/pearfront-node/src/watch/tests.rs
@@ -203,9 +203,9 @@
 #[tokio::test(start_paused = true)]
 async fn calls_that_fail_at_once_leave_time_for_others(backoff: Backoff) {
     for seed in 0..500 {
-        let mut chance = ChaCha8Rng::seed_from_u64(seed);
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let quick = [BrokenOff, Unreadable, Refused];
-        let faults: Vec<Fault> = (0..4).map(|_| *quick.choose(&mut chance).unwrap()).collect();
+        let faults: Vec<Fault> = (0..4).map(|_| *quick.choose(&mut rng).unwrap()).collect();
         let (took_ms, allowed_ms) = time_between_lists(&faults, backoff, seed).await;
         assert!(took_ms <= allowed_ms, "{faults:?}, seed {seed}: {took_ms:.0} ms");
     }
@@ -218,17 +218,17 @@
 #[tokio::test(start_paused = true)]
 async fn after_an_outage_a_list_arrives_in_time(backoff: Backoff) {
     for (seed, down) in (0..900).zip([Silent, Refused, NotConnected].into_iter().cycle()) {
-        let mut chance = ChaCha8Rng::seed_from_u64(seed);
-        let away = chance.random_range(100.0..60_000.0);
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        let away = rng.random_range(100.0..60_000.0);
         let service = FakeService::new(backoff);
         let test = async {
             service.next_list().await;
-            sleep(ms(chance.random_range(0.0..3000.0))).await;
+            sleep(ms(rng.random_range(0.0..3000.0))).await;
             let back = service.now() + away;
             service.down.set(Some((back, down)));
             if down == Refused {
                 let next = [BrokenOff, Unreadable, Refused];
-                service.faults.borrow_mut().push(*next.choose(&mut chance).unwrap());
+                service.faults.borrow_mut().push(*next.choose(&mut rng).unwrap());
             }
             sleep(ms(away)).await;
             service.next_list().await - back
