--- a/crates/pearfront-node/src/connection_pool.rs
+++ b/crates/pearfront-node/src/connection_pool.rs
@@ -1,6 +1,6 @@
 //! Fourth stage of the node: connections to servers, and the attempts on them. Nothing here sends an attempt
 //! twice: a connection carries one attempt at a time, and the way it ended is reported as it was. Used by
-//! `route` and `probe`.
+//! `dispatcher` and `probe`.
 
 mod attempt;
 mod break_rates;
@@ -47,19 +47,19 @@
     dialer: Dialer,
     settings: Rc<SharedSettings>,
     capacity: Rc<Capacity>,
-    book: Rc<Counters>,
+    counters: Rc<Counters>,
     descriptor_log: WarnLimiter,
 }
 
 impl ConnectionPool {
-    pub fn new(settings: Rc<SharedSettings>, capacity: Rc<Capacity>, book: Rc<Counters>) -> Rc<Self> {
+    pub fn new(settings: Rc<SharedSettings>, capacity: Rc<Capacity>, counters: Rc<Counters>) -> Rc<Self> {
         Rc::new(Self {
             idle: RefCell::default(),
             break_rates: BreakRates::default(),
             dialer: Dialer::default(),
             settings,
             capacity,
-            book,
+            counters,
             descriptor_log: WarnLimiter::default(),
         })
     }
@@ -76,7 +76,7 @@
                 connections.remove(quiet.or(oldest)?)
             };
             if self.is_reusable(&idle) {
-                self.book.connections_reused.add();
+                self.counters.connections_reused.add();
                 idle.connection.reused = true;
                 return Some(idle.connection);
             }
@@ -122,7 +122,7 @@
 
     async fn open_connection(&self, server: SocketAddr) -> Result<HttpConnection, ()> {
         self.wait_for_descriptor().await;
-        self.book.connections.add();
+        self.counters.connections.add();
         let limit = ms(self.settings.current().node_settings.connect_timeout);
         let open = async || HttpConnection::open(server, self.capacity.take_slot()).await.map_err(drop);
         self.dialer.dial(limit, open, || self.capacity.has_slot()).await
--- a/crates/pearfront-node/src/connection_pool/connection_end.rs
+++ b/crates/pearfront-node/src/connection_pool/connection_end.rs
@@ -1,4 +1,4 @@
-//! How the connection of an attempt ended, and what that means for the attempt. Used by `route`, and by the
+//! How the connection of an attempt ended, and what that means for the attempt. Used by `dispatcher`, and by the
 //! decoder of answers.
 
 use crate::counters::Counters;
@@ -66,18 +66,18 @@
 
     /// Counts the end as reported to the decision module, with separate counters for two kinds that on-call
     /// staff look for.
-    pub fn count(self, book: &Counters) {
+    pub fn count(self, counters: &Counters) {
         let count = match self.ending() {
-            AttemptOutcome::Error if self == Self::Malformed => &book.attempt_malformed,
-            AttemptOutcome::Cancelled if self == Self::TurnedDown => &book.attempt_turned_down,
-            AttemptOutcome::Served => &book.attempt_served,
-            AttemptOutcome::Error => &book.attempt_error,
-            AttemptOutcome::Full => &book.attempt_full,
-            AttemptOutcome::ConnectFailed => &book.attempt_unconnected,
-            AttemptOutcome::ConnectionLost => &book.attempt_broken,
-            AttemptOutcome::TimedOut => &book.attempt_timed_out,
-            AttemptOutcome::Cancelled => &book.attempt_called_off,
-            AttemptOutcome::NeverSent => &book.attempt_never_sent,
+            AttemptOutcome::Error if self == Self::Malformed => &counters.attempt_malformed,
+            AttemptOutcome::Cancelled if self == Self::TurnedDown => &counters.attempt_turned_down,
+            AttemptOutcome::Served => &counters.attempt_served,
+            AttemptOutcome::Error => &counters.attempt_error,
+            AttemptOutcome::Full => &counters.attempt_full,
+            AttemptOutcome::ConnectFailed => &counters.attempt_unconnected,
+            AttemptOutcome::ConnectionLost => &counters.attempt_broken,
+            AttemptOutcome::TimedOut => &counters.attempt_timed_out,
+            AttemptOutcome::Cancelled => &counters.attempt_called_off,
+            AttemptOutcome::NeverSent => &counters.attempt_never_sent,
         };
         count.add();
     }
--- a/crates/pearfront-node/src/connection_pool/tests.rs
+++ b/crates/pearfront-node/src/connection_pool/tests.rs
@@ -30,7 +30,7 @@
 #[test]
 fn a_connection_that_its_server_closed_is_not_used_again() {
     let (listener, server, pool) = start_pool();
-    let (book, capacity) = (pool.book.clone(), pool.capacity.clone());
+    let (counters, capacity) = (pool.counters.clone(), pool.capacity.clone());
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let usable =
@@ -45,7 +45,7 @@
         pool.release(server, connection);
         until(true).await;
         let connection = pool.connection(server).await.unwrap();
-        assert_eq!((book.connections.value(), book.connections_reused.value()), (1, 1));
+        assert_eq!((counters.connections.value(), counters.connections_reused.value()), (1, 1));
         pool.release(server, connection);
         until(true).await;
         // An unsolicited answer or the end of the stream: in both cases the connection can't be used.
@@ -53,7 +53,7 @@
         drop(accepted);
         until(false).await;
         drop(pool.connection(server).await.unwrap());
-        assert_eq!((book.connections.value(), book.connections_reused.value()), (2, 1));
+        assert_eq!((counters.connections.value(), counters.connections_reused.value()), (2, 1));
     });
     // No connection is left open.
     drop(pool);
@@ -65,7 +65,7 @@
 #[test]
 fn a_connection_rests_after_an_answer() {
     let (_listener, server, pool) = start_pool();
-    let book = pool.book.clone();
+    let counters = pool.counters.clone();
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
@@ -80,16 +80,16 @@
         give_back(pool.connection(server).await.unwrap()).await;
         tokio::time::advance(QUIET_PERIOD - Duration::from_millis(1)).await;
         let second = pool.connection(server).await.unwrap();
-        assert_eq!((book.connections.value(), book.connections_reused.value()), (2, 0));
+        assert_eq!((counters.connections.value(), counters.connections_reused.value()), (2, 0));
         tokio::time::advance(Duration::from_millis(1)).await;
         give_back(pool.connection(server).await.unwrap()).await;
-        assert_eq!((book.connections.value(), book.connections_reused.value()), (2, 1));
+        assert_eq!((counters.connections.value(), counters.connections_reused.value()), (2, 1));
         give_back(second).await;
         for _ in 2..MAX_RESTING {
             give_back(pool.open_connection(server).await.unwrap()).await;
         }
         drop(pool.connection(server).await.unwrap());
-        assert_eq!((book.connections.value(), idle_count()), (MAX_RESTING as u64, MAX_RESTING - 1));
+        assert_eq!((counters.connections.value(), idle_count()), (MAX_RESTING as u64, MAX_RESTING - 1));
     });
 }
 
--- a/crates/pearfront-node/src/discovery.rs
+++ b/crates/pearfront-node/src/discovery.rs
@@ -1,5 +1,5 @@
 //! Keeps the server list up to date from the discovery service, and translates its ids and addresses to those
-//! the decision module uses. `route`, `guard`, `probe` and `lease_monitor` ask it which servers may be used.
+//! the decision module uses. `dispatcher`, `guard`, `probe` and `lease_monitor` ask it which servers may be used.
 
 mod roster;
 
@@ -89,7 +89,7 @@
     pub clock: Clock,
     pub settings: Rc<SharedSettings>,
     pub pool: Rc<ConnectionPool>,
-    pub book: Rc<Counters>,
+    pub counters: Rc<Counters>,
     pub event_queue: Rc<EventQueue>,
     pub peers: Rc<Peers>,
 }
@@ -105,7 +105,7 @@
     settings: Rc<SharedSettings>,
     event_queue: Rc<EventQueue>,
     pool: Rc<ConnectionPool>,
-    book: Rc<Counters>,
+    counters: Rc<Counters>,
     /// Other processes of this node.
     pub peers: Rc<Peers>,
     roster: RefCell<Roster>,
@@ -129,7 +129,7 @@
 
 impl Discovery {
     pub fn new(service: SocketAddr, dependencies: Dependencies) -> Rc<Self> {
-        let Dependencies { clock, settings, pool, book, event_queue, peers } = dependencies;
+        let Dependencies { clock, settings, pool, counters, event_queue, peers } = dependencies;
         let leases = Leases::default();
         leases.start(lease_rules(&settings), clock.now());
         Rc::new(Self {
@@ -145,7 +145,7 @@
             settings,
             event_queue,
             pool,
-            book,
+            counters,
             peers,
             roster: RefCell::default(),
             list_version: Cell::new(0),
@@ -224,10 +224,10 @@
     /// Applies a list and passes its changes to the decision module; `may_be_old` if it did not come from the
     /// service just now.
     pub fn apply_list(&self, list: ServerList, may_be_old: bool) {
-        self.book.lists.add();
+        self.counters.lists.add();
         self.list_version.set(list.version);
         for (_, problem) in &list.invalid {
-            self.book.list_lines_dropped.add();
+            self.counters.list_lines_dropped.add();
             self.invalid_entries.warn(format_args!("invalid list entry dropped: {problem}"));
         }
         let version = list.version;
@@ -424,7 +424,7 @@
         if again {
             self.failure_log.warn(format_args!("list requested again: {problem}"));
         } else {
-            self.book.lists_failed.add();
+            self.counters.lists_failed.add();
             self.failure_log.warn(format_args!("discovery watch ended: {problem}"));
         }
     }
--- a/crates/pearfront-node/src/guard.rs
+++ b/crates/pearfront-node/src/guard.rs
@@ -43,17 +43,17 @@
 pub struct Guard {
     discovery: Rc<Discovery>,
     clock: Clock,
-    book: Rc<Counters>,
+    counters: Rc<Counters>,
     refusal_log: InfoLimiter,
     violation_log: InfoLimiter,
 }
 
 impl Guard {
-    pub fn new(discovery: Rc<Discovery>, clock: Clock, book: Rc<Counters>) -> Rc<Self> {
+    pub fn new(discovery: Rc<Discovery>, clock: Clock, counters: Rc<Counters>) -> Rc<Self> {
         Rc::new(Self {
             discovery,
             clock,
-            book,
+            counters,
             refusal_log: InfoLimiter::new(LOG_LINES_PER_S),
             violation_log: InfoLimiter::new(LOG_LINES_PER_S),
         })
@@ -94,7 +94,7 @@
     }
 
     fn log_refusal(&self, request: &OpenRequest, server: SocketAddr, refusal: Refusal) {
-        self.book.guard_refused.add();
+        self.counters.guard_refused.add();
         self.refusal_log
             .info(|| format!("request {}: attempt on {server} refused, {refusal:?}", request.id()));
     }
@@ -103,7 +103,7 @@
     pub fn permits_probe(&self, server: SocketAddr) -> bool {
         let is_allowed = self.discovery.is_ready(server) || !Self::is_enforced();
         if !is_allowed {
-            self.book.guard_refused.add();
+            self.counters.guard_refused.add();
         }
         is_allowed
     }
@@ -112,7 +112,7 @@
     /// the client ended it.
     pub fn check_close(&self, client: &ClientConnection, why: &str) {
         if client.has_open_request() && !client.is_answered_early() && !client.stream.has_ended() {
-            self.book.violations_close.add();
+            self.counters.violations_close.add();
             self.violation_log
                 .info(|| format!("violation: a connection with an open request is closed, {why}"));
         }
@@ -120,17 +120,17 @@
 
     /// Counts the requests that are left without an answer when the process ends.
     pub fn record_unanswered(&self, requests: usize) {
-        (0..requests).for_each(|_| self.book.violations_close.add());
+        (0..requests).for_each(|_| self.counters.violations_close.add());
     }
 
     /// Marks the node as ready. Nothing is served before that, nor once the process has begun to end.
     pub fn mark_ready(&self, lifecycle: &Lifecycle) {
         if lifecycle.is_ending() {
-            self.book.guard_refused.add();
+            self.counters.guard_refused.add();
             if Self::is_enforced() {
                 return;
             }
-            self.book.violations_start.add();
+            self.counters.violations_start.add();
         }
         lifecycle.set_ready();
     }
@@ -219,8 +219,8 @@
         let now = self.guard.clock.now();
         self.request.record_written(self.index, now);
         if let Some(violation) = self.violation(now) {
-            let book = &self.guard.book;
-            let count = if self.index == 0 { &book.violations_send } else { &book.violations_repeat };
+            let counters = &self.guard.counters;
+            let count = if self.index == 0 { &counters.violations_send } else { &counters.violations_repeat };
             count.add();
             let line = || format!("violation: request {} to {}: {violation}", self.request.id(), self.server);
             self.guard.violation_log.info(line);
--- a/crates/pearfront-node/src/main.rs
+++ b/crates/pearfront-node/src/main.rs
@@ -147,7 +147,7 @@
     let file_content = config.file_content.clone();
     let settings = SharedSettings::new(std::mem::take(&mut config.settings));
     let socket_path = if shared { Peers::socket_path(&name) } else { None };
-    let (client_service, book, discovery) = build(config, &settings, lifecycle.clone());
+    let (client_service, counters, discovery) = build(config, &settings, lifecycle.clone());
     log::info!("node {name} listens on {address}");
     if let Some(operators) = operators {
         log::info!(
@@ -161,7 +161,7 @@
     spawn_local(announce_when_ready(shared, socket_path, lifecycle.clone(), guard, discovery.clone()));
     spawn_local(print_counters(
         counters_signal,
-        book.clone(),
+        counters.clone(),
         client_service.capacity.clone(),
         cluster.clone(),
     ));
@@ -206,7 +206,7 @@
             client_service.dispatcher.guard.record_unanswered(client_service.capacity.unanswered_requests());
         }
     }
-    log::info!("{book} {}{}", client_service.capacity, cluster_counters(cluster.as_ref()));
+    log::info!("{counters} {}{}", client_service.capacity, cluster_counters(cluster.as_ref()));
     if let Some(cluster) = cluster {
         cluster.leave();
     }
@@ -269,12 +269,12 @@
 
 async fn print_counters(
     mut counters_signal: Signal,
-    book: Rc<Counters>,
+    counters: Rc<Counters>,
     capacity: Rc<Capacity>,
     cluster: Option<Rc<Cluster>>,
 ) {
     while counters_signal.recv().await.is_some() {
-        log::info!("{book} {capacity}{}", cluster_counters(cluster.as_ref()));
+        log::info!("{counters} {capacity}{}", cluster_counters(cluster.as_ref()));
     }
 }
 
@@ -329,11 +329,11 @@
     lifecycle: Rc<Lifecycle>,
 ) -> (Rc<ClientService>, Rc<Counters>, Rc<Discovery>) {
     let clock = Clock::start();
-    let book = Rc::new(Counters::default());
+    let counters = Rc::new(Counters::default());
     let policy_settings = settings.current().policy_settings.clone();
     let capacity = Capacity::new(config.sockets, config.memory_mb);
     let event_queue = Rc::new(EventQueue::default());
-    let pool = ConnectionPool::new(settings.clone(), capacity.clone(), book.clone());
+    let pool = ConnectionPool::new(settings.clone(), capacity.clone(), counters.clone());
     let peers = Peers::new(capacity.clone(), lifecycle.clone());
     let discovery = Discovery::new(
         config.discovery,
@@ -341,7 +341,7 @@
             clock,
             settings: settings.clone(),
             pool: pool.clone(),
-            book: book.clone(),
+            counters: counters.clone(),
             event_queue: event_queue.clone(),
             peers: peers.clone(),
         },
@@ -353,12 +353,12 @@
         rng
     };
     discovery.set_jitter(stream(1));
-    let guard = Guard::new(discovery.clone(), clock, book.clone());
+    let guard = Guard::new(discovery.clone(), clock, counters.clone());
     let prober = Rc::new(Prober {
         pool: pool.clone(),
         event_queue: event_queue.clone(),
         settings: settings.clone(),
-        book: book.clone(),
+        counters: counters.clone(),
         discovery: discovery.clone(),
         guard,
         clock,
@@ -369,22 +369,22 @@
     let lease_monitor =
         LeaseMonitor::new(discovery.clone(), prober.clone(), event_queue.clone(), settings.clone(), clock);
     let dispatcher =
-        Dispatcher::new(clock, event_queue, pool.clone(), discovery.clone(), prober, book.clone(), peers);
+        Dispatcher::new(clock, event_queue, pool.clone(), discovery.clone(), prober, counters.clone(), peers);
     discovery.apply_list(config.initial_list, true);
     if !policy_settings.discovery_on_request {
         discovery.start_watch();
     }
     spawn_local(pool.clone().close_expired());
     spawn_local(lease_monitor.run(stream(2)));
-    spawn_local(capacity.clone().close_incomplete(book.clone()));
+    spawn_local(capacity.clone().close_incomplete(counters.clone()));
     spawn_local(
         dispatcher
             .clone()
             .run_rounds(Balancer::new((*policy_settings).clone(), config.seed), settings.clone()),
     );
     (
-        ClientService::new(dispatcher, capacity, pool, settings.clone(), book.clone(), lifecycle),
-        book,
+        ClientService::new(dispatcher, capacity, pool, settings.clone(), counters.clone(), lifecycle),
+        counters,
         discovery,
     )
 }
--- a/crates/pearfront-node/src/probe.rs
+++ b/crates/pearfront-node/src/probe.rs
@@ -1,5 +1,5 @@
 //! Probes: one small call to a server whose answer, a load report where the deployment has them, goes to the
-//! decision module. Used by `route` and `lease_monitor`.
+//! decision module. Used by `dispatcher` and `lease_monitor`.
 
 use crate::clock::Clock;
 use crate::connection_pool::ConnectionPool;
@@ -51,7 +51,7 @@
     pub pool: Rc<ConnectionPool>,
     pub event_queue: Rc<EventQueue>,
     pub settings: Rc<SharedSettings>,
-    pub book: Rc<Counters>,
+    pub counters: Rc<Counters>,
     pub discovery: Rc<Discovery>,
     pub guard: Rc<Guard>,
     pub clock: Clock,
@@ -74,7 +74,7 @@
 
     /// Probes the server at this address once.
     pub async fn probe(self: Rc<Self>, address: Address, server: SocketAddr) {
-        self.book.probes.add();
+        self.counters.probes.add();
         let (started, at) = (Instant::now(), self.clock.now());
         self.outstanding.set(self.outstanding.get() + 1);
         let answer = timeout(PROBE_TIMEOUT, self.exchange(server)).await.unwrap_or(Err(Failure::TooLate));
@@ -86,7 +86,7 @@
         let report = match answer {
             Err(failure) => {
                 if failure.concerns_server() {
-                    self.book.probes_failed.add();
+                    self.counters.probes_failed.add();
                 }
                 self.failure_log
                     .info(|| format!("probe of {server} failed after {took_ms:.0} ms: {failure:?}"));
@@ -124,7 +124,7 @@
 
     /// Counts an invalid load report and logs a warning.
     pub fn drop_report(&self, problem: &str) {
-        self.book.reports_dropped.add();
+        self.counters.reports_dropped.add();
         self.invalid_reports.warn(format_args!("load report dropped: {problem}"));
     }
 }
--- a/crates/pearfront-node/src/probe/tests.rs
+++ b/crates/pearfront-node/src/probe/tests.rs
@@ -62,8 +62,8 @@
             }
         }
         assert_eq!(bytes_read.get() > 0, is_probed);
-        let refused = node.book.guard_refused.value();
-        assert_eq!(refused, if is_probed { 0 } else { node.book.probes.value() });
-        assert!(is_probed || node.book.probes_failed.value() == 0);
+        let refused = node.counters.guard_refused.value();
+        assert_eq!(refused, if is_probed { 0 } else { node.counters.probes.value() });
+        assert!(is_probed || node.counters.probes_failed.value() == 0);
     });
 }
--- a/crates/pearfront-node/src/stall_monitor.rs
+++ b/crates/pearfront-node/src/stall_monitor.rs
@@ -1,6 +1,6 @@
 //! Detects when the process was stalled (suspended or starved of CPU). Data in a socket's buffer may have
 //! arrived during a stall, so the time at which it is read does not show when it was written. Used by
-//! `deadline`, `discovery` and `route`.
+//! `deadline`, `discovery` and `dispatcher`.
 
 use std::cell::Cell;
 use std::rc::Rc;
--- a/crates/pearfront-node/src/test_support.rs
+++ b/crates/pearfront-node/src/test_support.rs
@@ -21,7 +21,7 @@
 
 /// The stages that unit tests use.
 pub struct TestNode {
-    pub book: Rc<Counters>,
+    pub counters: Rc<Counters>,
     pub discovery: Rc<Discovery>,
     pub prober: Rc<Prober>,
 }
@@ -37,24 +37,24 @@
         };
         let settings = SharedSettings::new(RuntimeSettings { node_settings, ..RuntimeSettings::default() });
         let (clock, event_queue) = (Clock::start(), Rc::new(EventQueue::default()));
-        let (capacity, book) = (crate::capacity::Capacity::new(64, 1.0), Rc::new(Counters::default()));
-        let pool = ConnectionPool::new(settings.clone(), capacity.clone(), book.clone());
+        let (capacity, counters) = (crate::capacity::Capacity::new(64, 1.0), Rc::new(Counters::default()));
+        let pool = ConnectionPool::new(settings.clone(), capacity.clone(), counters.clone());
         let peers = Peers::new(capacity, Rc::new(Lifecycle::new()));
         let dependencies = Dependencies {
             clock,
             settings: settings.clone(),
             pool: pool.clone(),
-            book: book.clone(),
+            counters: counters.clone(),
             event_queue: event_queue.clone(),
             peers,
         };
         let discovery = Discovery::new(service, dependencies);
-        let guard = Guard::new(discovery.clone(), clock, book.clone());
+        let guard = Guard::new(discovery.clone(), clock, counters.clone());
         let prober = Rc::new(Prober {
             pool,
             event_queue,
             settings,
-            book: book.clone(),
+            counters: counters.clone(),
             discovery: discovery.clone(),
             guard,
             clock,
@@ -62,7 +62,7 @@
             failure_log: InfoLimiter::new(LOGGED_FAILURES_PER_S),
             outstanding: Cell::new(0),
         });
-        Self { book, discovery, prober }
+        Self { counters, discovery, prober }
     }
 
     /// Applies a list of this version with one server in this state.
--- a/crates/pearfront-node/src/watch.rs
+++ b/crates/pearfront-node/src/watch.rs
@@ -27,7 +27,7 @@
 /// pause is shorter.
 const MIN_PAUSE_MS: f64 = 400.0;
 /// Jitter: a pause is a random share of its length, from this share up. All nodes call when discovery is
-/// back, and its capacity is limited.
+/// back, and each call has a cost.
 const MIN_JITTER: f64 = 0.5;
 /// A watch that brought lists for this long, ms, was cut off by accident: the back-off starts again from its
 /// first pause.
