--- a/crates/pearfront-node/src/connection_pool/http_connection.rs
+++ b/crates/pearfront-node/src/connection_pool/http_connection.rs
@@ -73,10 +73,10 @@
     pub async fn request_whole(
         &mut self,
         call: Request<Body>,
-        most: usize,
+        max_bytes: usize,
     ) -> Result<(response::Parts, Bytes), ()> {
         let (head, body) = self.send(call).await?;
-        Ok((head, message::read_whole(body, most).await?))
+        Ok((head, message::read_whole(body, max_bytes).await?))
     }
 
     /// Sends a message and waits for its answer's head, and for its body as far as that is buffered whole.
@@ -90,9 +90,10 @@
         }
         let (head, body) = self.send(call).await?;
         // A body that is announced as too large to buffer is passed on from its first byte.
-        let least = hyper::body::Body::size_hint(&body).lower();
-        let most = if least > MAX_BUFFERED_BYTES as u64 { 0 } else { MAX_BUFFERED_BYTES };
-        let body = streaming::read_start(body, most, streaming::STALL_TIMEOUT, true).await.map_err(|_| ())?;
+        let min_bytes = hyper::body::Body::size_hint(&body).lower();
+        let max_bytes = if min_bytes > MAX_BUFFERED_BYTES as u64 { 0 } else { MAX_BUFFERED_BYTES };
+        let body =
+            streaming::read_start(body, max_bytes, streaming::STALL_TIMEOUT, true).await.map_err(|_| ())?;
         Ok((head, body))
     }
 
--- a/crates/pearfront-node/src/connection_pool/tests.rs
+++ b/crates/pearfront-node/src/connection_pool/tests.rs
@@ -28,7 +28,7 @@
 
 // A connection that its server closed while idle must not cost a request its only attempt.
 #[test]
-fn a_connection_that_its_server_closed_is_not_used_again() {
+fn a_connection_closed_by_its_server_is_not_reused() {
     let (listener, server, pool) = start_pool();
     let (counters, capacity) = (pool.counters.clone(), pool.capacity.clone());
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
@@ -114,15 +114,15 @@
         let settings = SharedSettings::new(RuntimeSettings { node_settings, ..RuntimeSettings::default() });
         let pool = ConnectionPool::new(settings, Capacity::new(64, 1.0), Rc::default());
         tokio::task::LocalSet::new().block_on(&runtime, async {
-            let begun = Instant::now();
+            let started = Instant::now();
             let free_queue = async {
                 tokio::time::sleep(Duration::from_millis(20)).await;
                 drop((listener.accept().unwrap(), queued_client));
                 // If the machine was late, the second dial may have met the full queue as well.
-                begun.elapsed() < Duration::from_millis(90)
+                started.elapsed() < Duration::from_millis(90)
             };
             let (connection, in_time) = tokio::join!(pool.connection(server), free_queue);
-            in_time.then(|| (connection.is_ok(), begun.elapsed()))
+            in_time.then(|| (connection.is_ok(), started.elapsed()))
         })
     };
     let (connected, took) = std::iter::repeat_with(in_time).flatten().next().unwrap();
@@ -196,7 +196,7 @@
     let settings = Rc::new(RuntimeSettings { policy_settings: Rc::new(policy_settings), node_settings });
     let head = Request::get("/read/it").header("X-Trace-Id", "1").header("X-Expires-In", "60");
     match decode_client_call(head.body(()).unwrap().into_parts().0, &settings, false) {
-        Ok(ClientCall::Request(job)) => *job,
+        Ok(ClientCall::Request(request)) => *request,
         _ => panic!("no request"),
     }
 }
@@ -216,7 +216,7 @@
             std::iter::from_fn(|| capacity.has_reserve_slot().then(|| capacity.take_slot())).collect();
         let ends =
             async |owner| if owner == ended_by { tokio::time::sleep(AFTER).await } else { pending().await };
-        let (request, begun) = (request(), Instant::now());
+        let (request, started) = (request(), Instant::now());
         let attempt = pool.attempt(server, &request, ends(0), ends(1), || None, ends(2));
         let is_waited_for = async {
             tokio::time::sleep(AFTER / 2).await;
@@ -224,6 +224,6 @@
         };
         let (attempt, is_waited_for) = tokio::join!(attempt, is_waited_for);
         assert_eq!((attempt.end, is_waited_for, capacity.is_waited_for()), (end, true, false));
-        assert!(begun.elapsed() < 2 * AFTER, "{:?}", begun.elapsed());
+        assert!(started.elapsed() < 2 * AFTER, "{:?}", started.elapsed());
     });
 }
--- a/crates/pearfront-node/src/discovery/roster/tests.rs
+++ b/crates/pearfront-node/src/discovery/roster/tests.rs
@@ -22,25 +22,25 @@
     is_full: bool,
     entries: Vec<ServerEntry>,
 ) -> (Vec<(u16, ServerState)>, Vec<u16>) {
-    let (told, stale) = roster.update(ServerList { version: 1, is_full, entries, invalid: Vec::new() });
-    let told = told.iter().map(|entry| (entry.address.port(), entry.state)).collect();
-    (told, stale.iter().map(SocketAddr::port).collect())
+    let (changes, stale) = roster.update(ServerList { version: 1, is_full, entries, invalid: Vec::new() });
+    let changes = changes.iter().map(|entry| (entry.address.port(), entry.state)).collect();
+    (changes, stale.iter().map(SocketAddr::port).collect())
 }
 
 // Two servers that swap addresses: neither address may end up as gone.
 #[test]
-fn a_server_that_moves_has_gone_from_its_old_place_first() {
+fn a_server_that_moves_leaves_its_old_address_first() {
     let mut roster = Roster::default();
     update(&mut roster, true, vec![entry("a", 1, None), entry("b", 2, None)]);
-    let (told, stale) = update(&mut roster, false, vec![entry("a", 2, None), entry("b", 1, None)]);
+    let (changes, stale) = update(&mut roster, false, vec![entry("a", 2, None), entry("b", 1, None)]);
     let (gone, ready) = (ServerState::Gone, ServerState::Ready);
-    assert_eq!(told, [(1, gone), (2, gone), (2, ready), (1, ready)]);
+    assert_eq!(changes, [(1, gone), (2, gone), (2, ready), (1, ready)]);
     assert_eq!(stale, [1, 2]);
 }
 
 // Connections from before a restart are dead, even if they look idle.
 #[test]
-fn connections_are_stale_after_a_new_start_and_after_the_end() {
+fn connections_are_stale_after_a_restart_and_after_the_end() {
     let mut roster = Roster::default();
     update(&mut roster, true, vec![entry("a", 1, None), entry("b", 2, Some(5.0)), entry("c", 3, None)]);
     assert!(update(&mut roster, false, vec![entry("b", 2, Some(5.0))]).1.is_empty());
@@ -58,7 +58,7 @@
 // first, and also if a full list hides the change. Late changes of the old server must not take the new one
 // down.
 #[test]
-fn a_new_server_at_the_address_of_another_is_a_new_one() {
+fn a_new_server_at_the_address_of_another_has_no_history() {
     let (gone, ready) = (ServerState::Gone, ServerState::Ready);
     let old = |state| ServerEntry { state, ..entry("old", 1, None) };
     for (is_full, entries) in [
--- a/crates/pearfront-node/src/discovery/tests.rs
+++ b/crates/pearfront-node/src/discovery/tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn addresses_and_starts_are_put_in_the_modules_terms() {
+fn addresses_and_starts_are_translated_for_the_decision_module() {
     let listed = listed_server(&entry("a", 8443, Some(1500.0)), |unix| unix - 1000.0);
     assert_eq!((listed.address, listed.started_at), ([127, 0, 0, 1, 0x20, 0xfb], 500.0));
     assert_eq!(decode_address(listed.address), "127.0.0.1:8443".parse().unwrap());
@@ -32,7 +32,7 @@
 // older: it must not undo that list, and a newer one still applies.
 #[test_case(4, "Ready", false; "older")]
 #[test_case(6, "Ready", true; "newer")]
-fn an_older_list_that_comes_late_undoes_nothing(answered: u64, lifecycle: &str, is_ready: bool) {
+fn an_older_list_that_arrives_late_undoes_nothing(answered: u64, lifecycle: &str, is_ready: bool) {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
--- a/crates/pearfront-node/src/handover/tests.rs
+++ b/crates/pearfront-node/src/handover/tests.rs
@@ -20,7 +20,7 @@
 // however many messages it has left unread.
 #[test]
 fn a_stalled_process_counts_until_it_ends() {
-    const PATIENCE: Duration = Duration::from_secs(10);
+    const TEST_TIMEOUT: Duration = Duration::from_secs(10);
     run(async {
         let discovery = TestNode::new("127.0.0.1:1".parse().unwrap()).discovery;
         let peers = discovery.peers.clone();
@@ -28,8 +28,8 @@
         let exchange = spawn_local(peers.clone().exchange_messages(local, discovery.clone()));
         let lines = "{\"hello\":{\"version\":1}}\n{\"open\":\"theirs\"}\n";
         peer.write_all(lines.as_bytes()).await.unwrap();
-        let begun = Instant::now();
-        while !peers.peers.borrow().iter().any(|peer| peer.silent.get()) && begun.elapsed() < PATIENCE {
+        let started = Instant::now();
+        while !peers.peers.borrow().iter().any(|peer| peer.silent.get()) && started.elapsed() < TEST_TIMEOUT {
             sleep(SILENCE_LIMIT / 10).await;
         }
         for id in 0..2 * MAX_QUEUED_MESSAGES {
@@ -38,7 +38,7 @@
         sleep(SILENCE_LIMIT).await;
         assert!(peers.has_open_request("theirs") && !exchange.is_finished());
         drop(peer);
-        assert!(timeout(PATIENCE, exchange).await.is_ok());
+        assert!(timeout(TEST_TIMEOUT, exchange).await.is_ok());
         assert!(!peers.has_open_request("theirs"));
     });
 }
--- a/crates/pearfront-node/src/inherited.rs
+++ b/crates/pearfront-node/src/inherited.rs
@@ -27,8 +27,8 @@
 
 /// Most connections that wait in a listener's accept queue, whoever opened it.
 pub fn max_accept_queue() -> usize {
-    let most = std::fs::read_to_string("/proc/sys/net/core/somaxconn").ok();
-    most.and_then(|most| most.trim().parse().ok()).unwrap_or(DEFAULT_MAX_ACCEPT_QUEUE)
+    let limit = std::fs::read_to_string("/proc/sys/net/core/somaxconn").ok();
+    limit.and_then(|limit| limit.trim().parse().ok()).unwrap_or(DEFAULT_MAX_ACCEPT_QUEUE)
 }
 
 /// The only unsafe line: no safe call turns a number into an owned descriptor. It is called once, before
--- a/crates/pearfront-node/src/logger.rs
+++ b/crates/pearfront-node/src/logger.rs
@@ -101,7 +101,7 @@
     /// Writes a line unless the limit of this second is reached; the text is only built if it is written.
     pub fn info(&self, line: impl FnOnce() -> String) {
         let now = Instant::now();
-        if self.interval_start.get().is_none_or(|begun| now - begun >= LIMIT_INTERVAL) {
+        if self.interval_start.get().is_none_or(|began| now - began >= LIMIT_INTERVAL) {
             self.interval_start.set(Some(now));
             self.written.set(0);
         }
--- a/crates/pearfront-node/src/message/discovery/tests.rs
+++ b/crates/pearfront-node/src/message/discovery/tests.rs
@@ -10,7 +10,7 @@
 
 // A process must pass on to the next one exactly what it knows.
 #[test]
-fn a_list_is_read_as_it_was_written() {
+fn a_list_is_decoded_as_it_was_encoded() {
     let entry = |id: &str, state, started| ServerEntry {
         id: id.into(),
         address: "127.0.0.1:8443".parse().unwrap(),
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn lines_of_the_list() {
+fn entries_are_decoded_and_invalid_ones_dropped() {
     let entry = json!({"instanceId": "s-1", "hostPort": "10.1.0.18:8443", "zone": "b", "machineType": "m9",
         "cell": 3, "lifecycle": "Ready", "weight": 1.0, "startedAtMs": 5});
     let mut bad = entry.clone();
@@ -54,6 +54,6 @@
     );
     let problem = "list.instances[1].lifecycle \"Asleep\" is unknown".to_string();
     assert_eq!(list.invalid, [(Some("s-1".to_string()), problem)]);
-    let said = decode_list(b"{\"instances\": []}", &node_settings()).unwrap_err();
-    assert_eq!(said, "list.generation is missing");
+    let error = decode_list(b"{\"instances\": []}", &node_settings()).unwrap_err();
+    assert_eq!(error, "list.generation is missing");
 }
--- a/crates/pearfront-node/src/message/headers/tests.rs
+++ b/crates/pearfront-node/src/message/headers/tests.rs
@@ -5,7 +5,7 @@
 
 // Hop-by-hop headers must not be forwarded; all others must.
 #[test]
-fn headers_of_one_connection_end_with_it() {
+fn hop_by_hop_headers_are_not_forwarded() {
     let mut headers = HeaderMap::new();
     for (name, value) in
         [("connection", "close, X-Mine"), ("x-mine", "1"), ("te", "trailers"), ("accept", "*/*")]
--- a/crates/pearfront-node/src/message/load_report/tests.rs
+++ b/crates/pearfront-node/src/message/load_report/tests.rs
@@ -16,6 +16,6 @@
 #[test_case("TEXT util=NaN, queue=2", None; "no number")]
 #[test_case("TEXT util=-1, queue=2", None; "below zero")]
 #[test_case("util=0.61, queue=2", None; "no text form")]
-fn load_reports(text: &str, wanted: Option<Vec<f64>>) {
-    assert_eq!(decode_report(text, &node_settings()).ok(), wanted);
+fn load_reports(text: &str, expected: Option<Vec<f64>>) {
+    assert_eq!(decode_report(text, &node_settings()).ok(), expected);
 }
--- a/crates/pearfront-node/src/message/servers.rs
+++ b/crates/pearfront-node/src/message/servers.rs
@@ -34,10 +34,10 @@
 
 /// Does the sender announce that it closes the connection after this?
 fn ends_connection(head: &response::Parts) -> bool {
-    let words = head.headers.get_all(header::CONNECTION).iter().filter_map(|value| value.to_str().ok());
-    let words: Vec<&str> = words.flat_map(|words| words.split(',')).map(str::trim).collect();
-    let says = |wanted: &str| words.iter().any(|word| word.eq_ignore_ascii_case(wanted));
-    says("close") || head.version == Version::HTTP_10 && !says("keep-alive")
+    let options = head.headers.get_all(header::CONNECTION).iter().filter_map(|value| value.to_str().ok());
+    let options: Vec<&str> = options.flat_map(|options| options.split(',')).map(str::trim).collect();
+    let has_option = |wanted: &str| options.iter().any(|option| option.eq_ignore_ascii_case(wanted));
+    has_option("close") || head.version == Version::HTTP_10 && !has_option("keep-alive")
 }
 
 /// The reply that is forwarded to the client, without the headers meant for the node.
--- a/crates/pearfront-node/src/stall_monitor.rs
+++ b/crates/pearfront-node/src/stall_monitor.rs
@@ -48,19 +48,19 @@
 
     /// When the stall began that had just ended at that time, if there was one.
     pub fn stall_began(&self, time: f64) -> Option<f64> {
-        let (begun, ended) = self.last_stall.get();
+        let (began, ended) = self.last_stall.get();
         if time - self.last_tick.get() > STALL_THRESHOLD_MS {
             Some(self.stall_start(self.last_tick.get()))
         } else {
-            (begun..ended + CATCH_UP_MS).contains(&time).then_some(begun)
+            (began..ended + CATCH_UP_MS).contains(&time).then_some(began)
         }
     }
 
     /// The begin of a stall whose last tick before it was at `last`. Between two stalls in close succession
     /// the process may have read nothing, so they count as one.
     fn stall_start(&self, last: f64) -> f64 {
-        let (begun, ended) = self.last_stall.get();
-        if last - ended < CATCH_UP_MS { begun } else { last }
+        let (began, ended) = self.last_stall.get();
+        if last - ended < CATCH_UP_MS { began } else { last }
     }
 
     /// The earliest time at which data that is read now can have arrived.
--- a/crates/pearfront-node/src/wall_clock/tests.rs
+++ b/crates/pearfront-node/src/wall_clock/tests.rs
@@ -3,45 +3,45 @@
 use super::{MAX_NOTICE_DELAY_MS, WallClock};
 use test_case::test_case;
 
-const HOUR: f64 = 3_600_000.0;
+const HOUR_MS: f64 = 3_600_000.0;
 /// Unix time at the node's start.
-const BEGAN: f64 = 1_800_000_000_000.0;
+const START_UNIX_MS: f64 = 1_800_000_000_000.0;
 
 // The clock steps at 10 s; then come a server that started at 20 s by the stepped clock, and one that started
 // at 5 s by the clock before.
-#[test_case(HOUR; "an hour ahead")]
-#[test_case(-HOUR; "an hour back")]
+#[test_case(HOUR_MS; "an hour ahead")]
+#[test_case(-HOUR_MS; "an hour back")]
 #[test_case(7000.0; "seconds ahead")]
 #[test_case(-7000.0; "seconds back")]
-fn starts_are_where_they_were_whenever_they_were_stamped(step: f64) {
+fn starts_are_right_before_and_after_a_step(step: f64) {
     let wall = WallClock::default();
-    wall.observe(BEGAN, 0.0);
-    wall.observe(BEGAN + 5000.0, 5000.0);
-    wall.observe(BEGAN + 21_000.0 + step, 21_000.0);
-    let after = wall.start_of("after", BEGAN + 20_000.0 + step, 21_000.0, Some(15_000.0));
-    let before = wall.start_of("before", BEGAN + 5000.0, 21_000.0, None);
+    wall.observe(START_UNIX_MS, 0.0);
+    wall.observe(START_UNIX_MS + 5000.0, 5000.0);
+    wall.observe(START_UNIX_MS + 21_000.0 + step, 21_000.0);
+    let after = wall.start_of("after", START_UNIX_MS + 20_000.0 + step, 21_000.0, Some(15_000.0));
+    let before = wall.start_of("before", START_UNIX_MS + 5000.0, 21_000.0, None);
     // Never earlier than the start, and no later than now.
     assert!((20_000.0..=21_100.0).contains(&after), "{after}");
     assert!((5000.0..=21_100.0).contains(&before), "{before}");
 }
 
 #[test]
-fn what_was_made_of_a_start_stays() {
+fn a_computed_start_does_not_change() {
     let wall = WallClock::default();
-    wall.observe(BEGAN, 0.0);
-    let reported = wall.start_of("a", BEGAN + 1000.0, 2000.0, None);
-    wall.observe(BEGAN + HOUR, 3000.0);
-    assert_eq!((reported, wall.start_of("a", BEGAN + 1000.0, 3000.0, None)), (1000.0, 1000.0));
+    wall.observe(START_UNIX_MS, 0.0);
+    let reported = wall.start_of("a", START_UNIX_MS + 1000.0, 2000.0, None);
+    wall.observe(START_UNIX_MS + HOUR_MS, 3000.0);
+    assert_eq!((reported, wall.start_of("a", START_UNIX_MS + 1000.0, 3000.0, None)), (1000.0, 1000.0));
 }
 
 // A clock that was wrong from the start: the list without the server limits how early it can have started.
 #[test]
-fn a_start_that_no_list_had_before_is_recent() {
+fn a_start_that_no_list_showed_before_is_recent() {
     let wall = WallClock::default();
-    wall.observe(BEGAN + HOUR, 0.0);
+    wall.observe(START_UNIX_MS + HOUR_MS, 0.0);
     assert_eq!(
-        wall.start_of("new", BEGAN + 60_000.0, 61_000.0, Some(60_000.0)),
+        wall.start_of("new", START_UNIX_MS + 60_000.0, 61_000.0, Some(60_000.0)),
         60_000.0 - MAX_NOTICE_DELAY_MS
     );
-    assert_eq!(wall.start_of("ahead", BEGAN + 2.0 * HOUR, 61_000.0, None), 61_000.0);
+    assert_eq!(wall.start_of("ahead", START_UNIX_MS + 2.0 * HOUR_MS, 61_000.0, None), 61_000.0);
 }
--- a/crates/pearfront-node/src/watch/tests.rs
+++ b/crates/pearfront-node/src/watch/tests.rs
@@ -157,11 +157,11 @@
     let test = async {
         service.next_list().await;
         let second_list = service.next_list().await;
-        let came = service.next_list().await;
+        let third_list = service.next_list().await;
         let allowed_ms = service.moved_at.get().map_or(ASSUMED_DELIVERY_MS, |at| {
             (at - second_list + ASSUMED_DELIVERY_AFTER_MOVE_MS).min(ASSUMED_DELIVERY_MS)
         });
-        (came - second_list, allowed_ms)
+        (third_list - second_list, allowed_ms)
     };
     tokio::select! {
         never = run(&service, SeededRng::from_seed(seed)) => never,
@@ -250,7 +250,7 @@
 #[tokio::test(start_paused = true)]
 async fn an_unavailable_service_is_called_neither_too_often_nor_by_all_nodes_at_once(
     fault: Fault,
-    least: f64,
+    min_interval_ms: f64,
 ) {
     const AWAY: f64 = 60_000.0;
     const NODES: u64 = 300;
@@ -265,14 +265,15 @@
         all += service.call_starts.borrow().len();
         first.push(service.call_starts.borrow().last().unwrap() - AWAY);
     }
-    let every = AWAY * NODES as f64 / all as f64;
+    let interval_ms = AWAY * NODES as f64 / all as f64;
     first.sort_by(f64::total_cmp);
-    let together = |from: f64| first.iter().filter(|at| **at >= from && **at < from + 100.0).count();
-    let busiest = first.iter().map(|at| together(*at)).max().unwrap();
-    println!("{fault:?}: a call every {every:.0} ms, {busiest} of {NODES} nodes within 100 ms");
+    let calls_within_100_ms =
+        |from: f64| first.iter().filter(|at| **at >= from && **at < from + 100.0).count();
+    let busiest = first.iter().map(|at| calls_within_100_ms(*at)).max().unwrap();
+    println!("{fault:?}: a call every {interval_ms:.0} ms, {busiest} of {NODES} nodes within 100 ms");
     assert!(
-        every >= least && busiest <= NODES as usize / 10,
-        "a call every {every:.0} ms, {busiest} within 100 ms"
+        interval_ms >= min_interval_ms && busiest <= NODES as usize / 10,
+        "a call every {interval_ms:.0} ms, {busiest} within 100 ms"
     );
 }
 
