--- a/crates/pearfront-node/src/connection_pool/http_connection.rs
+++ b/crates/pearfront-node/src/connection_pool/http_connection.rs
@@ -1,4 +1,4 @@
-//! One open connection to a server or to discovery, which carries one message at a time.
+//! One open HTTP connection to a server or to discovery, which carries one message at a time.
 
 use crate::capacity::ConnectionSlot;
 use crate::message::{self, Body};
@@ -19,27 +19,27 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{Instant, sleep};
 
-/// How long a kept connection has to have been quiet behind an answer: a server may send more some milliseconds late, and
-/// on the next attempt that would be taken for its answer.
-pub(super) const QUIET: Duration = Duration::from_millis(10);
-/// How often a connection that this machine could not begin is begun again, and the pause before that.
-const MOST_TRIES: usize = 4;
-const TRY_PAUSE: Duration = Duration::from_millis(5);
-/// Largest buffer of a connection, bytes: a head fits, and a body goes through in pieces.
+/// How long a connection must have been quiet after an answer before it is reused: a server may send more
+/// some milliseconds late, and that would be taken for the answer to the next attempt.
+pub(super) const QUIET_PERIOD: Duration = Duration::from_millis(10);
+/// How often a connection attempt that failed on this machine is retried, and the pause before each retry.
+const MAX_CONNECT_RETRIES: usize = 4;
+const CONNECT_RETRY_PAUSE: Duration = Duration::from_millis(5);
+/// Largest buffer of a connection, bytes: a head fits, and a body passes through in pieces.
 pub const BUFFER_BYTES: usize = 16 * 1024;
 
-/// An open connection to a server; closed when dropped, whatever is still on it.
+/// An open connection to a server. It is closed when dropped, whatever is still in flight on it.
 pub struct HttpConnection {
     sender: SendRequest<Body>,
-    pub wire: Rc<TrackedStream>,
-    /// Has another message been on it before?
-    pub(super) kept: bool,
-    served_by: AbortHandle,
+    pub stream: Rc<TrackedStream>,
+    /// Has it carried another message before?
+    pub(super) reused: bool,
+    driver: AbortHandle,
 }
 
 impl Drop for HttpConnection {
     fn drop(&mut self) {
-        self.served_by.abort();
+        self.driver.abort();
     }
 }
 
@@ -47,75 +47,82 @@
     /// Opens a connection.
     ///
     /// # Errors
-    /// Where no connection comes up. One that this machine could not begin is begun again.
-    pub async fn open(address: SocketAddr, place: ConnectionSlot) -> io::Result<Self> {
-        let mut tries = 0;
-        let stream = loop {
+    /// If no connection is established. One that failed on this machine is retried.
+    pub async fn open(address: SocketAddr, slot: ConnectionSlot) -> io::Result<Self> {
+        let mut retries = 0;
+        let socket = loop {
             match TcpStream::connect(address).await {
-                Err(error) if is_local(&error) && tries < MOST_TRIES => sleep(TRY_PAUSE).await,
+                Err(error) if is_local(&error) && retries < MAX_CONNECT_RETRIES => {
+                    sleep(CONNECT_RETRY_PAUSE).await
+                }
                 connected => break connected?,
             }
-            tries += 1;
+            retries += 1;
         };
-        let wire = TrackedStream::to_server(stream, place);
-        let handshake = Builder::new().max_buf_size(BUFFER_BYTES).handshake(HyperIo(wire.clone())).await;
+        let stream = TrackedStream::to_server(socket, slot);
+        let handshake = Builder::new().max_buf_size(BUFFER_BYTES).handshake(HyperIo(stream.clone())).await;
         let (sender, connection) = handshake.map_err(io::Error::other)?;
-        let served_by = spawn_local(async move {
-            // How it ended shows on the attempt itself.
+        let driver = spawn_local(async move {
+            // The attempt itself shows how the connection ended.
             let _ = connection.await;
         });
-        Ok(Self { sender, wire, kept: false, served_by: served_by.abort_handle() })
+        Ok(Self { sender, stream, reused: false, driver: driver.abort_handle() })
     }
 
-    /// Sends a message and waits for its answer's head and whole body of at most so many bytes.
-    pub async fn ask(&mut self, call: Request<Body>, most: usize) -> Result<(response::Parts, Bytes), ()> {
+    /// Sends a message and waits for its answer's head and its complete body of at most `most` bytes.
+    pub async fn request_whole(
+        &mut self,
+        call: Request<Body>,
+        max_bytes: usize,
+    ) -> Result<(response::Parts, Bytes), ()> {
         let (head, body) = self.send(call).await?;
-        Ok((head, message::read_whole(body, most).await?))
+        Ok((head, message::read_whole(body, max_bytes).await?))
     }
 
-    /// Sends a message and waits for its answer's head and as much of its body as is kept whole.
-    pub(super) async fn begin(
+    /// Sends a message and waits for its answer's head, and for its body as far as that is buffered whole.
+    pub(super) async fn request_streaming(
         &mut self,
         mut call: Request<Body>,
     ) -> Result<(response::Parts, BodyStart), ()> {
         if let Either::Right(flow) = call.body_mut() {
-            let wire = self.wire.clone();
-            flow.on_end(move || wire.expect_final_chunk());
+            let stream = self.stream.clone();
+            flow.on_end(move || stream.expect_final_chunk());
         }
         let (head, body) = self.send(call).await?;
-        // Said to be large, it flows from its first byte on.
-        let least = hyper::body::Body::size_hint(&body).lower();
-        let most = if least > MAX_BUFFERED_BYTES as u64 { 0 } else { MAX_BUFFERED_BYTES };
-        let body = streaming::read_start(body, most, streaming::STALL_TIMEOUT, true).await.map_err(|_| ())?;
+        // A body that is announced as too large to buffer is passed on from its first byte.
+        let min_bytes = hyper::body::Body::size_hint(&body).lower();
+        let max_bytes = if min_bytes > MAX_BUFFERED_BYTES as u64 { 0 } else { MAX_BUFFERED_BYTES };
+        let body =
+            streaming::read_start(body, max_bytes, streaming::STALL_TIMEOUT, true).await.map_err(|_| ())?;
         Ok((head, body))
     }
 
     /// Sends a message and waits for its answer's head.
     pub async fn send(&mut self, call: Request<Body>) -> Result<(response::Parts, Incoming), ()> {
-        self.wire.begin_message(hyper::body::Body::size_hint(call.body()).exact());
+        self.stream.begin_message(hyper::body::Body::size_hint(call.body()).exact());
         Ok(self.sender.send_request(call).await.map_err(|_| ())?.into_parts())
     }
 
-    /// Ready for the next message, with nothing come in since the last.
-    pub async fn settle(&mut self) -> bool {
+    /// Waits until the connection can carry the next message; false if it can't.
+    pub async fn wait_until_free(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 
-    /// Still open, with nothing come in that nobody asked for.
+    /// Still open, and no unsolicited data has arrived.
     pub fn is_usable(&self) -> bool {
-        self.sender.is_ready() && self.wire.is_quiet()
+        self.sender.is_ready() && self.stream.is_quiet()
     }
 }
 
-/// An open connection that no message is on.
+/// An open connection without a message in flight.
 pub(super) struct Idle {
-    pub(super) link: HttpConnection,
+    pub(super) connection: HttpConnection,
     pub(super) since: Instant,
 }
 
 impl Idle {
-    /// Has it been quiet for long enough behind its last answer?
+    /// Has it been quiet long enough since its last answer?
     pub(super) fn is_quiet(&self) -> bool {
-        self.since.elapsed() >= QUIET
+        self.since.elapsed() >= QUIET_PERIOD
     }
 }
--- a/crates/pearfront-node/src/handover/tests.rs
+++ b/crates/pearfront-node/src/handover/tests.rs
@@ -1,9 +1,11 @@
+//! Tests of the messages between processes of a node, and of a stalled process.
+
 use super::*;
-use crate::test_support::{Stages, run};
+use crate::test_support::{TestNode, run};
 use test_case::test_case;
 use tokio::time::Instant;
 
-// A word that was changed needs another version: the process of before would not understand it.
+// A changed message needs a new version: the process before would not understand it.
 #[test_case(PeerMessage::Hello { version: 1 }, r#"{"hello":{"version":1}}"#; "hello")]
 #[test_case(PeerMessage::Ready, r#""ready""#; "ready")]
 #[test_case(PeerMessage::Usage { connections: 7, bytes: 9 }, r#"{"uses":{"connections":7,"bytes":9}}"#; "uses")]
@@ -14,20 +16,20 @@
     assert_eq!(format!("{:?}", serde_json::from_str::<PeerMessage>(line).unwrap()), format!("{message:?}"));
 }
 
-// A process that stands still has its connections and may go on with its requests: it counts until it has ended, however
-// much it was told meanwhile.
+// A stalled process keeps its connections and may go on with its requests: it counts until it has ended,
+// however many messages it has left unread.
 #[test]
 fn a_stalled_process_counts_until_it_ends() {
-    const PATIENCE: Duration = Duration::from_secs(10);
+    const TEST_TIMEOUT: Duration = Duration::from_secs(10);
     run(async {
-        let discovery = Stages::new("127.0.0.1:1".parse().unwrap()).discovery;
+        let discovery = TestNode::new("127.0.0.1:1".parse().unwrap()).discovery;
         let peers = discovery.peers.clone();
         let (local, mut peer) = UnixStream::pair().unwrap();
         let exchange = spawn_local(peers.clone().exchange_messages(local, discovery.clone()));
         let lines = "{\"hello\":{\"version\":1}}\n{\"open\":\"theirs\"}\n";
         peer.write_all(lines.as_bytes()).await.unwrap();
-        let begun = Instant::now();
-        while !peers.peers.borrow().iter().any(|peer| peer.silent.get()) && begun.elapsed() < PATIENCE {
+        let started = Instant::now();
+        while !peers.peers.borrow().iter().any(|peer| peer.silent.get()) && started.elapsed() < TEST_TIMEOUT {
             sleep(SILENCE_LIMIT / 10).await;
         }
         for id in 0..2 * MAX_QUEUED_MESSAGES {
@@ -36,7 +38,7 @@
         sleep(SILENCE_LIMIT).await;
         assert!(peers.has_open_request("theirs") && !exchange.is_finished());
         drop(peer);
-        assert!(timeout(PATIENCE, exchange).await.is_ok());
+        assert!(timeout(TEST_TIMEOUT, exchange).await.is_ok());
         assert!(!peers.has_open_request("theirs"));
     });
 }
--- a/crates/pearfront-node/src/probe.rs
+++ b/crates/pearfront-node/src/probe.rs
@@ -1,4 +1,5 @@
-//! Probes: one small call to a server, whose answer the load table gets.
+//! Probes: one small call to a server whose answer, a load report where the deployment has them, goes to the
+//! decision module. Used by `dispatcher` and `lease_monitor`.
 
 use crate::clock::Clock;
 use crate::connection_pool::ConnectionPool;
@@ -16,41 +17,41 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
 
-/// Longest a probe may take: far above a round trip and a small wait, far below what a request may take.
+/// Longest time a probe may take: far above a round trip and a short wait, far below what a request may take.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
-/// Longest body of a load report, bytes.
+/// Largest body of a load report, bytes.
 const MAX_REPORT_BYTES: usize = 4 * 1024;
-/// Failed probes that are logged in a second, at the most.
+/// Most failed probes that are logged per second.
 pub const LOGGED_FAILURES_PER_S: u32 = 2;
 
-/// Why a probe says nothing of its server's load.
+/// Why a probe brought no load report. The names are printed in log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Failure {
-    /// No connection came up.
+    /// No connection was established.
     NoConnection,
-    /// Its server drained or was gone once the connection stood.
+    /// The server was draining or gone once the connection was open; nothing was sent.
     Refused,
-    /// The connection ended without a whole answer.
+    /// The connection ended without a complete answer.
     Broken,
-    /// It answered with this status.
+    /// The server answered with this status.
     Status(hyper::StatusCode),
-    /// Neither a connection nor an answer in time.
+    /// No connection or no answer in time.
     TooLate,
 }
 
 impl Failure {
-    /// Does it tell of the server? One that was never asked has not failed.
+    /// Does the failure concern the server? A server that was never asked has not failed.
     fn concerns_server(self) -> bool {
         self != Self::Refused
     }
 }
 
-/// Probes servers, and tells the module and discovery what they answer.
+/// Probes servers, and passes the answers to the decision module and to discovery.
 pub struct Prober {
     pub pool: Rc<ConnectionPool>,
-    pub inbox: Rc<EventQueue>,
+    pub event_queue: Rc<EventQueue>,
     pub settings: Rc<SharedSettings>,
-    pub book: Rc<Counters>,
+    pub counters: Rc<Counters>,
     pub discovery: Rc<Discovery>,
     pub guard: Rc<Guard>,
     pub clock: Clock,
@@ -61,54 +62,56 @@
 }
 
 impl Prober {
-    /// Is there a descriptor for one more connection?
+    /// Is a descriptor free for one more connection?
     pub fn has_room(&self) -> bool {
         self.pool.has_room()
     }
 
-    /// Does a probe wait for its answer?
+    /// Is a probe waiting for its answer?
     pub fn has_outstanding(&self) -> bool {
         self.outstanding.get() > 0
     }
 
     /// Probes the server at this address once.
     pub async fn probe(self: Rc<Self>, address: Address, server: SocketAddr) {
-        self.book.probes.add();
+        self.counters.probes.add();
         let (started, at) = (Instant::now(), self.clock.now());
         self.outstanding.set(self.outstanding.get() + 1);
         let answer = timeout(PROBE_TIMEOUT, self.exchange(server)).await.unwrap_or(Err(Failure::TooLate));
         self.outstanding.set(self.outstanding.get() - 1);
-        let took = started.elapsed().as_secs_f64() * 1000.0;
+        let took_ms = started.elapsed().as_secs_f64() * 1000.0;
         if answer.is_ok() {
             self.discovery.confirm(server, at);
         }
         let report = match answer {
             Err(failure) => {
                 if failure.concerns_server() {
-                    self.book.probes_failed.add();
+                    self.counters.probes_failed.add();
                 }
-                self.failure_log.info(|| format!("probe of {server} failed after {took:.0} ms: {failure:?}"));
+                self.failure_log
+                    .info(|| format!("probe of {server} failed after {took_ms:.0} ms: {failure:?}"));
                 None
             }
             Ok(Ok(report)) => Some(report),
-            // The server is well, and what was known of it stays.
+            // The server is up, and its last known load stays.
             Ok(Err(problem)) => return self.drop_report(&problem),
         };
-        self.inbox.push(move |balancer| {
-            balancer.probe_answered(address, report.is_some(), &report.unwrap_or_default(), took);
+        self.event_queue.push(move |balancer| {
+            balancer.probe_answered(address, report.is_some(), &report.unwrap_or_default(), took_ms);
         });
     }
 
-    /// The server's load report, empty where there are none.
+    /// The server's load report; empty where the deployment has none.
     async fn exchange(&self, server: SocketAddr) -> Result<Result<Vec<f64>, String>, Failure> {
-        let mut link = self.pool.link(server).await.map_err(|()| Failure::NoConnection)?;
+        let mut connection = self.pool.connection(server).await.map_err(|()| Failure::NoConnection)?;
         if !self.guard.permits_probe(server) {
-            self.pool.keep_link(server, link);
+            self.pool.release(server, connection);
             return Err(Failure::Refused);
         }
         let call = message::encode_probe(server, self.settings.current().node_settings.load_reports);
-        let (head, body) = link.ask(call, MAX_REPORT_BYTES).await.map_err(|()| Failure::Broken)?;
-        self.pool.keep_link(server, link);
+        let (head, body) =
+            connection.request_whole(call, MAX_REPORT_BYTES).await.map_err(|()| Failure::Broken)?;
+        self.pool.release(server, connection);
         let report = || {
             message::decode_report(&String::from_utf8_lossy(&body), &self.settings.current().node_settings)
         };
@@ -119,9 +122,9 @@
         }
     }
 
-    /// Counts a load report that can't be read, and warns of it.
+    /// Counts an invalid load report and logs a warning.
     pub fn drop_report(&self, problem: &str) {
-        self.book.reports_dropped.add();
+        self.counters.reports_dropped.add();
         self.invalid_reports.warn(format_args!("load report dropped: {problem}"));
     }
 }
--- a/crates/pearfront-node/src/probe/tests.rs
+++ b/crates/pearfront-node/src/probe/tests.rs
@@ -1,5 +1,7 @@
+//! Tests which servers are probed, and which probes count as failed.
+
 use super::*;
-use crate::test_support::{Stages, run};
+use crate::test_support::{TestNode, run};
 use hyper::StatusCode;
 use pearfront::interface::ServerState;
 use std::future::pending;
@@ -8,7 +10,8 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
-// A server that began to drain while its connection came up was not asked: the guard counts that, and nobody else.
+// A server that began to drain while its connection was being established was not asked: only the guard's
+// counter shows that.
 #[test_case(Failure::Refused, false; "not asked")]
 #[test_case(Failure::NoConnection, true; "no connection")]
 #[test_case(Failure::Broken, true; "broken")]
@@ -21,7 +24,7 @@
 /// On a busy machine a probe may be late.
 const MAX_PROBES: usize = 20;
 
-/// Answers each probe well, and counts their bytes.
+/// Answers each probe with 200, and counts the bytes read.
 async fn serve(listener: TcpListener, bytes_read: Rc<Cell<usize>>) {
     loop {
         let (mut stream, _) = listener.accept().await.unwrap();
@@ -38,29 +41,29 @@
     }
 }
 
-// A server that the list has as ready is probed; of one that has begun to drain since the probe was decided on not a byte
-// is written, and it has not failed.
+// A ready server is probed. If the server began to drain after the probe was decided on, no byte is written
+// to it, and that does not count as a failure.
 #[test_case(ServerState::Ready, true; "ready")]
 #[test_case(ServerState::Draining, false; "draining")]
 #[test_case(ServerState::Gone, false; "gone")]
-fn only_a_ready_server_is_probed(standing: ServerState, is_probed: bool) {
+fn only_a_ready_server_is_probed(state: ServerState, is_probed: bool) {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let server = listener.local_addr().unwrap();
         let bytes_read = Rc::new(Cell::new(0));
         spawn_local(serve(listener, bytes_read.clone()));
-        let stages = Stages::new(server);
-        stages.list(2, server, ServerState::Ready);
-        stages.list(3, server, standing);
+        let node = TestNode::new(server);
+        node.list_server(2, server, ServerState::Ready);
+        node.list_server(3, server, state);
         for _ in 0..MAX_PROBES {
-            stages.prober.clone().probe([0; 6], server).await;
+            node.prober.clone().probe([0; 6], server).await;
             if bytes_read.get() > 0 {
                 break;
             }
         }
         assert_eq!(bytes_read.get() > 0, is_probed);
-        let refused = stages.book.guard_refused.value();
-        assert_eq!(refused, if is_probed { 0 } else { stages.book.probes.value() });
-        assert!(is_probed || stages.book.probes_failed.value() == 0);
+        let refused = node.counters.guard_refused.value();
+        assert_eq!(refused, if is_probed { 0 } else { node.counters.probes.value() });
+        assert!(is_probed || node.counters.probes_failed.value() == 0);
     });
 }
--- a/crates/pearfront-node/src/test_support.rs
+++ b/crates/pearfront-node/src/test_support.rs
@@ -1,4 +1,4 @@
-//! The stages of a node around a discovery service and servers of a unit test's own.
+//! For unit tests: the stages of a node, with a discovery service and servers that the test provides.
 
 use crate::clock::Clock;
 use crate::connection_pool::ConnectionPool;
@@ -19,14 +19,15 @@
 use std::rc::Rc;
 use tokio::task::LocalSet;
 
-pub struct Stages {
-    pub book: Rc<Counters>,
+/// The stages that unit tests use.
+pub struct TestNode {
+    pub counters: Rc<Counters>,
     pub discovery: Rc<Discovery>,
     pub prober: Rc<Prober>,
 }
 
-impl Stages {
-    /// Stages whose discovery service has this address; only within `run`.
+impl TestNode {
+    /// Creates the stages with this address of the discovery service; only within `run`.
     pub fn new(service: SocketAddr) -> Self {
         let node_settings = NodeSettings {
             connect_timeout: 1000.0,
@@ -35,25 +36,25 @@
             ..NodeSettings::default()
         };
         let settings = SharedSettings::new(RuntimeSettings { node_settings, ..RuntimeSettings::default() });
-        let (clock, inbox) = (Clock::start(), Rc::new(EventQueue::default()));
-        let (room, book) = (crate::capacity::Capacity::new(64, 1.0), Rc::new(Counters::default()));
-        let pool = ConnectionPool::new(settings.clone(), room.clone(), book.clone());
-        let peers = Peers::new(room, Rc::new(Lifecycle::new()));
+        let (clock, event_queue) = (Clock::start(), Rc::new(EventQueue::default()));
+        let (capacity, counters) = (crate::capacity::Capacity::new(64, 1.0), Rc::new(Counters::default()));
+        let pool = ConnectionPool::new(settings.clone(), capacity.clone(), counters.clone());
+        let peers = Peers::new(capacity, Rc::new(Lifecycle::new()));
         let dependencies = Dependencies {
             clock,
             settings: settings.clone(),
             pool: pool.clone(),
-            book: book.clone(),
-            inbox: inbox.clone(),
+            counters: counters.clone(),
+            event_queue: event_queue.clone(),
             peers,
         };
         let discovery = Discovery::new(service, dependencies);
-        let guard = Guard::new(discovery.clone(), clock, book.clone());
+        let guard = Guard::new(discovery.clone(), clock, counters.clone());
         let prober = Rc::new(Prober {
             pool,
-            inbox,
+            event_queue,
             settings,
-            book: book.clone(),
+            counters: counters.clone(),
             discovery: discovery.clone(),
             guard,
             clock,
@@ -61,16 +62,16 @@
             failure_log: InfoLimiter::new(LOGGED_FAILURES_PER_S),
             outstanding: Cell::new(0),
         });
-        Self { book, discovery, prober }
+        Self { counters, discovery, prober }
     }
 
-    /// Tells the stages that a list of this version has the server so.
-    pub fn list(&self, version: u64, server: SocketAddr, standing: ServerState) {
+    /// Applies a list of this version with one server in this state.
+    pub fn list_server(&self, version: u64, server: SocketAddr, state: ServerState) {
         let SocketAddr::V4(address) = server else { panic!("no such addresses here") };
         let entry = ServerEntry {
             id: "s0".into(),
             address,
-            standing,
+            state,
             cell: 0,
             zone: 0,
             machine_type: 0,
@@ -84,8 +85,8 @@
     }
 }
 
-/// Runs a test's play as the node runs its stages.
-pub fn run(play: impl Future<Output = ()>) {
+/// Runs a test in the kind of runtime that the node uses.
+pub fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    LocalSet::new().block_on(&runtime, play);
+    LocalSet::new().block_on(&runtime, test);
 }
