--- a/crates/pearfront-distribute/src/distributor.rs
+++ b/crates/pearfront-distribute/src/distributor.rs
@@ -1,5 +1,5 @@
-//! A distributor: all services in memory, fed by whoever leads among the voters; its nodes with what each has. It has no say.
-//! To each node one update is under way at most, made from the newest state when it can go; what narrows goes first.
+//! A distributor: holds all services in memory, fed by the voters' leader, and serves subscribed nodes. It has no vote. At most
+//! one update is in flight to each node, made from the newest state when it is sent; restrictions go first.
 
 mod delivery;
 mod reports;
@@ -10,15 +10,15 @@
 use self::subscriptions::Subscription;
 use self::voters::Upstream;
 use crate::catalog::Catalog;
-use crate::dial::{Peer, Step, rank_peers};
+use crate::connector::{ConnectorAction, Peer, rank_peers};
 use crate::message::{ProcessId, ToVoter};
 use crate::times::Times;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// What has to be done outside.
+/// What the owner of the distributor has to do.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Open a link to that voter; what is sent over it goes in order.
+    /// Open a link to that voter; it delivers messages in order.
     OpenVoter {
         link: u64,
         to: String,
@@ -30,7 +30,7 @@
     CloseVoter {
         link: u64,
     },
-    /// To the node at that link; what is `urgent` goes between two pieces of what is not.
+    /// Send to the node at that link; an `urgent` message may go between two frames of others.
     Send {
         link: u64,
         bytes: Vec<u8>,
@@ -41,143 +41,152 @@
     },
 }
 
-/// What it did.
+/// Counters of a distributor's work.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
-    pub sets: u64,
+    pub change_sets: u64,
     pub updates: u64,
     pub update_bytes: u64,
-    /// Updates that hold a service whole.
+    /// Updates with at least one service in full.
     pub snapshots: u64,
     pub snapshot_bytes: u64,
-    pub restricts: u64,
-    pub restrict_bytes: u64,
-    pub beats: u64,
-    pub beat_bytes: u64,
-    pub lost: u64,
+    pub restrictions: u64,
+    pub restriction_bytes: u64,
+    pub heartbeats: u64,
+    pub heartbeat_bytes: u64,
+    pub nodes_lost: u64,
     pub reports: u64,
 }
 
-/// A distributor's state; messages and the time come in, `Out` goes out.
+/// A distributor's state; messages and the time come in, `Action`s go out.
 pub struct Distributor {
     installation: String,
-    me: ProcessId,
+    own_id: ProcessId,
     times: Times,
     catalog: Option<Catalog>,
     upstream: Upstream,
     nodes: BTreeMap<String, Subscription>,
-    links: BTreeMap<u64, String>,
-    /// ProcessId wants what.
-    interest: BTreeMap<String, BTreeSet<String>>,
-    ready: BTreeSet<(Priority, u64, String)>,
-    ticket: u64,
-    /// Bytes that may go now.
-    room: f64,
-    filled: f64,
-    /// Nodes in the order in which they are due for a beat, and in which they were lost.
-    beats: VecDeque<(f64, String, u64)>,
-    lost: VecDeque<(f64, String, u64)>,
+    node_by_link: BTreeMap<u64, String>,
+    /// Names of subscribed nodes, by service.
+    subscribers: BTreeMap<String, BTreeSet<String>>,
+    /// Nodes with something to send, in order: priority, ticket, name.
+    send_queue: BTreeSet<(Priority, u64, String)>,
+    last_ticket: u64,
+    /// Bytes that may be sent now under the rate limit; below 0 after a message larger than it.
+    send_budget: f64,
+    budget_updated_at: f64,
+    /// When the next heartbeat to each node is due: time, name, session.
+    heartbeat_queue: VecDeque<(f64, String, u64)>,
+    /// Nodes whose link ended, and when they are removed: time, name, session.
+    lost_nodes: VecDeque<(f64, String, u64)>,
     counts: Counts,
     actions: Vec<Action>,
 }
 
 impl Distributor {
-    /// A distributor that has nothing yet; it asks the voters nearest to its zone and region first.
+    /// A distributor without state yet; it prefers the voters nearest to its zone and region.
     pub fn new(
         installation: &str,
-        me: ProcessId,
+        own_id: ProcessId,
         (zone, region): (&str, &str),
         voters: &[Peer],
         times: Times,
         (seed, now): (u64, f64),
     ) -> Self {
-        let order =
-            rank_peers(&me.name, zone, region, voters).into_iter().map(|peer| peer.name.clone()).collect();
-        let upstream = Upstream::new(order, times, seed, now);
+        let peer_names = rank_peers(&own_id.name, zone, region, voters)
+            .into_iter()
+            .map(|peer| peer.name.clone())
+            .collect();
+        let upstream = Upstream::new(peer_names, times, seed, now);
         Self {
             installation: installation.into(),
-            me,
+            own_id,
             times,
             catalog: None,
             upstream,
             nodes: BTreeMap::new(),
-            links: BTreeMap::new(),
-            interest: BTreeMap::new(),
-            ready: BTreeSet::new(),
-            ticket: 0,
-            room: times.burst_bytes,
-            filled: now,
-            beats: VecDeque::new(),
-            lost: VecDeque::new(),
+            node_by_link: BTreeMap::new(),
+            subscribers: BTreeMap::new(),
+            send_queue: BTreeSet::new(),
+            last_ticket: 0,
+            send_budget: times.burst_bytes,
+            budget_updated_at: now,
+            heartbeat_queue: VecDeque::new(),
+            lost_nodes: VecDeque::new(),
             counts: Counts::default(),
             actions: Vec::new(),
         }
     }
 
-    /// What has to be done outside now, in this order.
+    /// Actions since the last call, to be done in this order.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// All services, once a voter has sent them.
+    /// All services, once a voter has sent a snapshot.
     pub fn catalog(&self) -> Option<&Catalog> {
         self.catalog.as_ref()
     }
 
-    /// Version of what it has.
+    /// Version of its catalog.
     pub fn version(&self) -> Option<u64> {
         self.catalog.as_ref().map(Catalog::version)
     }
 
+    /// Counters since its start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Nodes that it has a link to.
+    /// Number of nodes that are connected.
     pub fn connected_nodes(&self) -> usize {
-        self.links.len()
+        self.node_by_link.len()
     }
 
-    /// Time, ms, since what it has was the newest for certain.
+    /// Time, ms, since its catalog was known to be the newest.
     pub fn age(&self, now: f64) -> Option<f64> {
-        self.upstream.current.map(|at| now - at)
+        self.upstream.current_at.map(|at| now - at)
     }
 
-    /// What is in force everywhere, as the voters said last.
+    /// The version in force everywhere, by the voters' last heartbeat.
     pub fn in_force(&self) -> Option<u64> {
         self.upstream.in_force
     }
 
-    /// Nodes that wait for something to be sent.
+    /// Number of nodes in the send queue.
     pub fn queued_nodes(&self) -> usize {
-        self.ready.len()
+        self.send_queue.len()
     }
 
-    /// When it wants to be called at the latest, ms.
+    /// When `tick` has to be called at the latest, ms.
     pub fn due(&self) -> f64 {
-        let beat = self.beats.front().map_or(f64::INFINITY, |(at, ..)| *at);
-        let lost = self.lost.front().map_or(f64::INFINITY, |(at, ..)| *at);
-        let pump = if self.ready.is_empty() { f64::INFINITY } else { self.filled + self.wait_for_room() };
-        let report = if self.has_to_report() { self.report_at() } else { f64::INFINITY };
-        self.upstream.dial.due().min(beat).min(lost).min(pump).min(report)
+        let next_heartbeat = self.heartbeat_queue.front().map_or(f64::INFINITY, |(at, ..)| *at);
+        let lost_nodes = self.lost_nodes.front().map_or(f64::INFINITY, |(at, ..)| *at);
+        let next_send = if self.send_queue.is_empty() {
+            f64::INFINITY
+        } else {
+            self.budget_updated_at + self.budget_wait()
+        };
+        let report = if self.can_report() { self.report_at() } else { f64::INFINITY };
+        self.upstream.connector.due().min(next_heartbeat).min(lost_nodes).min(next_send).min(report)
     }
 
-    /// The time has come, or some other time has.
+    /// Does everything that is due.
     pub fn tick(&mut self, now: f64) {
-        for step in self.upstream.dial.tick(now) {
-            match step {
-                Step::Open { link, to } => {
+        for action in self.upstream.connector.tick(now) {
+            match action {
+                ConnectorAction::Open { link, to } => {
                     self.actions.push(Action::OpenVoter { link, to });
-                    self.follow_leader();
+                    self.send_follow();
                 }
-                Step::Close { link } => self.actions.push(Action::CloseVoter { link }),
-                Step::Beat => self.send_beat_to_voter(),
+                ConnectorAction::Close { link } => self.actions.push(Action::CloseVoter { link }),
+                ConnectorAction::Heartbeat => self.send_heartbeat_to_voter(),
             }
         }
-        self.send_beats(now);
-        self.forget_lost(now);
-        self.serve_alone(now);
-        self.send_ready(now);
+        self.send_heartbeats(now);
+        self.remove_lost_nodes(now);
+        self.serve_unregistered(now);
+        self.send_queued(now);
         self.report_if_due(now);
     }
 }
--- a/crates/pearfront-distribute/src/distributor/delivery.rs
+++ b/crates/pearfront-distribute/src/distributor/delivery.rs
@@ -1,4 +1,4 @@
-//! Delivery to nodes: the queue of those that are behind, rate limited, and beats.
+//! Delivery to nodes: the rate-limited queue of nodes that are behind, and heartbeats.
 
 use super::{Action, Distributor};
 use crate::catalog::Catalog;
@@ -8,48 +8,48 @@
 /// The order in which queued nodes are served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Priority {
-    Narrows,
+    Restriction,
     Delta,
     Snapshot,
 }
 
 impl Distributor {
-    /// How long, ms, until the first of those queued may go.
-    pub(super) fn wait_for_room(&self) -> f64 {
-        let need = match self.ready.first() {
+    /// Time, ms, until the rate limit admits the first node of the queue.
+    pub(super) fn budget_wait(&self) -> f64 {
+        let need = match self.send_queue.first() {
             Some((Priority::Snapshot, ..)) => self.times.burst_bytes / 2.0,
             Some((Priority::Delta, ..)) => 1.0,
             _ => return 0.0,
         };
-        ((need - self.room) / self.times.bytes_per_s * 1000.0).max(1.0)
+        ((need - self.send_budget) / self.times.bytes_per_s * 1000.0).max(1.0)
     }
 
-    /// Queues a node for what it lacks, or moves it ahead where that has become more urgent.
-    pub(super) fn enqueue(&mut self, name: &str, narrows: bool) {
+    /// Queues a node for what it lacks, or raises its priority.
+    pub(super) fn enqueue(&mut self, name: &str, restricts: bool) {
         let (Some(catalog), Some(node)) = (&self.catalog, self.nodes.get_mut(name)) else { return };
-        if node.link.is_none() || !node.known || node.behind.is_none() {
+        if node.link.is_none() || !node.registered || node.first_missing.is_none() {
             return;
         }
-        let narrows = narrows && node.has.is_some();
-        if node.sent.is_some() && !(narrows && node.restricting.is_none()) {
+        let restricts = restricts && node.version.is_some();
+        if node.in_flight.is_some() && !(restricts && node.restriction_in_flight.is_none()) {
             return;
         }
-        let priority = if narrows {
-            Priority::Narrows
-        } else if catalog.needs_full(&node.services, node.has, &node.new_services) {
+        let priority = if restricts {
+            Priority::Restriction
+        } else if catalog.needs_full(&node.services, node.version, &node.new_services) {
             Priority::Snapshot
         } else {
             Priority::Delta
         };
-        let old = node.queued;
-        if old.is_some_and(|(old, _)| old <= priority) {
+        let queued = node.queued;
+        if queued.is_some_and(|(queued, _)| queued <= priority) {
             return;
         }
-        self.ticket += 1;
-        node.queued = Some((priority, self.ticket));
-        self.ready.insert((priority, self.ticket, name.into()));
-        if let Some((priority, ticket)) = old {
-            self.ready.remove(&(priority, ticket, name.into()));
+        self.last_ticket += 1;
+        node.queued = Some((priority, self.last_ticket));
+        self.send_queue.insert((priority, self.last_ticket, name.into()));
+        if let Some((priority, ticket)) = queued {
+            self.send_queue.remove(&(priority, ticket, name.into()));
         }
     }
 
@@ -57,28 +57,29 @@
     pub(super) fn dequeue(&mut self, name: &str) {
         let Some(node) = self.nodes.get_mut(name) else { return };
         if let Some((priority, ticket)) = node.queued.take() {
-            self.ready.remove(&(priority, ticket, name.into()));
+            self.send_queue.remove(&(priority, ticket, name.into()));
         }
     }
 
-    /// Sends what is due: restrictions always, deltas while the rate allows, snapshots with room to spare.
-    pub(super) fn send_ready(&mut self, now: f64) {
-        let passed = (now - self.filled).max(0.0);
-        self.room = (self.room + passed * self.times.bytes_per_s / 1000.0).min(self.times.burst_bytes);
-        self.filled = now;
-        while let Some((priority, _, name)) = self.ready.first() {
-            let may = match priority {
-                Priority::Narrows => true,
-                Priority::Delta => self.room > 0.0,
-                Priority::Snapshot => self.room >= self.times.burst_bytes / 2.0,
+    /// Sends from the queue: restrictions always, deltas while any budget is left, snapshots while half the burst is left.
+    pub(super) fn send_queued(&mut self, now: f64) {
+        let elapsed = (now - self.budget_updated_at).max(0.0);
+        self.send_budget =
+            (self.send_budget + elapsed * self.times.bytes_per_s / 1000.0).min(self.times.burst_bytes);
+        self.budget_updated_at = now;
+        while let Some((priority, _, name)) = self.send_queue.first() {
+            let may_send = match priority {
+                Priority::Restriction => true,
+                Priority::Delta => self.send_budget > 0.0,
+                Priority::Snapshot => self.send_budget >= self.times.burst_bytes / 2.0,
             };
-            if !may {
+            if !may_send {
                 return;
             }
             let (priority, name) = (*priority, name.clone());
             self.dequeue(&name);
-            let free = self.nodes.get(&name).is_some_and(|node| node.sent.is_none());
-            if free && (priority != Priority::Narrows || self.room > 0.0) {
+            let idle = self.nodes.get(&name).is_some_and(|node| node.in_flight.is_none());
+            if idle && (priority != Priority::Restriction || self.send_budget > 0.0) {
                 self.send_update(&name, now);
             } else {
                 self.send_restrictions(&name);
@@ -95,68 +96,70 @@
         length as u64
     }
 
-    /// Sends a node all that it lacks, as a delta or with whole services.
+    /// Sends a node everything that it lacks, as deltas or full services.
     fn send_update(&mut self, name: &str, now: f64) {
         let age = self.age(now).unwrap_or_default();
         let (Some(catalog), Some(node)) = (&self.catalog, self.nodes.get_mut(name)) else { return };
         let Some(link) = node.link else { return };
-        let (from, to, session) = (node.has, catalog.version(), node.session);
-        let whole = catalog.needs_full(&node.services, from, &node.new_services);
+        let (from, to, session) = (node.version, catalog.version(), node.session);
+        let full = catalog.needs_full(&node.services, from, &node.new_services);
         let services = catalog.updates_for(&node.services, from, &node.new_services);
-        node.sent = Some(to);
+        node.in_flight = Some(to);
         let message = ToSubscriber::Update { session, update: Update { from, to, services }, age };
         let bytes = self.send_to_node(link, &message, false);
-        self.room -= bytes as f64;
+        self.send_budget -= bytes as f64;
         self.counts.updates += 1;
         self.counts.update_bytes += bytes;
-        if whole {
+        if full {
             self.counts.snapshots += 1;
             self.counts.snapshot_bytes += bytes;
         }
     }
 
-    /// Sends restrictions ahead of an update that has to wait, or is under way.
+    /// Sends restrictions ahead of an update that has to wait or is in flight.
     fn send_restrictions(&mut self, name: &str) {
         let (Some(catalog), Some(node)) = (&self.catalog, self.nodes.get_mut(name)) else { return };
-        let (Some(link), Some(has)) = (node.link.filter(|_| node.restricting.is_none()), node.has) else {
+        let (Some(link), Some(version)) =
+            (node.link.filter(|_| node.restriction_in_flight.is_none()), node.version)
+        else {
             return;
         };
         let (services, to, session) =
             (node.services.iter().cloned().collect(), catalog.version(), node.session);
-        let all = catalog.restrictions(&services, has.max(node.restricted));
+        let all = catalog.restrictions(&services, version.max(node.restricted_to));
         if all.is_empty() {
             return;
         }
-        node.restricting = Some(to);
+        node.restriction_in_flight = Some(to);
         let bytes = self.send_to_node(link, &ToSubscriber::Restrict { session, to, all }, true);
-        self.room -= bytes as f64;
-        self.counts.restricts += 1;
-        self.counts.restrict_bytes += bytes;
+        self.send_budget -= bytes as f64;
+        self.counts.restrictions += 1;
+        self.counts.restriction_bytes += bytes;
     }
 
-    /// Sends the beats that are due, and gives up nodes that were silent for too long.
-    pub(super) fn send_beats(&mut self, now: f64) {
-        while self.beats.front().is_some_and(|(at, ..)| *at <= now) {
-            let Some((_, name, session)) = self.beats.pop_front() else { return };
+    /// Sends heartbeats that are due, and closes links to nodes that have been silent for too long.
+    pub(super) fn send_heartbeats(&mut self, now: f64) {
+        while self.heartbeat_queue.front().is_some_and(|(at, ..)| *at <= now) {
+            let Some((_, name, session)) = self.heartbeat_queue.pop_front() else { return };
             let Some(node) = self.nodes.get_mut(&name).filter(|node| node.session == session) else {
                 continue;
             };
             let Some(link) = node.link else { continue };
-            if now - node.heard >= self.times.close_after_ms {
+            if now - node.last_received >= self.times.close_after_ms {
                 self.link_closed(link, now);
                 self.actions.push(Action::Close { link });
                 continue;
             }
-            let own = self.catalog.as_ref().map(Catalog::version);
-            let even = node.behind.is_none() && node.sent.is_none();
-            let unchanged = node.has.zip(own).filter(|_| even);
-            // What is sent after it comes after it.
-            node.has = unchanged.map(|(_, to)| to).or(node.has);
+            let own_version = self.catalog.as_ref().map(Catalog::version);
+            let up_to_date = node.first_missing.is_none() && node.in_flight.is_none();
+            let unchanged = node.version.zip(own_version).filter(|_| up_to_date);
+            // A link delivers in order, so the node has that version before anything sent later reaches it.
+            node.version = unchanged.map(|(_, to)| to).or(node.version);
             let age = self.age(now).unwrap_or_default();
             let bytes = self.send_to_node(link, &ToSubscriber::Heartbeat { session, unchanged, age }, true);
-            self.counts.beats += 1;
-            self.counts.beat_bytes += bytes;
-            self.beats.push_back((now + self.times.heartbeat_ms, name, session));
+            self.counts.heartbeats += 1;
+            self.counts.heartbeat_bytes += bytes;
+            self.heartbeat_queue.push_back((now + self.times.heartbeat_ms, name, session));
         }
     }
 }
--- a/crates/pearfront-distribute/src/distributor/reports.rs
+++ b/crates/pearfront-distribute/src/distributor/reports.rs
@@ -1,87 +1,90 @@
-//! Reports to the voters: which nodes are here, and how far each lags.
+//! Reports to the voters: which nodes subscribe here, and how far each lags.
 
 use super::Distributor;
 use super::subscriptions::Subscription;
 use crate::message::{Report, ToVoter};
 
 impl Distributor {
-    /// Can a report be sent: is there a catalog, a link to a voter, and no report under way?
-    pub(super) fn has_to_report(&self) -> bool {
-        self.catalog.is_some() && self.upstream.dial.link().is_some() && self.upstream.under_way.is_none()
+    /// Can a report be sent: is there a catalog, a link to a voter, and no report in flight?
+    pub(super) fn can_report(&self) -> bool {
+        self.catalog.is_some()
+            && self.upstream.connector.current_link().is_some()
+            && self.upstream.report_sent_at.is_none()
     }
 
-    /// When the next report is due: soon where there is something to tell, else as a beat.
+    /// When the next report is due: after `report_interval_ms` if something changed, else in place of a heartbeat.
     pub(super) fn report_at(&self) -> f64 {
-        let (at, version) = self.upstream.said;
-        let even = self.upstream.changed.is_empty() && version == self.version();
-        at + if even { self.times.heartbeat_ms } else { self.times.report_interval_ms }
+        let (at, version) = self.upstream.last_report;
+        let up_to_date = self.upstream.changed_nodes.is_empty() && version == self.version();
+        at + if up_to_date { self.times.heartbeat_ms } else { self.times.report_interval_ms }
     }
 
-    /// Sends the report that is due: what changed since the last acknowledged one, or all.
+    /// Sends a report if one is due: changes since the last accepted one, or everything.
     pub(super) fn report_if_due(&mut self, now: f64) {
-        if !self.has_to_report() || now < self.report_at() {
+        if !self.can_report() || now < self.report_at() {
             return;
         }
         let upstream = &mut self.upstream;
-        let changed = std::mem::take(&mut upstream.changed);
-        // What was under way and was not answered is told again, with all the rest.
-        let names: Vec<String> = match upstream.taken {
-            Some(_) => changed.iter().cloned().collect(),
+        let changed_nodes = std::mem::take(&mut upstream.changed_nodes);
+        // Without an accepted report to build on, everything is sent, including what an unanswered report contained.
+        let names: Vec<String> = match upstream.accepted_report {
+            Some(_) => changed_nodes.iter().cloned().collect(),
             None => self.nodes.keys().cloned().collect(),
         };
-        let line = |name: String| {
-            let line = self.nodes.get(&name).map(Subscription::line);
-            (name, line)
+        let status = |name: String| {
+            let status = self.nodes.get(&name).map(Subscription::status);
+            (name, status)
         };
-        let nodes = names.into_iter().map(line).collect();
-        upstream.telling = changed;
-        upstream.number += 1;
-        upstream.under_way = Some(now);
+        let nodes = names.into_iter().map(status).collect();
+        upstream.reported_nodes = changed_nodes;
+        upstream.report_number += 1;
+        upstream.report_sent_at = Some(now);
         self.counts.reports += 1;
-        let (number, base, heartbeat_echo) = (upstream.number, upstream.taken, upstream.heartbeat_echo);
+        let (number, base, heartbeat_echo) =
+            (upstream.report_number, upstream.accepted_report, upstream.heartbeat_echo);
         let version = self.version().unwrap_or_default();
-        self.upstream.said = (now, Some(version));
+        self.upstream.last_report = (now, Some(version));
         self.send_voter(ToVoter::Report(Report { number, base, heartbeat_echo, version, nodes }));
     }
 
-    /// The last report was acknowledged: the nodes in it are known to the voters and may be served.
-    pub(super) fn report_acknowledged(&mut self) {
+    /// The last report was accepted: its nodes are registered with the voters and may be served.
+    pub(super) fn report_accepted(&mut self) {
         let upstream = &mut self.upstream;
-        let Some(sent) = upstream.under_way.take() else { return };
-        let all = upstream.taken.is_none();
-        upstream.taken = Some(upstream.number);
-        upstream.answered = upstream.answered.max(sent);
+        let Some(sent) = upstream.report_sent_at.take() else { return };
+        let was_full = upstream.accepted_report.is_none();
+        upstream.accepted_report = Some(upstream.report_number);
+        upstream.last_accepted_sent_at = upstream.last_accepted_sent_at.max(sent);
         upstream.registered = true;
-        let told = std::mem::take(&mut upstream.telling);
+        let reported = std::mem::take(&mut upstream.reported_nodes);
         let names: Vec<String> =
-            if all { self.nodes.keys().cloned().collect() } else { told.into_iter().collect() };
+            if was_full { self.nodes.keys().cloned().collect() } else { reported.into_iter().collect() };
         for name in names {
-            let Some(node) = self.nodes.get_mut(&name).filter(|node| !node.known) else { continue };
-            // It came, or came anew, since that was sent.
-            if self.upstream.changed.contains(&name) {
+            let Some(node) = self.nodes.get_mut(&name).filter(|node| !node.registered) else { continue };
+            // The node subscribed since that report was sent.
+            if self.upstream.changed_nodes.contains(&name) {
                 continue;
             }
-            node.known = true;
+            node.registered = true;
             self.enqueue(&name, false);
         }
     }
 
-    /// Has it had no acknowledgement for so long that the voters hold it for cut off?
-    pub(super) fn is_alone(&self, now: f64) -> bool {
-        self.upstream.registered && now - self.upstream.answered >= self.times.isolated_after_ms
+    /// Has no report been accepted for so long that it has to count as cut off from the voters?
+    pub(super) fn is_isolated(&self, now: f64) -> bool {
+        self.upstream.registered && now - self.upstream.last_accepted_sent_at >= self.times.isolated_after_ms
     }
 
-    /// Serves nodes that the voters can't be told of while it is cut off from them.
-    pub(super) fn serve_alone(&mut self, now: f64) {
-        if !self.is_alone(now) {
+    /// While cut off from the voters, serves nodes that can't be registered with them.
+    pub(super) fn serve_unregistered(&mut self, now: f64) {
+        if !self.is_isolated(now) {
             return;
         }
-        let waits = |node: &Subscription| !node.known && node.link.is_some();
+        let is_waiting = |node: &Subscription| !node.registered && node.link.is_some();
         let names: Vec<String> =
-            self.nodes.iter().filter(|(_, node)| waits(node)).map(|(name, _)| name.clone()).collect();
+            self.nodes.iter().filter(|(_, node)| is_waiting(node)).map(|(name, _)| name.clone()).collect();
         for name in names {
             if let Some(node) = self.nodes.get_mut(&name) {
-                node.known = true;
+                node.registered = true;
             }
             self.enqueue(&name, false);
         }
--- a/crates/pearfront-distribute/src/form.rs
+++ b/crates/pearfront-distribute/src/form.rs
@@ -1,5 +1,5 @@
-//! A change set as operators write it, in JSON: what is not named stays, `null` takes away (as in RFC 7396). Unknown keys
-//! are refused, each by its path.
+//! A change set as operators write it, in JSON: an absent key leaves the value, `null` removes it (as in RFC 7396). Unknown
+//! keys are rejected with their path.
 
 use crate::service::{ChangeSet, Server, ServerState, ServiceChange};
 use crate::times::MAX_CHANGE_SET_BYTES;
@@ -19,8 +19,8 @@
     expected: Option<u64>,
     #[serde(default)]
     remove: bool,
-    /// Absent is not `null` here.
-    #[serde(default, deserialize_with = "named")]
+    /// Absent: unchanged; `null`: no limit.
+    #[serde(default, deserialize_with = "present")]
     limit: Option<Option<u32>>,
     settings: Option<String>,
     #[serde(default)]
@@ -42,29 +42,29 @@
     ServerState::Serving
 }
 
-fn named<'a, D: Deserializer<'a>>(from: D) -> Result<Option<Option<u32>>, D::Error> {
+fn present<'a, D: Deserializer<'a>>(from: D) -> Result<Option<Option<u32>>, D::Error> {
     Option::deserialize(from).map(Some)
 }
 
-/// A change set from its text.
+/// Parses and checks a change set.
 ///
 /// # Errors
-/// The key that can't be as it is, and why.
+/// The faulty key, and what is wrong with it.
 pub fn parse(text: &[u8]) -> Result<ChangeSet, String> {
     if text.len() > MAX_CHANGE_SET_BYTES {
         return Err(format!("the change has {} bytes, not up to {MAX_CHANGE_SET_BYTES}", text.len()));
     }
-    let mut read = serde_json::Deserializer::from_slice(text);
-    let form: Form = serde_path_to_error::deserialize(&mut read)
+    let mut deserializer = serde_json::Deserializer::from_slice(text);
+    let form: Form = serde_path_to_error::deserialize(&mut deserializer)
         .map_err(|error| format!("{}: {}", error.path(), error.inner()))?;
-    read.end().map_err(|error| error.to_string())?;
-    let server = |one: ServerForm| {
-        let ServerForm { address, zone, state, limit } = one;
+    deserializer.end().map_err(|error| error.to_string())?;
+    let server = |input: ServerForm| {
+        let ServerForm { address, zone, state, limit } = input;
         Server { address, zone, state, limit }
     };
-    let service = |(name, one): (String, ServiceForm)| {
-        let ServiceForm { expected, remove, limit, settings, servers } = one;
-        let servers = servers.into_iter().map(|(name, one)| (name, one.map(server))).collect();
+    let service = |(name, input): (String, ServiceForm)| {
+        let ServiceForm { expected, remove, limit, settings, servers } = input;
+        let servers = servers.into_iter().map(|(name, input)| (name, input.map(server))).collect();
         (name, ServiceChange { expected, remove, limit, settings, servers })
     };
     let set = ChangeSet { number: form.number, services: form.services.into_iter().map(service).collect() };
--- a/crates/pearfront-distribute/src/service.rs
+++ b/crates/pearfront-distribute/src/service.rs
@@ -1,72 +1,79 @@
-//! What a service is to those who call it, how a change set changes it, and what of that only narrows.
+//! The model of a service as its callers see it, change sets, and which of them only restrict what was there.
 
-use crate::times::{LONGEST_NAME, LONGEST_SETTINGS, LONGEST_TEXT, MAX_SERVERS_PER_SERVICE, MOST_IN_SET};
+use crate::times::{
+    MAX_NAME_BYTES, MAX_NAMES_PER_CHANGE_SET, MAX_SERVERS_PER_SERVICE, MAX_SETTINGS_BYTES, MAX_TEXT_BYTES,
+};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
+/// Whether a server takes new requests; in the JSON of change sets, by its name in lower case.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ServerState {
     Serving,
-    /// Takes nothing new.
+    /// Takes no new requests.
     Draining,
 }
 
+/// A server of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Server {
     pub address: String,
     pub zone: String,
     pub state: ServerState,
-    /// Jobs at once that one node may have there; none: no such limit.
+    /// Concurrent requests that one node may have at the server; none: no limit.
     pub limit: Option<u32>,
 }
 
-/// What concerns a service as a whole.
+/// What applies to a service as a whole.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceOptions {
-    /// Jobs at once that one node may have at the service; none: no such limit.
+    /// Concurrent requests that one node may have at the service; none: no limit.
     pub limit: Option<u32>,
-    /// What the node decides by, as text that only the node reads; it refuses what it can't take.
+    /// Settings for the node's decisions, as text that only the node parses; it rejects a version that it can't use.
     pub settings: String,
 }
 
+/// A service with its servers, by name.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
     pub options: ServiceOptions,
     pub servers: BTreeMap<String, Server>,
 }
 
-/// What one change set does to one service. A service that is not there yet begins empty.
+/// What one change set does to one service. A service that does not exist yet begins empty. Fields are named as the keys of
+/// the JSON that operators write.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceChange {
-    /// The service's version that the writer saw, 0 if there was none; otherwise the whole set is refused.
+    /// The version that the writer expects the service to have, 0 for none; if it differs the whole set is rejected.
     pub expected: Option<u64>,
-    /// The service goes.
+    /// Removes the service.
     pub remove: bool,
     /// The new limit, if it changes.
     pub limit: Option<Option<u32>>,
     pub settings: Option<String>,
-    /// Servers as they are to be; none: gone.
+    /// New states of servers by name; none: removed.
     pub servers: BTreeMap<String, Option<Server>>,
 }
 
-/// One change, whole or not at all.
+/// A change to one or several services, applied as a whole or not at all.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeSet {
-    /// The writer's own number for it: the same again is the same change.
+    /// Idempotency key, set by the writer: a retry with the same number and content is the same change.
     pub number: String,
     pub services: BTreeMap<String, ServiceChange>,
 }
 
-/// What leaves a node less than it had.
+/// How a restriction reduces what nodes may use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RestrictionKind {
     Removed,
     Drain,
-    /// At most so many jobs at once.
+    /// At most so many concurrent requests.
     Limit(u32),
 }
 
+/// A reduction that takes effect at nodes ahead of the version that contains it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Restriction {
     pub service: String,
@@ -75,7 +82,7 @@
     pub kind: RestrictionKind,
 }
 
-/// What a subscriber has to change in one service.
+/// What changes for a subscriber in one service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServiceUpdate {
     Full(Service),
@@ -83,7 +90,7 @@
         /// The new limit, if it changed.
         limit: Option<Option<u32>>,
         settings: Option<String>,
-        /// None: gone.
+        /// None: removed.
         servers: BTreeMap<String, Option<Server>>,
     },
     Removed,
@@ -99,7 +106,7 @@
                     self.options.settings = settings;
                 }
                 for (name, server) in servers {
-                    put(&mut self.servers, name, server);
+                    set_server(&mut self.servers, name, server);
                 }
             }
             ServiceUpdate::Removed => *self = Self::default(),
@@ -107,28 +114,32 @@
     }
 }
 
-pub(crate) fn put(servers: &mut BTreeMap<String, Server>, name: String, server: Option<Server>) {
+pub(crate) fn set_server(servers: &mut BTreeMap<String, Server>, name: String, server: Option<Server>) {
     match server {
         Some(server) => drop(servers.insert(name, server)),
         None => drop(servers.remove(&name)),
     }
 }
 
-fn lower(was: Option<u32>, is: Option<u32>) -> bool {
-    is.is_some_and(|is| was.is_none_or(|was| is <= was))
+fn is_tighter(old: Option<u32>, new: Option<u32>) -> bool {
+    new.is_some_and(|new| old.is_none_or(|old| new <= old))
 }
 
 impl ServiceChange {
-    /// What it takes from those who have `before`; none if it also gives or changes something.
-    pub(crate) fn narrows(&self, service: &str, before: Option<&Service>) -> Option<Vec<Restriction>> {
+    /// The change as restrictions of `before`; none if it also adds or changes something.
+    pub(crate) fn as_restrictions(
+        &self,
+        service: &str,
+        before: Option<&Service>,
+    ) -> Option<Vec<Restriction>> {
         let before = before?;
-        let restricts = |server: Option<&String>, kind| Restriction {
+        let restriction = |server: Option<&String>, kind| Restriction {
             service: service.into(),
             server: server.cloned(),
             kind,
         };
         if self.remove {
-            return Some(vec![restricts(None, RestrictionKind::Removed)]);
+            return Some(vec![restriction(None, RestrictionKind::Removed)]);
         }
         if self.settings.as_ref().is_some_and(|settings| *settings != before.options.settings) {
             return None;
@@ -136,26 +147,27 @@
         let mut all = Vec::new();
         match self.limit {
             Some(limit) if limit != before.options.limit => {
-                let limit = limit.filter(|_| lower(before.options.limit, limit))?;
-                all.push(restricts(None, RestrictionKind::Limit(limit)));
+                let limit = limit.filter(|_| is_tighter(before.options.limit, limit))?;
+                all.push(restriction(None, RestrictionKind::Limit(limit)));
             }
             _ => {}
         }
         for (name, server) in &self.servers {
             match (before.servers.get(name), server) {
-                (was, Some(is)) if was == Some(is) => {}
-                (Some(was), Some(is)) => {
-                    let same = was.address == is.address && was.zone == is.zone;
-                    let opens = was.state == ServerState::Draining && is.state == ServerState::Serving;
-                    if !same || opens || (was.limit != is.limit && !lower(was.limit, is.limit)) {
+                (old, Some(new)) if old == Some(new) => {}
+                (Some(old), Some(new)) => {
+                    let same_place = old.address == new.address && old.zone == new.zone;
+                    let reopens = old.state == ServerState::Draining && new.state == ServerState::Serving;
+                    if !same_place || reopens || (old.limit != new.limit && !is_tighter(old.limit, new.limit))
+                    {
                         return None;
                     }
-                    if is.state == ServerState::Draining {
-                        all.push(restricts(Some(name), RestrictionKind::Drain));
+                    if new.state == ServerState::Draining {
+                        all.push(restriction(Some(name), RestrictionKind::Drain));
                     }
-                    all.extend(is.limit.map(|limit| restricts(Some(name), RestrictionKind::Limit(limit))));
+                    all.extend(new.limit.map(|limit| restriction(Some(name), RestrictionKind::Limit(limit))));
                 }
-                (Some(_), None) => all.push(restricts(Some(name), RestrictionKind::Removed)),
+                (Some(_), None) => all.push(restriction(Some(name), RestrictionKind::Removed)),
                 (None, Some(_)) => return None,
                 (None, None) => {}
             }
@@ -165,47 +177,55 @@
 }
 
 impl ChangeSet {
+    /// Checks names and sizes.
+    ///
     /// # Errors
-    /// The key that can't be as it is, and why.
+    /// The faulty key, and what is wrong with it.
     pub fn check(&self) -> Result<(), String> {
-        let text = |key: &str, value: &str, least: usize, most: usize| {
-            let fits = (least..=most).contains(&value.len());
-            if fits { Ok(()) } else { Err(format!("{key} has {} bytes, not {least} to {most}", value.len())) }
+        let text = |key: &str, value: &str, min: usize, max: usize| {
+            let fits = (min..=max).contains(&value.len());
+            if fits { Ok(()) } else { Err(format!("{key} has {} bytes, not {min} to {max}", value.len())) }
         };
-        text("number", &self.number, 1, LONGEST_NAME)?;
+        text("number", &self.number, 1, MAX_NAME_BYTES)?;
         let named: usize = self.services.values().map(|change| 1 + change.servers.len()).sum();
-        if !(1..=MOST_IN_SET).contains(&named) {
-            return Err(format!("services names {named} services and servers, not 1 to {MOST_IN_SET}"));
+        if !(1..=MAX_NAMES_PER_CHANGE_SET).contains(&named) {
+            return Err(format!(
+                "services names {named} services and servers, not 1 to {MAX_NAMES_PER_CHANGE_SET}"
+            ));
         }
         for (name, change) in &self.services {
-            text("services: a name", name, 1, LONGEST_NAME)?;
+            text("services: a name", name, 1, MAX_NAME_BYTES)?;
             if change.remove
                 && (change.limit.is_some() || change.settings.is_some() || !change.servers.is_empty())
             {
-                return Err(format!("services.{name}.remove stands beside what is to be there"));
+                return Err(format!(
+                    "services.{name}.remove can't be combined with limit, settings or servers"
+                ));
             }
             let settings = change.settings.as_deref().unwrap_or_default();
-            text(&format!("services.{name}.settings"), settings, 0, LONGEST_SETTINGS)?;
-            for (server, is) in &change.servers {
-                text(&format!("services.{name}.servers: a name"), server, 1, LONGEST_NAME)?;
-                let Some(is) = is else { continue };
-                text(&format!("services.{name}.servers.{server}.address"), &is.address, 1, LONGEST_TEXT)?;
-                text(&format!("services.{name}.servers.{server}.zone"), &is.zone, 0, LONGEST_TEXT)?;
+            text(&format!("services.{name}.settings"), settings, 0, MAX_SETTINGS_BYTES)?;
+            for (server, new) in &change.servers {
+                text(&format!("services.{name}.servers: a name"), server, 1, MAX_NAME_BYTES)?;
+                let Some(new) = new else { continue };
+                text(&format!("services.{name}.servers.{server}.address"), &new.address, 1, MAX_TEXT_BYTES)?;
+                text(&format!("services.{name}.servers.{server}.zone"), &new.zone, 0, MAX_TEXT_BYTES)?;
             }
         }
         Ok(())
     }
 
+    /// Checks the number of servers that a service would have; `replaced` of those in the change exist already.
+    ///
     /// # Errors
-    /// It would leave a service with more servers than may be.
+    /// The service would have more servers than allowed.
     pub(crate) fn check_size(
         &self,
         name: &str,
         change: &ServiceChange,
         before: usize,
-        gone: usize,
+        replaced: usize,
     ) -> Result<(), String> {
-        let after = before + change.servers.values().flatten().count() - gone;
+        let after = before + change.servers.values().flatten().count() - replaced;
         if after > MAX_SERVERS_PER_SERVICE {
             return Err(format!(
                 "services.{name}.servers would be {after}, not up to {MAX_SERVERS_PER_SERVICE}"
--- a/crates/pearfront-distribute/src/times.rs
+++ b/crates/pearfront-distribute/src/times.rs
@@ -1,66 +1,75 @@
-//! All times and bounds in one place, ms unless said otherwise.
+//! Limits and default timings of the distribution protocol, shared by all its roles. Times are in milliseconds.
 
-/// Bytes of a name: of a service, a server, a node, a change.
-pub const LONGEST_NAME: usize = 64;
+/// Bytes of a name: of a service, a server, a node, a change set.
+pub const MAX_NAME_BYTES: usize = 64;
 /// Bytes of a server's address or zone.
-pub const LONGEST_TEXT: usize = 128;
+pub const MAX_TEXT_BYTES: usize = 128;
 /// Bytes of one service's settings.
-pub const LONGEST_SETTINGS: usize = 16 * 1024;
-/// Services; the target has 4,200.
-pub const MOST_SERVICES: usize = 16_384;
-/// Servers of one service; the largest of the target is taken to have 2,000.
+pub const MAX_SETTINGS_BYTES: usize = 16 * 1024;
+/// Services; the target fleet has 4,200.
+pub const MAX_SERVICES: usize = 16_384;
+/// Servers of one service; the largest of the target fleet is assumed to have 2,000.
 pub const MAX_SERVERS_PER_SERVICE: usize = 8192;
-/// Services and servers that one change set may name, and bytes that it may have: it is one entry of the log.
-pub const MOST_IN_SET: usize = 4096;
+/// Services and servers that one change set may name, together.
+pub const MAX_NAMES_PER_CHANGE_SET: usize = 4096;
+/// Bytes of a change set, which is one entry of the log.
 pub const MAX_CHANGE_SET_BYTES: usize = 192 * 1024;
-/// Services that one node may subscribe to; it calls tens.
+/// Services that one node may subscribe to; nodes call tens.
 pub const MAX_SUBSCRIBED_SERVICES: usize = 1024;
-/// Changes of a service's servers that are remembered, beside twice as many as it has: the way for deltas.
-pub const LEAST_REMEMBERED: usize = 256;
-/// Services that were removed, change sets that only narrow, and outcomes of changes that are remembered.
-pub const GONE_REMEMBERED: usize = 1024;
-pub const NARROWINGS: usize = 512;
-pub const OUTCOMES: usize = 4096;
-/// Change sets, and bytes of them, that a voter keeps for distributors; one that is further back gets everything.
-pub const FEED: usize = 4096;
-pub const FEED_BYTES: usize = 8 * 1024 * 1024;
+/// Changes of a service that are remembered for deltas, and names of servers in them; of the names up to twice as many as it
+/// has servers, if that is more.
+pub const MIN_REMEMBERED_CHANGES: usize = 256;
+/// Removed services that are remembered.
+pub const MAX_REMOVED_SERVICES: usize = 1024;
+/// Change sets that only restrict and are remembered.
+pub const MAX_RESTRICTING_SETS: usize = 512;
+/// Outcomes of change sets that are remembered, so that a retry gets the same answer.
+pub const MAX_OUTCOMES: usize = 4096;
+/// Change sets that a voter keeps for distributors; one that is further behind gets a snapshot.
+pub const MAX_FEED_SETS: usize = 4096;
+/// Bytes of the change sets that a voter keeps for distributors.
+pub const MAX_FEED_BYTES: usize = 8 * 1024 * 1024;
 /// Change sets in one message to a distributor.
-pub const SETS_AT_ONCE: usize = 64;
-/// Voters in a row that one is sent on to by another without a pause: two may each hold the other for the leader.
-pub const SENT_ON: u32 = 3;
-/// Distributors that are remembered on the log: 30 in the target.
-pub const MOST_DISTRIBUTORS: usize = 256;
-/// Subscribers of one distributor: 1,100 in the target with a region lost.
-pub const MOST_SUBSCRIBERS: usize = 4096;
-/// Bytes of a reason for a refusal.
-pub const LONGEST_REASON: usize = 256;
-/// Bytes of one frame of a message: what narrows may go between two.
-pub const PIECE: usize = 16 * 1024;
-/// Bytes of one message: the whole state of the target is some 20 MB.
-pub const LONGEST: usize = 64 * 1024 * 1024;
+pub const MAX_SETS_PER_MESSAGE: usize = 64;
+/// Redirects between voters that are followed in a row without a pause: two voters may each take the other for the leader.
+pub const MAX_REDIRECTS: u32 = 3;
+/// Distributors that the log may name; the target fleet has 30.
+pub const MAX_DISTRIBUTORS: usize = 256;
+/// Subscribers of one distributor; 1,100 in the target fleet with a region lost.
+pub const MAX_SUBSCRIBERS: usize = 4096;
+/// Bytes of the reason for a refusal.
+pub const MAX_REASON_BYTES: usize = 256;
+/// Bytes of one frame of a message; an urgent message may go between two frames of another.
+pub const FRAME_BYTES: usize = 16 * 1024;
+/// Bytes of one message; the whole state of the target fleet is some 20 MB.
+pub const MAX_MESSAGE_BYTES: usize = 64 * 1024 * 1024;
 
+/// Timings and rates of all roles, in milliseconds unless the name says otherwise.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Times {
-    /// Time between two beats on a link.
+    /// Interval of heartbeats on a link.
     pub heartbeat_ms: f64,
-    /// A link that was silent for so long is doubted: the other is asked.
+    /// Silence after which a link is suspect and the peer is probed with a heartbeat.
     pub suspect_after_ms: f64,
-    /// A link that was silent for so long is given up.
+    /// Silence after which a link is closed.
     pub close_after_ms: f64,
-    /// Longest pause by chance before the next link after one that failed; doubles with each up to the second.
+    /// Upper bound of the random pause before reconnecting: after the first failure, and at most. It doubles with each
+    /// failure.
     pub reconnect_pause_ms: (f64, f64),
-    /// A distributor whose link failed is not chosen again for so long, if there is another; doubles up to the second.
+    /// How long a peer whose link failed is not chosen again if there is another: the first time, and at most. It
+    /// doubles with each failure.
     pub avoid_ms: (f64, f64),
-    /// Least time between two reports of a distributor.
+    /// Minimum time between two reports of a distributor.
     pub report_interval_ms: f64,
-    /// A distributor that the voters have not answered for so long serves new nodes without their knowledge.
+    /// A distributor without an answer from the voters for this long serves new nodes without registering them first.
     pub isolated_after_ms: f64,
-    /// A node or distributor that was not heard for so long is held to be gone in the count of what is in force.
+    /// A node or distributor that was silent for this long is no longer waited for when counting what is in force.
     pub gone_after_ms: f64,
-    /// A node that has not heard for so long that what it has is the newest is careful.
+    /// A node that has had no confirmation for this long that its configuration is the newest regards it as stale.
     pub stale_after_ms: f64,
-    /// Bytes a second that a distributor sends beside beats, and at once.
+    /// Rate limit of a distributor, heartbeats not counted.
     pub bytes_per_s: f64,
+    /// Burst that the rate limit allows.
     pub burst_bytes: f64,
 }
 
--- a/crates/pearfront-distribute/tests/catalog.rs
+++ b/crates/pearfront-distribute/tests/catalog.rs
@@ -109,7 +109,7 @@
 #[test_case(r#"{"number": "1", "services": {"cart": {"servers": {"a": {"address": ""}}}}}"#, "services.cart.servers.a.address has 0 bytes, not 1 to 128"; "no address")]
 #[test_case(r#"{"number": "", "services": {"cart": {}}}"#, "number has 0 bytes, not 1 to 64"; "no number")]
 #[test_case(r#"{"number": "1", "services": {}}"#, "services names 0 services and servers, not 1 to 4096"; "nothing")]
-#[test_case(r#"{"number": "1", "services": {"cart": {"remove": true, "limit": 3}}}"#, "services.cart.remove stands beside what is to be there"; "remove and more")]
+#[test_case(r#"{"number": "1", "services": {"cart": {"remove": true, "limit": 3}}}"#, "services.cart.remove can't be combined with limit, settings or servers"; "remove and more")]
 fn what_can_not_be_is_refused_by_its_key(text: &str, wanted: &str) {
     let told = parse(text.as_bytes()).unwrap_err();
     assert!(told.starts_with(wanted), "{told}");
