--- a/crates/pearfront-distribute/tests/catalog.rs
+++ b/crates/pearfront-distribute/tests/catalog.rs
@@ -1,4 +1,4 @@
-//! The log's state machine: change sets whole or not at all, versions, retries, and what subscribers are sent of it.
+//! The replicated catalog: change sets apply as a whole or not at all, versions, retries, deltas and restrictions.
 
 use pearfront_distribute::{
     Applied, Catalog, ChangeSet, Command, MAX_CHANGE_SET_BYTES, Outcome, RestrictionKind, Server,
@@ -15,7 +15,7 @@
     }
 }
 
-fn cart() -> Catalog {
+fn catalog_with_cart() -> Catalog {
     let mut catalog = Catalog::default();
     let text = r#"{"number": "1", "services": {"cart": {"expected": 0, "settings": "a", "limit": 9, "servers": {
         "a": {"address": "127.0.0.1:1", "zone": "x"}, "b": {"address": "127.0.0.1:2"}}}}}"#;
@@ -23,12 +23,12 @@
     catalog
 }
 
-fn wants(names: &[&str]) -> Vec<String> {
+fn service_names(names: &[&str]) -> Vec<String> {
     names.iter().map(|name| name.to_string()).collect()
 }
 
-/// What one that had `before` has after that update.
-fn updated(
+/// `before` with that update applied, as a subscriber does it.
+fn apply_updates(
     before: &BTreeMap<String, Service>,
     update: BTreeMap<String, ServiceUpdate>,
 ) -> BTreeMap<String, Service> {
@@ -54,8 +54,8 @@
 }
 
 #[test]
-fn a_change_set_over_several_services_is_one_version_or_none() {
-    let mut catalog = cart();
+fn a_change_set_over_several_services_makes_one_version_or_none() {
+    let mut catalog = catalog_with_cart();
     let both =
         r#"{"number": "2", "services": {"cart": {"expected": 1, "limit": 5}, "user": {"expected": 7}}}"#;
     let before = catalog.clone();
@@ -69,8 +69,8 @@
 }
 
 #[test]
-fn of_two_writers_who_saw_the_same_version_one_is_refused() {
-    let mut catalog = cart();
+fn of_two_writers_expecting_the_same_version_one_is_refused() {
+    let mut catalog = catalog_with_cart();
     let write = |number: &str, limit: u32| {
         format!(r#"{{"number": "{number}", "services": {{"cart": {{"expected": 1, "limit": {limit}}}}}}}"#)
     };
@@ -81,8 +81,8 @@
 }
 
 #[test]
-fn a_change_that_is_said_again_under_its_number_is_the_same_change() {
-    let mut catalog = cart();
+fn a_change_retried_under_its_number_is_applied_once() {
+    let mut catalog = catalog_with_cart();
     let limit = |limit: u32| format!(r#"{{"number": "2", "services": {{"cart": {{"limit": {limit}}}}}}}"#);
     assert_eq!(apply(&mut catalog, &limit(4)), Outcome::Accepted(2));
     assert_eq!(
@@ -91,15 +91,15 @@
     );
     assert_eq!(apply(&mut catalog, &limit(4)), Outcome::Accepted(2));
     assert_eq!((catalog.version(), catalog.get("cart").unwrap().options.limit), (3, Some(8)));
-    // Another one under that number is not it.
+    // Another change under the same number is refused.
     assert_eq!(apply(&mut catalog, &limit(5)), Outcome::Refused("number is that of another change".into()));
-    // Nor is one taken later that was refused.
-    let late = r#"{"number": "4", "services": {"cart": {"expected": 9, "limit": 1}}}"#;
-    assert!(matches!(apply(&mut catalog, late), Outcome::Refused(_)));
+    // A refused change stays refused when it is retried, whatever was committed since.
+    let rejected_change = r#"{"number": "4", "services": {"cart": {"expected": 9, "limit": 1}}}"#;
+    assert!(matches!(apply(&mut catalog, rejected_change), Outcome::Refused(_)));
     (5..10).for_each(|n| {
         apply(&mut catalog, &format!(r#"{{"number": "{n}", "services": {{"cart": {{"limit": {n}}}}}}}"#));
     });
-    assert!(matches!(apply(&mut catalog, late), Outcome::Refused(_)));
+    assert!(matches!(apply(&mut catalog, rejected_change), Outcome::Refused(_)));
 }
 
 #[test_case(r#"{"number": "1", "service": {}}"#, "service: unknown field `service`, expected `number` or `services`"; "top")]
@@ -110,13 +110,13 @@
 #[test_case(r#"{"number": "", "services": {"cart": {}}}"#, "number has 0 bytes, not 1 to 64"; "no number")]
 #[test_case(r#"{"number": "1", "services": {}}"#, "services names 0 services and servers, not 1 to 4096"; "nothing")]
 #[test_case(r#"{"number": "1", "services": {"cart": {"remove": true, "limit": 3}}}"#, "services.cart.remove can't be combined with limit, settings or servers"; "remove and more")]
-fn what_can_not_be_is_refused_by_its_key(text: &str, wanted: &str) {
-    let told = parse(text.as_bytes()).unwrap_err();
-    assert!(told.starts_with(wanted), "{told}");
+fn an_invalid_change_set_is_refused_with_its_key(text: &str, wanted: &str) {
+    let error = parse(text.as_bytes()).unwrap_err();
+    assert!(error.starts_with(wanted), "{error}");
 }
 
 #[test]
-fn a_change_that_is_too_large_is_refused_before_the_log_and_on_it() {
+fn a_change_set_that_is_too_large_is_refused_by_parse_and_by_apply() {
     let text = format!(r#"{{"number": "{}", "services": {{}}}}"#, "x".repeat(MAX_CHANGE_SET_BYTES));
     assert!(parse(text.as_bytes()).unwrap_err().contains("not up to"));
     let server =
@@ -125,17 +125,17 @@
     let change = ServiceChange { servers, ..ServiceChange::default() };
     let set = ChangeSet { number: "1".into(), services: BTreeMap::from([("cart".into(), change)]) };
     let mut catalog = Catalog::default();
-    let Applied::Change { outcome: Outcome::Refused(told), version: None, .. } =
+    let Applied::Change { outcome: Outcome::Refused(error), version: None, .. } =
         catalog.apply(&Command::Change(set).encode())
     else {
         panic!("taken")
     };
-    assert!(told.starts_with("the change has "), "{told}");
+    assert!(error.starts_with("the change has "), "{error}");
     assert_eq!(catalog.version(), 0);
 }
 
 #[test]
-fn a_service_has_no_more_servers_than_may_be_and_those_that_are_replaced_count_once() {
+fn the_limit_on_servers_of_a_service_counts_replaced_servers_once() {
     let mut catalog = Catalog::default();
     let fill = |from: usize, count: usize, number: &str| {
         let servers: Vec<String> =
@@ -154,8 +154,8 @@
 }
 
 #[test]
-fn what_is_no_entry_changes_nothing_and_a_snapshot_brings_all_back() {
-    let mut catalog = cart();
+fn bytes_that_are_no_command_change_nothing_and_a_snapshot_restores_everything() {
+    let mut catalog = catalog_with_cart();
     let before = catalog.clone();
     assert_eq!(catalog.apply(&[]), Applied::Nothing);
     assert_eq!(catalog.apply(&[255; 9]), Applied::Nothing);
@@ -165,26 +165,26 @@
 }
 
 #[test]
-fn one_that_follows_comes_to_the_same_and_takes_no_set_out_of_turn() {
-    let mut catalog = cart();
+fn apply_accepted_gives_the_same_state_and_takes_no_set_out_of_order() {
+    let mut catalog = catalog_with_cart();
     let set = parse(br#"{"number": "2", "services": {"cart": {"servers": {"a": null}}}}"#).unwrap();
-    let mut follows = catalog.clone();
-    assert!(!follows.apply_accepted(set.clone(), 3) && follows.version() == 1);
-    assert!(follows.apply_accepted(set.clone(), 2));
+    let mut replica = catalog.clone();
+    assert!(!replica.apply_accepted(set.clone(), 3) && replica.version() == 1);
+    assert!(replica.apply_accepted(set.clone(), 2));
     catalog.apply(&Command::Change(set).encode());
-    assert_eq!(follows.get("cart"), catalog.get("cart"));
+    assert_eq!(replica.get("cart"), catalog.get("cart"));
     assert_eq!(
-        follows.updates_for(&wants(&["cart"]), Some(1), &BTreeSet::new()),
-        catalog.updates_for(&wants(&["cart"]), Some(1), &BTreeSet::new())
+        replica.updates_for(&service_names(&["cart"]), Some(1), &BTreeSet::new()),
+        catalog.updates_for(&service_names(&["cart"]), Some(1), &BTreeSet::new())
     );
 }
 
 #[test]
-fn a_delta_holds_what_changed_and_leads_to_the_same_as_everything() {
-    let mut catalog = cart();
-    let all = wants(&["cart", "user", "none"]);
+fn a_delta_contains_only_changes_and_gives_the_same_state_as_a_snapshot() {
+    let mut catalog = catalog_with_cart();
+    let all = service_names(&["cart", "user", "none"]);
     let none = BTreeSet::new();
-    let mut held = vec![(1, updated(&BTreeMap::new(), catalog.updates_for(&all, None, &none)))];
+    let mut held = vec![(1, apply_updates(&BTreeMap::new(), catalog.updates_for(&all, None, &none)))];
     for text in [
         r#"{"number": "2", "services": {"cart": {"servers": {"a": null}}}}"#,
         r#"{"number": "3", "services": {"cart": {"limit": null}, "user": {"servers": {"u": {"address": "1"}}}}}"#,
@@ -193,10 +193,10 @@
         r#"{"number": "6", "services": {"cart": {"servers": {"a": {"address": "5", "state": "draining"}}}}}"#,
     ] {
         let Outcome::Accepted(version) = apply(&mut catalog, text) else { panic!("{text}") };
-        let whole = updated(&BTreeMap::new(), catalog.updates_for(&all, None, &none));
-        for (from, had) in &held {
+        let whole = apply_updates(&BTreeMap::new(), catalog.updates_for(&all, None, &none));
+        for (from, held_services) in &held {
             assert_eq!(
-                updated(had, catalog.updates_for(&all, Some(*from), &none)),
+                apply_updates(held_services, catalog.updates_for(&all, Some(*from), &none)),
                 whole,
                 "{from} to {version}"
             );
@@ -204,7 +204,7 @@
         held.push((version, whole));
     }
     assert_eq!(catalog.updates_for(&all, Some(6), &none), BTreeMap::new());
-    // One server of two, and nothing else of the service.
+    // Only the one changed server of two, and nothing else of the service.
     let delta = catalog.updates_for(&all, Some(5), &none);
     assert!(
         matches!(&delta["cart"], ServiceUpdate::Changed { limit: None, settings: None, servers } if servers.len() == 1)
@@ -212,8 +212,8 @@
 }
 
 #[test]
-fn where_the_way_is_forgotten_a_service_is_sent_whole_and_others_are_not() {
-    let mut catalog = cart();
+fn only_a_service_whose_history_is_forgotten_is_sent_in_full() {
+    let mut catalog = catalog_with_cart();
     apply(&mut catalog, r#"{"number": "2", "services": {"user": {"settings": "x"}}}"#);
     for n in 3..400 {
         apply(
@@ -223,12 +223,12 @@
             ),
         );
     }
-    let (all, none) = (wants(&["cart", "user"]), BTreeSet::new());
+    let (all, none) = (service_names(&["cart", "user"]), BTreeSet::new());
     assert!(catalog.needs_full(&all, Some(2), &none));
     let update = catalog.updates_for(&all, Some(2), &none);
     assert!(matches!(update["cart"], ServiceUpdate::Full(_)) && !update.contains_key("user"));
     assert!(!catalog.needs_full(&all, Some(390), &none));
-    // Of one that is new to the subscriber it is whole, whatever version it has.
+    // A service that is new to the subscriber is sent in full, whatever version it holds.
     let new_services = BTreeSet::from(["user".to_string()]);
     assert!(matches!(catalog.updates_for(&all, Some(399), &new_services)["user"], ServiceUpdate::Full(_)));
 }
@@ -241,13 +241,13 @@
 #[test_case(r#"{"cart": {"limit": 12}}"#, &[]; "higher limit")]
 #[test_case(r#"{"cart": {"limit": null}}"#, &[]; "no limit")]
 #[test_case(r#"{"cart": {"settings": "b"}}"#, &[]; "settings")]
-#[test_case(r#"{"cart": {"servers": {"a": null, "c": {"address": "1"}}}}"#, &[]; "one for another")]
+#[test_case(r#"{"cart": {"servers": {"a": null, "c": {"address": "1"}}}}"#, &[]; "one server replaced by another")]
 #[test_case(r#"{"cart": {"servers": {"a": null}}, "user": {}}"#, &[]; "beside a new service")]
-fn only_a_set_that_does_nothing_but_narrow_may_go_ahead(
+fn only_a_change_set_that_only_restricts_makes_restrictions(
     services: &str,
     wanted: &[(Option<&str>, RestrictionKind)],
 ) {
-    let mut catalog = cart();
+    let mut catalog = catalog_with_cart();
     apply(&mut catalog, &format!(r#"{{"number": "2", "services": {services}}}"#));
     let found = catalog.restrictions(&BTreeSet::from(["cart".to_string()]), 1);
     let found: Vec<_> = found.iter().map(|one| (one.server.as_deref(), one.kind)).collect();
@@ -257,8 +257,8 @@
 }
 
 #[test]
-fn versions_go_on_above_those_that_others_may_have_seen() {
-    let mut catalog = cart();
+fn skipped_versions_are_not_used_again() {
+    let mut catalog = catalog_with_cart();
     catalog.skip_versions(1000);
     assert_eq!(
         apply(&mut catalog, r#"{"number": "2", "services": {"cart": {"limit": 2}}}"#),
--- a/crates/pearfront-distribute/tests/registry.rs
+++ b/crates/pearfront-distribute/tests/registry.rs
@@ -1,4 +1,4 @@
-//! The leader's side: distributors are fed without a gap, changes answered once, and what is in force is counted.
+//! The leader's side: distributors are fed without gaps, changes are applied once, and the version in force is computed.
 
 use pearfront_distribute::{
     Catalog, ChangeSet, DistributionStatus, FromVoter, NodeStatus, Outcome, ProcessId, Registry,
@@ -6,7 +6,7 @@
 };
 use std::collections::BTreeMap;
 
-struct Rig {
+struct Harness {
     core: Registry,
     catalog: Catalog,
     sent: Vec<(u64, FromVoter)>,
@@ -14,28 +14,28 @@
     reports: BTreeMap<u64, u64>,
 }
 
-fn process(name: &str, incarnation: u64) -> ProcessId {
+fn distributor_id(name: &str, incarnation: u64) -> ProcessId {
     ProcessId { name: name.into(), incarnation }
 }
 
-fn set(number: &str, limit: u32) -> ChangeSet {
+fn change_set(number: &str, limit: u32) -> ChangeSet {
     parse(format!(r#"{{"number": "{number}", "services": {{"cart": {{"limit": {limit}}}}}}}"#).as_bytes())
         .unwrap()
 }
 
-fn line(session: u64, lagging_version: Option<u64>, linked: bool) -> NodeStatus {
+fn node_status(session: u64, lagging_version: Option<u64>, linked: bool) -> NodeStatus {
     NodeStatus { incarnation: 1, session, lagging_version, refused: None, linked }
 }
 
-impl Rig {
+impl Harness {
     fn leading() -> Self {
         let mut core = Registry::new("shop", Times::default());
         core.set_leading_term(Some(1), 0.0);
         Self { core, catalog: Catalog::default(), sent: Vec::new(), now: 0.0, reports: BTreeMap::new() }
     }
 
-    /// Commits at once what is proposed.
-    fn out(&mut self) {
+    /// Commits proposals at once.
+    fn run_actions(&mut self) {
         loop {
             let out = self.core.take_actions();
             if out.is_empty() {
@@ -54,13 +54,13 @@
         }
     }
 
-    fn hears(&mut self, link: u64, message: ToVoter) {
+    fn receive(&mut self, link: u64, message: ToVoter) {
         self.core.receive(link, message, None, &self.catalog, self.now);
-        self.out();
+        self.run_actions();
     }
 
     fn follow(&mut self, link: u64, process: ProcessId, version: Option<u64>) {
-        self.hears(link, ToVoter::Follow { installation: "shop".into(), process, version });
+        self.receive(link, ToVoter::Follow { installation: "shop".into(), process, version });
     }
 
     fn report(&mut self, link: u64, version: u64, nodes: &[(&str, Option<NodeStatus>)]) {
@@ -71,8 +71,8 @@
             FromVoter::Heartbeat { number, .. } => Some(*number),
             _ => None,
         });
-        let nodes = nodes.iter().map(|(name, line)| (name.to_string(), line.clone())).collect();
-        self.hears(
+        let nodes = nodes.iter().map(|(name, status)| (name.to_string(), status.clone())).collect();
+        self.receive(
             link,
             ToVoter::Report(Report {
                 number,
@@ -84,168 +84,187 @@
         );
     }
 
-    fn at(&mut self, now: f64) {
+    fn advance_to(&mut self, now: f64) {
         self.now = now;
         self.core.tick(&self.catalog, now);
-        self.out();
+        self.run_actions();
     }
 
-    fn last(&self, link: u64) -> Option<&FromVoter> {
-        let beat = |message: &FromVoter| matches!(message, FromVoter::Heartbeat { .. });
-        self.sent.iter().rev().find(|(to, message)| *to == link && !beat(message)).map(|(_, message)| message)
+    fn last_message(&self, link: u64) -> Option<&FromVoter> {
+        let is_heartbeat = |message: &FromVoter| matches!(message, FromVoter::Heartbeat { .. });
+        self.sent
+            .iter()
+            .rev()
+            .find(|(to, message)| *to == link && !is_heartbeat(message))
+            .map(|(_, message)| message)
     }
 
-    fn view(&mut self) -> DistributionStatus {
-        self.hears(99, ToVoter::QueryStatus);
-        let Some(FromVoter::Status(view)) = self.last(99) else { panic!() };
-        view.clone()
+    fn query_status(&mut self) -> DistributionStatus {
+        self.receive(99, ToVoter::QueryStatus);
+        let Some(FromVoter::Status(status)) = self.last_message(99) else { panic!() };
+        status.clone()
     }
 
-    /// Two distributors at version 1 with a node each.
-    fn two() -> Self {
-        let mut rig = Self::leading();
-        rig.hears(50, ToVoter::Submit(set("1", 1)));
+    /// Two distributors at version 1 with one node each.
+    fn with_two_distributors() -> Self {
+        let mut harness = Self::leading();
+        harness.receive(50, ToVoter::Submit(change_set("1", 1)));
         for (link, name, node) in [(1, "d1", "n1"), (2, "d2", "n2")] {
-            rig.follow(link, process(name, 1), None);
-            rig.hears(link, ToVoter::Acknowledge { version: 1 });
-            rig.report(link, 1, &[(node, Some(line(1, None, true)))]);
+            harness.follow(link, distributor_id(name, 1), None);
+            harness.receive(link, ToVoter::Acknowledge { version: 1 });
+            harness.report(link, 1, &[(node, Some(node_status(1, None, true)))]);
         }
-        rig.at(500.0);
-        assert_eq!(rig.core.in_force(), Some(1));
-        rig
+        harness.advance_to(500.0);
+        assert_eq!(harness.core.in_force(), Some(1));
+        harness
     }
 }
 
 #[test]
-fn a_follower_gets_everything_then_what_came_since_one_message_at_a_time() {
-    let mut rig = Rig::leading();
-    rig.hears(50, ToVoter::Submit(set("1", 1)));
-    rig.follow(1, process("d1", 1), None);
-    assert!(matches!(rig.last(1), Some(FromVoter::Snapshot { .. })));
-    (2..70).for_each(|n| rig.hears(50, ToVoter::Submit(set(&n.to_string(), n))));
-    assert!(matches!(rig.last(1), Some(FromVoter::Snapshot { .. })));
-    rig.hears(1, ToVoter::Acknowledge { version: 1 });
-    assert!(matches!(rig.last(1), Some(FromVoter::ChangeSets { to: 65, sets }) if sets.len() == 64));
-    rig.hears(1, ToVoter::Acknowledge { version: 65 });
-    assert!(matches!(rig.last(1), Some(FromVoter::ChangeSets { to: 69, sets }) if sets.len() == 4));
-    // One that comes back goes on where it was; one from the future is none of this log's.
-    rig.follow(2, process("d2", 1), Some(67));
-    assert!(matches!(rig.last(2), Some(FromVoter::ChangeSets { to: 69, sets }) if sets.len() == 2));
-    rig.follow(3, process("d3", 1), Some(70));
-    assert_eq!(rig.last(3), Some(&FromVoter::Rejected { reason: Rejection::Behind { version: 69 } }));
+fn a_distributor_gets_a_snapshot_then_change_sets_one_message_at_a_time() {
+    let mut harness = Harness::leading();
+    harness.receive(50, ToVoter::Submit(change_set("1", 1)));
+    harness.follow(1, distributor_id("d1", 1), None);
+    assert!(matches!(harness.last_message(1), Some(FromVoter::Snapshot { .. })));
+    (2..70).for_each(|n| harness.receive(50, ToVoter::Submit(change_set(&n.to_string(), n))));
+    assert!(matches!(harness.last_message(1), Some(FromVoter::Snapshot { .. })));
+    harness.receive(1, ToVoter::Acknowledge { version: 1 });
+    assert!(
+        matches!(harness.last_message(1), Some(FromVoter::ChangeSets { to: 65, sets }) if sets.len() == 64)
+    );
+    harness.receive(1, ToVoter::Acknowledge { version: 65 });
+    assert!(
+        matches!(harness.last_message(1), Some(FromVoter::ChangeSets { to: 69, sets }) if sets.len() == 4)
+    );
+    // A returning distributor continues from its version; one with a newer version is rejected.
+    harness.follow(2, distributor_id("d2", 1), Some(67));
+    assert!(
+        matches!(harness.last_message(2), Some(FromVoter::ChangeSets { to: 69, sets }) if sets.len() == 2)
+    );
+    harness.follow(3, distributor_id("d3", 1), Some(70));
+    assert_eq!(
+        harness.last_message(3),
+        Some(&FromVoter::Rejected { reason: Rejection::Behind { version: 69 } })
+    );
 }
 
 #[test]
-fn a_change_is_answered_by_its_number_and_said_again_it_is_not_done_again() {
-    let mut rig = Rig::leading();
-    rig.hears(50, ToVoter::Submit(set("x", 1)));
-    rig.hears(51, ToVoter::Submit(set("x", 1)));
+fn a_change_is_answered_by_its_number_and_a_retry_is_not_applied_again() {
+    let mut harness = Harness::leading();
+    harness.receive(50, ToVoter::Submit(change_set("x", 1)));
+    harness.receive(51, ToVoter::Submit(change_set("x", 1)));
     let accepted = FromVoter::Outcome { number: "x".into(), outcome: Outcome::Accepted(1) };
-    assert_eq!((rig.last(50), rig.last(51)), (Some(&accepted), Some(&accepted)));
-    rig.hears(52, ToVoter::Submit(set("x", 2)));
-    assert!(matches!(rig.last(52), Some(FromVoter::Outcome { outcome: Outcome::Refused(_), .. })));
-    assert_eq!(rig.catalog.version(), 1);
-    // One that does not lead says so, and who does.
-    rig.core.set_leading_term(None, 1.0);
-    rig.core.receive(53, ToVoter::Submit(set("y", 1)), Some("v2"), &rig.catalog, 1.0);
-    rig.out();
-    assert_eq!(rig.last(53), Some(&FromVoter::NotLeader { leader: Some("v2".into()) }));
+    assert_eq!((harness.last_message(50), harness.last_message(51)), (Some(&accepted), Some(&accepted)));
+    harness.receive(52, ToVoter::Submit(change_set("x", 2)));
+    assert!(matches!(
+        harness.last_message(52),
+        Some(FromVoter::Outcome { outcome: Outcome::Refused(_), .. })
+    ));
+    assert_eq!(harness.catalog.version(), 1);
+    // A voter that does not lead names the leader.
+    harness.core.set_leading_term(None, 1.0);
+    harness.core.receive(53, ToVoter::Submit(change_set("y", 1)), Some("v2"), &harness.catalog, 1.0);
+    harness.run_actions();
+    assert_eq!(harness.last_message(53), Some(&FromVoter::NotLeader { leader: Some("v2".into()) }));
 }
 
 #[test]
-fn in_force_everywhere_waits_for_the_last_node_and_names_it() {
-    let mut rig = Rig::two();
-    rig.hears(50, ToVoter::Submit(set("2", 2)));
-    rig.report(1, 2, &[("n1", Some(line(1, None, true)))]);
-    rig.report(2, 2, &[("n2", Some(line(1, Some(1), true)))]);
-    rig.at(1000.0);
-    let view = rig.view();
-    assert_eq!((view.version, view.in_force, view.nodes), (2, Some(1), 2));
-    assert_eq!(view.lagging.iter().map(|lag| lag.node.as_deref()).collect::<Vec<_>>(), [Some("n2")]);
-    rig.report(2, 2, &[("n2", Some(line(1, None, true)))]);
-    rig.at(1500.0);
-    assert_eq!(rig.view().in_force, Some(2));
+fn a_version_is_in_force_everywhere_only_with_the_last_node_which_is_listed_until_then() {
+    let mut harness = Harness::with_two_distributors();
+    harness.receive(50, ToVoter::Submit(change_set("2", 2)));
+    harness.report(1, 2, &[("n1", Some(node_status(1, None, true)))]);
+    harness.report(2, 2, &[("n2", Some(node_status(1, Some(1), true)))]);
+    harness.advance_to(1000.0);
+    let status = harness.query_status();
+    assert_eq!((status.version, status.in_force, status.nodes), (2, Some(1), 2));
+    assert_eq!(
+        status.lagging.iter().map(|process| process.node.as_deref()).collect::<Vec<_>>(),
+        [Some("n2")]
+    );
+    harness.report(2, 2, &[("n2", Some(node_status(1, None, true)))]);
+    harness.advance_to(1500.0);
+    assert_eq!(harness.query_status().in_force, Some(2));
 }
 
 #[test]
-fn a_node_that_was_lost_counts_until_it_is_elsewhere_or_gone() {
-    let mut rig = Rig::two();
-    rig.hears(50, ToVoter::Submit(set("2", 2)));
-    rig.report(2, 2, &[]);
-    rig.report(1, 2, &[("n1", Some(line(1, Some(1), false)))]);
-    rig.at(1000.0);
-    assert_eq!(rig.core.in_force(), Some(1));
-    // Under a later session it is elsewhere: what the first says of it is over.
-    rig.report(2, 2, &[("n1", Some(line(2, None, true)))]);
-    rig.at(1500.0);
-    assert_eq!(rig.core.in_force(), Some(2));
-    rig.hears(50, ToVoter::Submit(set("3", 3)));
-    rig.report(1, 3, &[]);
-    rig.report(2, 3, &[("n1", Some(line(2, Some(2), false)))]);
-    rig.at(2000.0);
-    assert_eq!(rig.core.in_force(), Some(2));
-    rig.report(1, 3, &[("n1", None)]);
-    rig.report(2, 3, &[("n1", None)]);
-    rig.at(2500.0);
-    assert_eq!(rig.core.in_force(), Some(3));
+fn a_lost_node_counts_until_it_is_with_another_distributor_or_gone() {
+    let mut harness = Harness::with_two_distributors();
+    harness.receive(50, ToVoter::Submit(change_set("2", 2)));
+    harness.report(2, 2, &[]);
+    harness.report(1, 2, &[("n1", Some(node_status(1, Some(1), false)))]);
+    harness.advance_to(1000.0);
+    assert_eq!(harness.core.in_force(), Some(1));
+    // Its later session is with the other distributor, which supersedes the first one's report.
+    harness.report(2, 2, &[("n1", Some(node_status(2, None, true)))]);
+    harness.advance_to(1500.0);
+    assert_eq!(harness.core.in_force(), Some(2));
+    harness.receive(50, ToVoter::Submit(change_set("3", 3)));
+    harness.report(1, 3, &[]);
+    harness.report(2, 3, &[("n1", Some(node_status(2, Some(2), false)))]);
+    harness.advance_to(2000.0);
+    assert_eq!(harness.core.in_force(), Some(2));
+    harness.report(1, 3, &[("n1", None)]);
+    harness.report(2, 3, &[("n1", None)]);
+    harness.advance_to(2500.0);
+    assert_eq!(harness.core.in_force(), Some(3));
 }
 
 #[test]
-fn the_nodes_of_a_distributor_that_ended_count_until_they_are_elsewhere() {
-    let mut rig = Rig::two();
-    rig.core.link_closed(1);
-    rig.core.distributor_ended(&process("d1", 1), 600.0);
-    rig.hears(50, ToVoter::Submit(set("2", 2)));
-    rig.report(2, 2, &[]);
-    rig.at(1100.0);
-    assert_eq!(rig.core.in_force(), Some(1));
-    let view = rig.view();
-    assert_eq!((view.lagging[0].node.as_deref(), view.lagging[0].linked), (Some("n1"), false));
-    rig.report(2, 2, &[("n1", Some(line(2, None, true)))]);
-    rig.at(1600.0);
-    assert_eq!(rig.core.in_force(), Some(2));
-    // The log names it no more.
+fn nodes_of_an_ended_distributor_count_until_they_are_with_another_one() {
+    let mut harness = Harness::with_two_distributors();
+    harness.core.link_closed(1);
+    harness.core.distributor_ended(&distributor_id("d1", 1), 600.0);
+    harness.receive(50, ToVoter::Submit(change_set("2", 2)));
+    harness.report(2, 2, &[]);
+    harness.advance_to(1100.0);
+    assert_eq!(harness.core.in_force(), Some(1));
+    let status = harness.query_status();
+    assert_eq!((status.lagging[0].node.as_deref(), status.lagging[0].linked), (Some("n1"), false));
+    harness.report(2, 2, &[("n1", Some(node_status(2, None, true)))]);
+    harness.advance_to(1600.0);
+    assert_eq!(harness.core.in_force(), Some(2));
+    // The log no longer names the ended distributor.
     assert_eq!(
-        rig.catalog.distributors().iter().map(|process| process.name.as_str()).collect::<Vec<_>>(),
+        harness.catalog.distributors().iter().map(|process| process.name.as_str()).collect::<Vec<_>>(),
         ["d2"]
     );
 }
 
 #[test]
-fn one_that_was_cut_off_before_it_ended_is_waited_for() {
-    let mut rig = Rig::two();
+fn a_distributor_that_was_cut_off_before_it_ended_is_still_waited_for() {
+    let mut harness = Harness::with_two_distributors();
     for step in 2..20 {
-        rig.report(2, 1, &[]);
-        rig.at(500.0 * f64::from(step));
+        harness.report(2, 1, &[]);
+        harness.advance_to(500.0 * f64::from(step));
     }
-    // It may have begun to serve others since it was heard last.
-    rig.core.distributor_ended(&process("d1", 1), rig.now);
-    rig.report(2, 1, &[("n1", Some(line(2, None, true)))]);
-    rig.hears(50, ToVoter::Submit(set("2", 2)));
-    rig.report(2, 2, &[]);
-    rig.at(rig.now + 500.0);
-    assert_eq!(rig.core.in_force(), Some(1));
-    rig.at(rig.now + 61_000.0);
-    rig.report(2, 2, &[]);
-    rig.at(rig.now + 500.0);
-    assert_eq!(rig.core.in_force(), Some(2));
+    // It may have served unregistered nodes since its last report.
+    harness.core.distributor_ended(&distributor_id("d1", 1), harness.now);
+    harness.report(2, 1, &[("n1", Some(node_status(2, None, true)))]);
+    harness.receive(50, ToVoter::Submit(change_set("2", 2)));
+    harness.report(2, 2, &[]);
+    harness.advance_to(harness.now + 500.0);
+    assert_eq!(harness.core.in_force(), Some(1));
+    harness.advance_to(harness.now + 61_000.0);
+    harness.report(2, 2, &[]);
+    harness.advance_to(harness.now + 500.0);
+    assert_eq!(harness.core.in_force(), Some(2));
 }
 
 #[test]
-fn a_new_leader_knows_nothing_until_all_have_told_it_all() {
-    let mut rig = Rig::two();
-    rig.core.set_leading_term(None, 600.0);
-    rig.core.set_leading_term(Some(2), 700.0);
-    rig.at(1200.0);
-    assert_eq!(rig.core.in_force(), None);
-    rig.reports.clear();
-    rig.follow(1, process("d1", 1), Some(1));
-    rig.report(1, 1, &[("n1", Some(line(1, None, true)))]);
-    rig.at(1700.0);
-    assert_eq!(rig.core.in_force(), None);
-    // A part of what a former leader was told is no use to this one.
-    rig.follow(2, process("d2", 1), Some(1));
-    rig.hears(
+fn a_new_leader_needs_full_reports_of_all_distributors() {
+    let mut harness = Harness::with_two_distributors();
+    harness.core.set_leading_term(None, 600.0);
+    harness.core.set_leading_term(Some(2), 700.0);
+    harness.advance_to(1200.0);
+    assert_eq!(harness.core.in_force(), None);
+    harness.reports.clear();
+    harness.follow(1, distributor_id("d1", 1), Some(1));
+    harness.report(1, 1, &[("n1", Some(node_status(1, None, true)))]);
+    harness.advance_to(1700.0);
+    assert_eq!(harness.core.in_force(), None);
+    // A report based on one to a former leader is not enough.
+    harness.follow(2, distributor_id("d2", 1), Some(1));
+    harness.receive(
         2,
         ToVoter::Report(Report {
             number: 9,
@@ -255,8 +274,8 @@
             nodes: BTreeMap::new(),
         }),
     );
-    assert_eq!(rig.last(2), Some(&FromVoter::FullReportNeeded));
-    rig.report(2, 1, &[("n2", Some(line(1, None, true)))]);
-    rig.at(2200.0);
-    assert_eq!(rig.core.in_force(), Some(1));
+    assert_eq!(harness.last_message(2), Some(&FromVoter::FullReportNeeded));
+    harness.report(2, 1, &[("n2", Some(node_status(1, None, true)))]);
+    harness.advance_to(2200.0);
+    assert_eq!(harness.core.in_force(), Some(1));
 }
--- a/crates/pearfront-distribute/tests/wire.rs
+++ b/crates/pearfront-distribute/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Messages come back whole or not at all, and in pieces as they were.
+//! Encoding, bounds and framing of messages.
 
 use pearfront_distribute::{
     FrameAssembler, ProcessId, ToDistributor, ToSubscriber, decode, encode, split_frames,
@@ -17,19 +17,19 @@
 }
 
 #[test]
-fn a_message_comes_back_whole_or_not_at_all() {
+fn a_corrupt_or_truncated_message_is_not_decoded() {
     let bytes = encode(&subscribe());
     assert_eq!(decode(&bytes), Some(subscribe()));
-    for place in 0..bytes.len() {
+    for index in 0..bytes.len() {
         let mut spoilt = bytes.clone();
-        spoilt[place] ^= 1;
+        spoilt[index] ^= 1;
         assert_eq!(decode::<ToDistributor>(&spoilt), None);
-        assert_eq!(decode::<ToDistributor>(&bytes[..place]), None);
+        assert_eq!(decode::<ToDistributor>(&bytes[..index]), None);
     }
 }
 
 #[test]
-fn what_is_out_of_bounds_is_not_taken() {
+fn messages_out_of_bounds_are_not_decoded() {
     let ToDistributor::Subscribe { installation, process, session, held, new_services, .. } = subscribe()
     else {
         panic!()
@@ -44,10 +44,10 @@
 }
 
 #[test]
-fn a_message_in_pieces_is_put_together_again() {
+fn a_message_split_into_frames_is_reassembled() {
     let mut lane = FrameAssembler::default();
     for length in [0_usize, 1, 16 * 1024, 16 * 1024 + 1, 100_000] {
-        let message: Vec<u8> = (0..length).map(|place| place as u8).collect();
+        let message: Vec<u8> = (0..length).map(|index| index as u8).collect();
         let frames = split_frames(&message);
         assert_eq!(frames.len(), length.div_ceil(16 * 1024).max(1));
         let (last, first) = frames.split_last().unwrap();
