--- a/crates/pearfront-node/src/dispatcher.rs
+++ b/crates/pearfront-node/src/dispatcher.rs
@@ -3,22 +3,22 @@
 
 use crate::answer_sender::AnswerSender;
 use crate::capacity::RequestReservation;
-use crate::clock::{Clock, NEVER};
+use crate::clock::{Clock, NEVER_MS};
+use crate::connection_pool::{Attempt, ConnectionEnd, ConnectionPool};
 use crate::counters::Counters;
 use crate::deadline::{self, Deadline};
 use crate::discovery::{self, Discovery, ServerLocation};
 use crate::guard::Guard;
 use crate::handover::Peers;
-use crate::logger::Limited;
+use crate::logger::InfoLimiter;
 use crate::message::{Answer, ClientRequest};
 use crate::probe::Prober;
-use crate::send::{Attempt, ConnectionEnd, Senders};
+use crate::runtime_settings::SharedSettings;
 use crate::streaming::BodyError;
-use crate::terms::InForce;
 use crate::tracked_stream::TrackedStream;
 use http_body_util::Either;
 use hyper::header::HeaderValue;
-use pearfront::interface::{Address, Profile, Writer};
+use pearfront::interface::{Address, DecisionWriter, Profile};
 use pearfront::policy::Balancer;
 use std::borrow::Cow;
 use std::cell::{Cell, RefCell};
@@ -114,7 +114,7 @@
     }
 
     pub fn profile(&self) -> &Profile {
-        &self.job.terms.settings.profiles[self.job.profile]
+        &self.job.settings.policy_settings.profiles[self.job.profile]
     }
 
     /// Has its client ended its connection?
@@ -158,7 +158,7 @@
 pub struct Dispatcher {
     pub clock: Clock,
     pub inbox: Rc<EventQueue>,
-    senders: Rc<Senders>,
+    pool: Rc<ConnectionPool>,
     discovery: Rc<Discovery>,
     pub guard: Rc<Guard>,
     prober: Rc<Prober>,
@@ -167,17 +167,17 @@
     /// The other processes of this node, and the ids of the jobs held here and there.
     peers: Rc<Peers>,
     numbered: Cell<u32>,
-    refused: Limited,
-    repeated: Limited,
-    unsent: Limited,
-    broken: Rc<Limited>,
+    refused: InfoLimiter,
+    repeated: InfoLimiter,
+    unsent: InfoLimiter,
+    broken: Rc<InfoLimiter>,
 }
 
 impl Dispatcher {
     pub fn new(
         clock: Clock,
         inbox: Rc<EventQueue>,
-        senders: Rc<Senders>,
+        pool: Rc<ConnectionPool>,
         discovery: Rc<Discovery>,
         prober: Rc<Prober>,
         book: Rc<Counters>,
@@ -185,12 +185,12 @@
     ) -> Rc<Self> {
         let guard = prober.guard.clone();
         let (held, numbered) = (RefCell::default(), Cell::new(0));
-        let limited = || Limited::new(TOLD_IN_LOG);
+        let limited = || InfoLimiter::new(TOLD_IN_LOG);
         let (refused, repeated, unsent) = (limited(), limited(), limited());
         Rc::new(Self {
             clock,
             inbox,
-            senders,
+            pool,
             discovery,
             guard,
             prober,
@@ -207,7 +207,7 @@
 
     /// Is another job with its id open, whoever sent that, here or in another process of this node?
     pub fn has_open(&self, job: &ClientRequest) -> bool {
-        self.peers.has_open(&text(job.id()))
+        self.peers.has_open_request(&text(job.id()))
     }
 
     /// Takes a job on; its answer comes through the receiver, whatever happens. Where the body is still coming the module
@@ -222,7 +222,7 @@
         let (relay, answer) = AnswerSender::new(self.book.clone());
         let number = self.numbered.get();
         self.numbered.set(number.wrapping_add(1));
-        let (terms, profile, customer) = (job.terms.clone(), job.profile, job.customer);
+        let (settings, profile, customer) = (job.settings.clone(), job.profile, job.customer);
         let limit = if job.flows() { f64::INFINITY } else { deadline.at() };
         let held = Rc::new(OpenRequest {
             number,
@@ -235,27 +235,28 @@
             out: Cell::new(0),
             _share: share,
         });
-        self.peers.open(text(held.job.id()).into());
+        self.peers.request_opened(text(held.job.id()).into());
         self.held.borrow_mut().insert(number, held.clone());
         self.book.taken.add();
-        self.inbox
-            .push(move |balancer| balancer.job_under(&terms.settings, number, profile, customer, limit));
+        self.inbox.push(move |balancer| {
+            balancer.request_received_under(&settings.policy_settings, number, profile, customer, limit)
+        });
         (held, answer)
     }
 
     /// When the answer is due to the request that was handed out last on this connection, and whose client waits so long.
     pub fn deadline(&self, time: f64, caller: &Rc<TrackedStream>) -> Deadline {
-        Deadline::new(self.clock, self.discovery.pulse(), time, caller)
+        Deadline::new(self.clock, self.discovery.stall_monitor(), time, caller)
     }
 
     /// Since when the process stood still, ms, if it has just done so and not caught up with what came meanwhile.
     pub fn stopped_since(&self) -> Option<f64> {
-        self.discovery.pulse().stopped_at(self.clock.now())
+        self.discovery.stall_monitor().stall_began(self.clock.now())
     }
 
     /// Waits until an answer that is on its way to this client has to end, as one behind it is due.
     pub async fn one_behind_is_due(&self, client: &Rc<TrackedStream>) {
-        deadline::one_behind_is_due(self.clock, &self.discovery.pulse(), client).await;
+        deadline::one_behind_is_due(self.clock, &self.discovery.stall_monitor(), client).await;
     }
 
     /// The last byte of a job has come: its times count from now on.
@@ -264,7 +265,7 @@
         held.deadline.whole();
         let limit = held.deadline.at();
         held.whole.notify_waiters();
-        self.inbox.push(move |balancer| balancer.body_came(number, limit));
+        self.inbox.push(move |balancer| balancer.body_received(number, limit));
     }
 
     /// The job's caller is gone, if it had no answer yet.
@@ -325,7 +326,7 @@
     fn forget(&self, held: &OpenRequest) {
         if held.out.get() == 0 && !held.relay.is_open() {
             self.held.borrow_mut().remove(&held.number);
-            self.peers.over(&text(held.job.id()));
+            self.peers.request_closed(&text(held.job.id()));
         }
     }
 
@@ -333,14 +334,14 @@
         let Some(held) = self.held.borrow().get(&number).cloned() else { return };
         let called_off = Rc::new(Notify::new());
         let place = held.attempts.borrow().len();
-        let to = discovery::address(server);
+        let to = discovery::decode_address(server);
         if place > 0 {
             let line = || format!("request {} sent again, to {to}: {}", text(held.job.id()), held.history());
             self.repeated.info(line);
         }
         held.attempts.borrow_mut().push(Sent {
             server: to,
-            place: self.discovery.place_of(to),
+            place: self.discovery.location_of(to),
             written: None,
             called_off: called_off.clone(),
             end: None,
@@ -350,18 +351,18 @@
         let route = self.clone();
         spawn_local(async move {
             let started = route.clock.now();
-            let until = route.clock.at(started + limit);
+            let until = route.clock.instant_at(started + limit);
             let permit = || {
-                let permit = route.guard.attempt(&held, place, to)?;
+                let permit = route.guard.permit_attempt(&held, place, to)?;
                 // From its first byte on it can't be sent again.
                 if held.job.flows() {
-                    route.inbox.push(move |balancer| balancer.spent(number));
+                    route.inbox.push(move |balancer| balancer.body_not_replayable(number));
                 }
                 Some(permit)
             };
             let over = route.over(&held, until);
             let (closed, called_off) = (held.relay.closed(), called_off.notified());
-            let attempt = route.senders.attempt(to, &held.job, over, closed, permit, called_off).await;
+            let attempt = route.pool.attempt(to, &held.job, over, closed, permit, called_off).await;
             if attempt.end == ConnectionEnd::CallerGone {
                 route.left(&held);
             }
@@ -381,7 +382,7 @@
             }
         }
         // Its last byte may have come between the choice of the attempt and its beginning, so nothing rings here for it.
-        sleep_until(until.min(self.clock.at(held.deadline.at()))).await;
+        sleep_until(until.min(self.clock.instant_at(held.deadline.at()))).await;
     }
 
     fn attempt_ended(
@@ -398,7 +399,7 @@
         }
         if matches!(attempt.end, ConnectionEnd::NotSent | ConnectionEnd::CallerGone | ConnectionEnd::Withheld)
         {
-            let to = discovery::address(server);
+            let to = discovery::decode_address(server);
             let line = || format!("request {} not sent to {to}: {:?}", text(held.job.id()), attempt.end);
             self.unsent.info(line);
         }
@@ -410,7 +411,7 @@
             if let Either::Right(flow) = &mut reply.body {
                 self.book.flows.add();
                 flow.keep(held.clone());
-                flow.due(self.clock.at(held.deadline.at()));
+                flow.due(self.clock.instant_at(held.deadline.at()));
                 flow.at_break(self.note_of_break(held));
             }
             held.relay.give(Answer::Served(Box::new(reply)));
@@ -446,16 +447,16 @@
     }
 
     /// Rounds, as long as the node runs: one once something came in or a wake is due, no two closer than `round`.
-    pub async fn run_rounds(self: Rc<Self>, mut balancer: Balancer, terms: Rc<InForce>) {
-        let mut wake = NEVER;
+    pub async fn run_rounds(self: Rc<Self>, mut balancer: Balancer, settings: Rc<SharedSettings>) {
+        let mut wake = NEVER_MS;
         loop {
             tokio::select! {
                 () = self.inbox.bell.notified() => {}
-                () = sleep_until(self.clock.at(wake)) => {}
+                () = sleep_until(self.clock.instant_at(wake)) => {}
             }
             let now = self.clock.now();
             if wake <= now {
-                wake = NEVER;
+                wake = NEVER_MS;
             }
             let words = self.inbox.words.take();
             let feed = |balancer: &mut Balancer| {
@@ -466,7 +467,7 @@
             let Ok(()) = balancer.round(now, feed, &mut decisions);
             wake = decisions.wake;
             self.book.rounds.add();
-            sleep_until(self.clock.at(now + terms.now().settings.round)).await;
+            sleep_until(self.clock.instant_at(now + settings.current().policy_settings.round_interval)).await;
         }
     }
 }
@@ -478,12 +479,12 @@
     wake: f64,
 }
 
-impl Writer for Decisions<'_> {
+impl DecisionWriter for Decisions<'_> {
     fn attempt(&mut self, job: u32, server: Address, limit: f64) {
         self.route.attempt(job, server, limit);
     }
 
-    fn call_off(&mut self, job: u32, attempt: u16) {
+    fn cancel(&mut self, job: u32, attempt: u16) {
         if let Some(held) = self.route.held.borrow().get(&job)
             && let Some(sent) = held.attempts.borrow().get(usize::from(attempt))
         {
@@ -500,15 +501,15 @@
     }
 
     fn probe(&mut self, server: Address) {
-        spawn_local(self.route.prober.clone().probe(server, discovery::address(server)));
+        spawn_local(self.route.prober.clone().probe(server, discovery::decode_address(server)));
     }
 
-    fn wake(&mut self, delay: f64) {
+    fn wake_after(&mut self, delay: f64) {
         self.wake = self.wake.min(self.now + delay + ROUNDING);
     }
 
-    fn watch(&mut self) {
-        self.route.discovery.watch();
+    fn watch_list(&mut self) {
+        self.route.discovery.start_watch();
     }
 
     fn log(&mut self, line: &str) {
