--- a/crates/pearfront-cli/src/check.rs
+++ b/crates/pearfront-cli/src/check.rs
@@ -1,10 +1,10 @@
-//! `pearfront check`: is a scenario file right?
+//! `pearfront check`: validates a scenario file.
 
-use crate::Trouble;
+use crate::CommandError;
 use pearfront_emulator::scenario::Scenario;
 use std::path::{Path, PathBuf};
 
-/// Check a scenario file; the first mistake is told with its key and line.
+/// Validate a scenario file; the first mistake is reported with its key and line.
 #[derive(clap::Args)]
 pub struct Check {
     /// The scenario file.
@@ -12,7 +12,7 @@
 }
 
 impl Check {
-    pub fn run(self) -> Result<(), Trouble> {
+    pub fn run(self) -> Result<(), CommandError> {
         let scenario = read(&self.file)?;
         let servers: usize = scenario.tiers.iter().map(|tier| tier.servers).sum();
         println!(
@@ -32,8 +32,9 @@
     }
 }
 
-pub fn read(file: &Path) -> Result<Scenario, Trouble> {
+/// Reads and validates a scenario file.
+pub fn read(file: &Path) -> Result<Scenario, CommandError> {
     let text = std::fs::read_to_string(file);
-    let text = text.map_err(|error| Trouble::Input(format!("{}: {error}", file.display())))?;
-    Scenario::parse(&text).map_err(|mistake| Trouble::Input(format!("{}: {mistake}", file.display())))
+    let text = text.map_err(|error| CommandError::InvalidInput(format!("{}: {error}", file.display())))?;
+    Scenario::parse(&text).map_err(|error| CommandError::InvalidInput(format!("{}: {error}", file.display())))
 }
--- a/crates/pearfront-cli/src/compare.rs
+++ b/crates/pearfront-cli/src/compare.rs
@@ -1,23 +1,25 @@
-//! `pearfront compare`: two sets of plays side by side.
+//! `pearfront compare`: the results of two sets of rehearsals side by side.
 
-use crate::{Trouble, results};
+use crate::{CommandError, results};
 use pearfront_emulator::report;
 use std::path::PathBuf;
 
-/// Put two folders of results side by side and say what is within noise. Several seeds each are needed for that
+/// Compare the results in two folders and show which differences are within noise. That needs several seeds in each
 /// (`rehearse --seeds 5`).
 #[derive(clap::Args)]
 pub struct Compare {
+    /// Folder of the first results.
     one: PathBuf,
+    /// Folder of the results to compare with them.
     other: PathBuf,
 }
 
 impl Compare {
-    pub fn run(self) -> Result<(), Trouble> {
+    pub fn run(self) -> Result<(), CommandError> {
         let (one, other) = (results::read(&self.one)?, results::read(&self.other)?);
-        let compared = report::compare(&one, &other).map_err(Trouble::Input)?;
+        let rows = report::compare(&one, &other).map_err(CommandError::InvalidInput)?;
         println!("{:16} {:>10} {:>10} {:>10} {:>10}", "figure", "one", "other", "change", "noise");
-        for row in &compared {
+        for row in &rows {
             println!(
                 "{:16} {:10.3} {:10.3} {:+10.3} {:10.3}  {}",
                 row.figure,
@@ -28,9 +30,9 @@
                 row.says()
             );
         }
-        for (name, set) in [("one", &one), ("other", &other)] {
-            let broken = set.iter().filter(|outcome| !outcome.verdict.broken.is_empty()).count();
-            println!("{name}: {} plays, {broken} with a rule broken", set.len());
+        for (name, outcomes) in [("one", &one), ("other", &other)] {
+            let broken = outcomes.iter().filter(|outcome| !outcome.verdict.broken.is_empty()).count();
+            println!("{name}: {} plays, {broken} with a rule broken", outcomes.len());
         }
         Ok(())
     }
--- a/crates/pearfront-cli/src/duties/tests.rs
+++ b/crates/pearfront-cli/src/duties/tests.rs
@@ -2,13 +2,13 @@
 use serde_json::json;
 
 #[test]
-fn duties_are_shown_with_who_has_and_who_wants_them() {
-    let view = json!({"name": "n1", "voters": ["n0", "n1", "n2"], "leader": "n0", "trouble": "a sync failed",
+fn duties_are_listed_with_holders_and_candidates() {
+    let status = json!({"name": "n1", "voters": ["n0", "n1", "n2"], "leader": "n0", "trouble": "a sync failed",
         "voter": null, "foreign": 2, "holds": [], "duties": [
             {"duty": "export", "holders": [{"name": "n3", "token": 7, "left_ms": 8100.0}],
              "candidates": ["n3", "n4"], "ran_ms_ago": 61_000.0, "ran_by": "n4"},
             {"duty": "sweep", "holders": [], "candidates": [], "ran_ms_ago": null, "ran_by": null}]});
-    let shown = table(&view);
+    let shown = table(&status);
     let cells = |line: &str| {
         let cells = line.split("  ").map(str::trim).filter(|cell| !cell.is_empty());
         cells.map(str::to_string).collect::<Vec<_>>()
--- a/crates/pearfront-cli/src/duty.rs
+++ b/crates/pearfront-cli/src/duty.rs
@@ -1,7 +1,7 @@
-//! `pearfront duty`: runs a command while its node holds a duty for it, and ends the command before the lease can be
-//! another's, whatever becomes of the node, the way to it or the command.
+//! `pearfront duty`: runs a command while a node holds a duty for it, for work that must run in one place at a time. The command
+//! is ended before the lease can go to another holder, even if the node, the connection to it or this process fails.
 
-use crate::{Trouble, runtime};
+use crate::{CommandError, runtime};
 use pearfront_emulator::operators;
 use rustix::process::{Pid, Signal, getpgrp, getppid, kill_process_group};
 use rustix::time::{ClockId, clock_gettime};
@@ -10,68 +10,74 @@
 use std::os::unix::process::ExitStatusExt;
 use std::process::ExitStatus;
 use std::time::Duration;
-use tokio::process::{Child as Running, Command};
-use tokio::signal::unix::{Signal as Told, SignalKind, signal};
+use tokio::process::{Child, Command};
+use tokio::signal::unix::{Signal as SignalStream, SignalKind, signal};
 use tokio::time::sleep;
 
-/// Exit codes; all below are the command's own.
-const HELD: u8 = 120;
-const RAN: u8 = 121;
-const NOBODY: u8 = 122;
-const ENDED: u8 = 123;
-const NOT_STARTED: u8 = 124;
-const NOT_KNOWN: u8 = 125;
-
-/// Longest wait for an answer of the node, ms, and for a leader where nobody is known to hold the duty.
-const ANSWER: f64 = 1500.0;
-const LEADER: f64 = 10_000.0;
-/// Time between two calls while the command runs, ms; a quarter of what is left, if that is less.
-const CALL: f64 = 1000.0;
-/// Time between two looks at the clock and the command, ms.
-const LOOK: f64 = 20.0;
-/// The command is killed so long before its lease is over, ms: until the last of it is gone.
-const MARGIN: f64 = 250.0;
-/// What of the time that the node gives is counted on: clocks of two machines run unevenly.
-const SHARE: f64 = 0.95;
-/// Longest that the log may take to know that the command has ended, ms.
-const KNOWN: f64 = 10_000.0;
-/// Pid of the one that has to live, for the one that guards the command.
-const PARENT: &str = "PEARFRONT_DUTY_PARENT";
-
-/// Hold a duty while a command runs. Exit codes: the command's own below 120; 120 another holds the duty; 121 it ran well
-/// within --once-per; 122 no node or no leader answers; 123 the command was ended because the duty was lost or is to be
-/// left; 124 it could not be started; 125 it ended, and the log may not know that.
+/// Exit code: another process holds the duty. Codes below 120 are the command's own.
+const EXIT_HELD: u8 = 120;
+/// Exit code: the command ran successfully within `--once-per`.
+const EXIT_RAN: u8 = 121;
+/// Exit code: no node or no leader answers.
+const EXIT_NO_ANSWER: u8 = 122;
+/// Exit code: the command was ended before it was done.
+const EXIT_ENDED: u8 = 123;
+/// Exit code: the command could not be started.
+const EXIT_NOT_STARTED: u8 = 124;
+/// Exit code: the command ended, but that may not be in the log.
+const EXIT_NOT_RECORDED: u8 = 125;
+
+/// Time-out of a call to the node.
+const ANSWER_TIMEOUT_MS: f64 = 1500.0;
+/// Longest wait for a leader while no holder of the duty is known.
+const LEADER_WAIT_MS: f64 = 10_000.0;
+/// Interval of lease renewals while the command runs; a quarter of the remaining lease, if that is less.
+const RENEWAL_INTERVAL_MS: f64 = 1000.0;
+/// Interval at which the clock and the command are checked.
+const POLL_INTERVAL_MS: f64 = 20.0;
+/// The command is killed this long before its lease expires, so that all its processes are gone by then.
+const KILL_MARGIN_MS: f64 = 250.0;
+/// Share of the lease time given by the node that is used: clocks of two machines run at different rates.
+const USABLE_SHARE: f64 = 0.95;
+/// Longest wait until the log has recorded that the duty was given up.
+const RECORDED_TIMEOUT_MS: f64 = 10_000.0;
+/// Variable with the pid of the process that holds the duty, for the process that guards the command.
+const PARENT_VARIABLE: &str = "PEARFRONT_DUTY_PARENT";
+
+/// Run a command while holding a duty. Exit codes: below 120 the command's own; 120 another process holds the duty; 121 the
+/// command ran successfully within --once-per; 122 no node or no leader answers; 123 the command was ended because the duty
+/// was lost or has to be given up; 124 it could not be started; 125 it ended, but that may not be recorded in the log.
 #[derive(clap::Args)]
 pub struct Duty {
-    /// The duty's name.
+    /// Name of the duty.
     name: String,
-    /// A process's `admin` address.
+    /// The `admin` address of a process.
     #[arg(long)]
     node: SocketAddr,
     /// Wait until the duty is free.
     #[arg(long)]
     wait: bool,
-    /// Not if it ended well within this time, whichever node had it: 30s, 15m, 24h.
-    #[arg(long, value_parser = span)]
+    /// Don't run if the command succeeded within this time at any node: 30s, 15m, 24h.
+    #[arg(long, value_parser = parse_duration_ms)]
     once_per: Option<f64>,
-    /// Time between TERM and KILL where the command has to end; a third of the lease at most.
-    #[arg(long, value_parser = span, default_value = "3s")]
+    /// Time between TERM and KILL when the command has to end; at most a third of the lease.
+    #[arg(long, value_parser = parse_duration_ms, default_value = "3s")]
     grace: f64,
-    /// The command, and what it is given. It finds PEARFRONT_DUTY, PEARFRONT_TOKEN and PEARFRONT_LEFT_MS in its
-    /// environment; whoever it acts on has to refuse a smaller token than it has seen.
+    /// The command and its arguments. Its environment contains PEARFRONT_DUTY, PEARFRONT_TOKEN and PEARFRONT_LEFT_MS; whatever
+    /// the command changes should reject a token lower than the highest it has seen.
     #[arg(last = true, required = true)]
     command: Vec<String>,
 }
 
-/// What stands between the command and the one that holds the duty, and ends with that one.
+/// The process between the one that holds the duty and the command; it ends the command if the former dies.
 #[derive(clap::Args)]
-pub struct Child {
+pub struct DutyChild {
     #[arg(last = true, required = true)]
     command: Vec<String>,
 }
 
-/// A time with its unit, in ms.
-fn span(text: &str) -> Result<f64, String> {
+/// Parses a duration with its unit.
+fn parse_duration_ms(text: &str) -> Result<f64, String> {
     let digits = text.trim_end_matches(|letter: char| letter.is_ascii_alphabetic());
     let unit = match &text[digits.len()..] {
         "ms" => 1.0,
@@ -79,84 +85,87 @@
         "m" => 60e3,
         "h" => 3600e3,
         "d" => 86_400e3,
-        _ => return Err("needs ms, s, m, h or d behind it".into()),
+        _ => return Err("needs one of the units ms, s, m, h, d".into()),
     };
-    let number: f64 = digits.parse().map_err(|_| format!("{digits:?} is no number"))?;
-    if number.is_finite() && number >= 0.0 { Ok(number * unit) } else { Err("is no time".into()) }
+    let number: f64 = digits.parse().map_err(|_| format!("{digits:?} is not a number"))?;
+    if number.is_finite() && number >= 0.0 { Ok(number * unit) } else { Err("is not a duration".into()) }
 }
 
-/// Time that goes on while the machine sleeps, ms.
+/// Monotonic time that includes suspend, ms: a lease runs out while the machine sleeps.
 fn now() -> f64 {
     let time = clock_gettime(ClockId::Boottime);
     time.tv_sec as f64 * 1e3 + time.tv_nsec as f64 / 1e6
 }
 
-async fn pause(ms: f64) {
+async fn sleep_ms(ms: f64) {
     sleep(Duration::from_secs_f64(ms.max(0.0) / 1e3)).await;
 }
 
 #[derive(Debug, Clone, Deserialize)]
-struct Taken {
+struct Holder {
     name: String,
     token: u64,
 }
 
+/// The duty as this client holds it: its token, what is left of the lease, and whether it has to be given up.
 #[derive(Debug, Clone, Deserialize)]
-struct Held {
+struct HeldDuty {
     token: u64,
     left_ms: f64,
     leave: bool,
 }
 
+/// A node's answer to `hold`.
 #[derive(Debug, Clone, Deserialize)]
-struct Stands {
-    held: Option<Held>,
-    holders: Vec<Taken>,
+struct DutyStatus {
+    held: Option<HeldDuty>,
+    holders: Vec<Holder>,
     ran_ms_ago: Option<f64>,
     leader: Option<String>,
 }
 
 #[derive(Debug, Deserialize)]
-struct Listed {
+struct ListedDuty {
     duty: String,
-    holders: Vec<Taken>,
+    holders: Vec<Holder>,
 }
 
+/// The part of `/_duties` that is used here; `duties` is none if no leader answered.
 #[derive(Debug, Deserialize)]
-struct Listing {
-    duties: Option<Vec<Listed>>,
+struct DutyList {
+    duties: Option<Vec<ListedDuty>>,
 }
 
-impl Child {
-    /// Starts the command in its own group, and ends the group with whoever holds the duty: one that is killed can't, and
-    /// what the command has forked would go on.
-    pub fn run(self) -> Result<(), Trouble> {
-        let parent = std::env::var(PARENT).ok().and_then(|text| text.parse::<i32>().ok());
+impl DutyChild {
+    /// Starts the command in this process's group, and kills the group once the process that holds the duty has died: that one
+    /// can't do it if it was killed itself, and the command's children would continue.
+    pub fn run(self) -> Result<(), CommandError> {
+        let parent = std::env::var(PARENT_VARIABLE).ok().and_then(|text| text.parse::<i32>().ok());
         runtime()?.block_on(self.guard(parent))
     }
 
-    async fn guard(self, parent: Option<i32>) -> Result<(), Trouble> {
-        let undone = |what: String| Trouble::Code(NOT_STARTED, what);
-        // TERM is for the command, which shares the group.
-        let _term = signal(SignalKind::terminate()).map_err(|error| undone(error.to_string()))?;
+    async fn guard(self, parent: Option<i32>) -> Result<(), CommandError> {
+        let not_started = |message: String| CommandError::ExitCode(EXIT_NOT_STARTED, message);
+        // TERM is meant for the command, which is in the same group; catching it keeps this process alive.
+        let _term = signal(SignalKind::terminate()).map_err(|error| not_started(error.to_string()))?;
         let mut command = Command::new(&self.command[0]);
-        command.args(&self.command[1..]).env_remove(PARENT).kill_on_drop(true);
-        let held = || parent.is_some() && getppid().map(Pid::as_raw_pid) == parent;
-        if !held() {
-            return Err(undone("whoever holds the duty is gone".into()));
+        command.args(&self.command[1..]).env_remove(PARENT_VARIABLE).kill_on_drop(true);
+        let parent_lives = || parent.is_some() && getppid().map(Pid::as_raw_pid) == parent;
+        if !parent_lives() {
+            return Err(not_started("the process that holds the duty is gone".into()));
         }
         let command = command.spawn();
-        let mut command = command.map_err(|error| undone(format!("{}: {error}", self.command[0])))?;
+        let mut command = command.map_err(|error| not_started(format!("{}: {error}", self.command[0])))?;
         loop {
             tokio::select! {
                 status = command.wait() => {
-                    let status = status.map_err(|error| undone(error.to_string()))?;
+                    let status = status.map_err(|error| not_started(error.to_string()))?;
                     let code = status.code().or(status.signal().map(|signal| 128 + signal)).unwrap_or(1);
-                    return if code == 0 { Ok(()) } else { Err(Trouble::Code(code.clamp(1, 255) as u8, String::new())) };
+                    return if code == 0 { Ok(()) } else { Err(CommandError::ExitCode(code.clamp(1, 255) as u8, String::new())) };
                 }
-                () = pause(LOOK) => {}
+                () = sleep_ms(POLL_INTERVAL_MS) => {}
             }
-            if !held() {
+            if !parent_lives() {
                 let _ = kill_process_group(getpgrp(), Signal::KILL);
             }
         }
@@ -164,125 +173,151 @@
 }
 
 impl Duty {
-    pub fn run(self) -> Result<(), Trouble> {
+    pub fn run(self) -> Result<(), CommandError> {
         runtime()?.block_on(self.hold())
     }
 
-    async fn hold(self) -> Result<(), Trouble> {
-        let told = |kind| signal(kind).map_err(|error| Trouble::Undone(format!("signals: {error}")));
-        let mut ends = [told(SignalKind::terminate())?, told(SignalKind::interrupt())?];
-        let desk = Desk::new(&self);
-        let (token, until) = tokio::select! {
-            taken = self.take(&desk) => taken?,
-            () = told_to_end(&mut ends) => {
-                desk.give_up(false).await;
-                return Err(Trouble::Code(ENDED, "told to end before the duty was free".into()));
+    async fn hold(self) -> Result<(), CommandError> {
+        let listen = |kind| signal(kind).map_err(|error| CommandError::Failed(format!("signals: {error}")));
+        let mut end_signals = [listen(SignalKind::terminate())?, listen(SignalKind::interrupt())?];
+        let node_client = NodeClient::new(&self);
+        let (token, valid_until) = tokio::select! {
+            acquired = self.acquire(&node_client) => acquired?,
+            () = end_signal(&mut end_signals) => {
+                node_client.give_up(false).await;
+                return Err(CommandError::ExitCode(EXIT_ENDED, "interrupted before the duty was free".into()));
             }
         };
-        let mut command = match self.start(token, until) {
+        let mut command = match self.start(token, valid_until) {
             Ok(command) => command,
-            Err(problem) => {
-                desk.give_up(false).await;
-                return Err(Trouble::Code(NOT_STARTED, problem));
+            Err(message) => {
+                node_client.give_up(false).await;
+                return Err(CommandError::ExitCode(EXIT_NOT_STARTED, message));
             }
         };
         let group = command.id().and_then(|id| Pid::from_raw(id as i32));
-        let grip = Grip { token, until, most: until - now(), group, leave: None, told: None };
-        let ended = self.watch(&desk, &mut command, grip, &mut ends).await;
-        // What it left behind in its group must not go on without the duty.
+        let running = RunningCommand {
+            token,
+            valid_until,
+            longest_left_ms: valid_until - now(),
+            group,
+            end_reason: None,
+            term_sent_at: None,
+        };
+        let ended = self.watch(&node_client, &mut command, running, &mut end_signals).await;
+        // Processes that it left behind in its group must not continue without the duty.
         end_group(group, Signal::KILL);
         let (status, lost) = match ended {
             Ok(ended) => ended,
-            Err(error) => return Err(Trouble::Undone(error.to_string())),
+            Err(error) => return Err(CommandError::Failed(error.to_string())),
         };
-        let well = lost.is_none() && status.success();
-        let known = desk.over(token, well).await;
-        if let Some(why) = lost {
-            return Err(Trouble::Code(ENDED, format!("the command was ended: {why}")));
+        let success = lost.is_none() && status.success();
+        let recorded = node_client.release_and_confirm(token, success).await;
+        if let Some(reason) = lost {
+            return Err(CommandError::ExitCode(EXIT_ENDED, format!("the command was ended: {reason}")));
         }
-        if !known {
-            return Err(Trouble::Code(NOT_KNOWN, "it ended, and no leader has said that it knows".into()));
+        if !recorded {
+            return Err(CommandError::ExitCode(
+                EXIT_NOT_RECORDED,
+                "the command ended, but no leader has confirmed that it is recorded".into(),
+            ));
         }
         match status.code().map(|code| code.clamp(0, 255) as u8) {
             Some(0) => Ok(()),
-            Some(code) => Err(Trouble::Code(code, String::new())),
-            None => Err(Trouble::Code(ENDED, format!("the command died of signal {:?}", status.signal()))),
+            Some(code) => Err(CommandError::ExitCode(code, String::new())),
+            None => Err(CommandError::ExitCode(
+                EXIT_ENDED,
+                format!("the command was killed by signal {:?}", status.signal()),
+            )),
         }
     }
 
-    /// Waits until the duty is held: its token, and until when it may be acted on.
-    async fn take(&self, desk: &Desk) -> Result<(u64, f64), Trouble> {
+    /// Waits until the duty is held; returns its token, and until when the lease is valid.
+    async fn acquire(&self, node_client: &NodeClient) -> Result<(u64, f64), CommandError> {
         let since = now();
         loop {
             let before = now();
-            match desk.ask().await {
-                Ok(Stands { held: Some(held), .. }) if !held.leave => {
-                    return Ok((held.token, before + SHARE * held.left_ms));
+            match node_client.claim().await {
+                Ok(DutyStatus { held: Some(held), .. }) if !held.leave => {
+                    return Ok((held.token, before + USABLE_SHARE * held.left_ms));
+                }
+                Ok(status) => self.check_wait(node_client, &status, since).await?,
+                Err(CallError::HeldElsewhere(message)) => {
+                    return Err(CommandError::ExitCode(EXIT_HELD, message));
                 }
-                Ok(stands) => self.may_wait(desk, &stands, since).await?,
-                Err(Refusal::Now(problem)) => return Err(Trouble::Code(HELD, problem)),
-                Err(Refusal::Never(problem)) => return Err(Trouble::Input(problem)),
-                Err(Refusal::NoAnswer(problem)) => {
-                    if !self.wait && now() - since > LEADER {
-                        return Err(Trouble::Code(NOBODY, problem));
+                Err(CallError::NoSuchDuty(message)) => return Err(CommandError::InvalidInput(message)),
+                Err(CallError::NoAnswer(message)) => {
+                    if !self.wait && now() - since > LEADER_WAIT_MS {
+                        return Err(CommandError::ExitCode(EXIT_NO_ANSWER, message));
                     }
-                    pause(200.0).await;
+                    sleep_ms(200.0).await;
                 }
             }
         }
     }
 
-    async fn may_wait(&self, desk: &Desk, stands: &Stands, since: f64) -> Result<(), Trouble> {
-        let ran = stands.ran_ms_ago.zip(self.once_per).filter(|(ago, once)| ago < once);
-        let trouble = if let Some((ago, _)) = ran {
-            Trouble::Code(RAN, format!("{} ended well {:.0} s ago", self.name, ago / 1000.0))
+    /// Whether to go on waiting for the duty; otherwise gives up the claim and returns the reason.
+    async fn check_wait(
+        &self,
+        node_client: &NodeClient,
+        status: &DutyStatus,
+        since: f64,
+    ) -> Result<(), CommandError> {
+        let recent_run = status.ran_ms_ago.zip(self.once_per).filter(|(ago, once_per)| ago < once_per);
+        let error = if let Some((ago, _)) = recent_run {
+            CommandError::ExitCode(
+                EXIT_RAN,
+                format!("{} was run successfully {:.0} s ago", self.name, ago / 1000.0),
+            )
         } else if self.wait {
             return Ok(());
-        } else if let Some(holder) = stands.holders.first() {
-            Trouble::Code(HELD, format!("{} holds {} under token {}", holder.name, self.name, holder.token))
-        } else if now() - since > LEADER {
-            let leader = stands
-                .leader
-                .as_deref()
-                .map_or("no leader answers".into(), |name| format!("{name} leads and does not give it"));
-            Trouble::Code(NOBODY, leader)
+        } else if let Some(holder) = status.holders.first() {
+            CommandError::ExitCode(
+                EXIT_HELD,
+                format!("{} holds {} under token {}", holder.name, self.name, holder.token),
+            )
+        } else if now() - since > LEADER_WAIT_MS {
+            let leader = status.leader.as_deref().map_or("no leader answers".into(), |name| {
+                format!("{name} leads, but does not grant the duty")
+            });
+            CommandError::ExitCode(EXIT_NO_ANSWER, leader)
         } else {
             return Ok(());
         };
-        desk.give_up(false).await;
-        Err(trouble)
+        node_client.give_up(false).await;
+        Err(error)
     }
 
-    fn start(&self, token: u64, until: f64) -> Result<Running, String> {
-        let own = std::env::current_exe().map_err(|error| error.to_string())?;
-        let mut command = Command::new(own);
+    fn start(&self, token: u64, valid_until: f64) -> Result<Child, String> {
+        let own_program = std::env::current_exe().map_err(|error| error.to_string())?;
+        let mut command = Command::new(own_program);
         command.arg("duty-child").arg("--").args(&self.command);
         command.env("PEARFRONT_DUTY", &self.name).env("PEARFRONT_TOKEN", token.to_string());
-        command.env("PEARFRONT_LEFT_MS", format!("{:.0}", until - now()));
-        command.env(PARENT, std::process::id().to_string());
+        command.env("PEARFRONT_LEFT_MS", format!("{:.0}", valid_until - now()));
+        command.env(PARENT_VARIABLE, std::process::id().to_string());
         command.process_group(0).kill_on_drop(true);
         command.spawn().map_err(|error| format!("{}: {error}", self.command[0]))
     }
 
-    /// Until the command has ended: its status, and why it was ended if it was.
+    /// Renews the lease until the command has ended; returns its status, and the reason if it was made to end.
     async fn watch(
         &self,
-        desk: &Desk,
-        command: &mut Running,
-        mut grip: Grip,
-        ends: &mut [Told; 2],
+        node_client: &NodeClient,
+        command: &mut Child,
+        mut running: RunningCommand,
+        end_signals: &mut [SignalStream; 2],
     ) -> std::io::Result<(ExitStatus, Option<String>)> {
-        let until = grip.until;
+        let valid_until = running.valid_until;
         let renewed = std::cell::Cell::new(None);
         let renewing = async {
-            let mut left = until - now();
+            let mut left = valid_until - now();
             loop {
-                pause(CALL.min(left / 4.0)).await;
+                sleep_ms(RENEWAL_INTERVAL_MS.min(left / 4.0)).await;
                 let before = now();
-                // A call that comes to nothing changes nothing: the clock goes on.
-                if let Ok(stands) = desk.ask().await {
-                    left = stands.held.as_ref().map_or(left, |held| held.left_ms);
-                    renewed.set(Some((before, stands)));
+                // A failed call changes nothing; the lease keeps running out.
+                if let Ok(status) = node_client.claim().await {
+                    left = status.held.as_ref().map_or(left, |held| held.left_ms);
+                    renewed.set(Some((before, status)));
                 }
             }
         };
@@ -290,158 +325,165 @@
         loop {
             tokio::select! {
                 status = command.wait() => {
-                    if now() >= grip.until {
-                        grip.leave_for("its lease had run out when it ended".into());
+                    if now() >= running.valid_until {
+                        running.end_because("its lease had expired when it ended".into());
                     }
-                    return Ok((status?, grip.leave));
+                    return Ok((status?, running.end_reason));
                 }
                 () = &mut renewing => {}
-                () = told_to_end(ends) => grip.leave_for("told to end".into()),
-                () = pause(LOOK) => {}
+                () = end_signal(end_signals) => running.end_because("interrupted".into()),
+                () = sleep_ms(POLL_INTERVAL_MS) => {}
             }
-            if let Some((before, stands)) = renewed.take() {
-                grip.heard(before, &stands);
+            if let Some((before, status)) = renewed.take() {
+                running.update(before, &status);
             }
-            grip.act(self.grace);
+            running.enforce(self.grace);
         }
     }
 }
 
-/// What the command may rely on.
-struct Grip {
+/// The command while it runs, and the lease that it runs under.
+struct RunningCommand {
     token: u64,
-    until: f64,
-    /// The most that was left of its lease, ms.
-    most: f64,
+    /// Until when the lease is valid, by `now`.
+    valid_until: f64,
+    /// The longest remaining lease seen so far.
+    longest_left_ms: f64,
+    /// Process group of the command.
     group: Option<Pid>,
-    /// Why it has to end, if so.
-    leave: Option<String>,
-    /// When it was told.
-    told: Option<f64>,
+    /// Why it has to end, if it has to.
+    end_reason: Option<String>,
+    /// When TERM was sent.
+    term_sent_at: Option<f64>,
 }
 
-impl Grip {
-    fn leave_for(&mut self, why: String) {
-        self.leave.get_or_insert(why);
+impl RunningCommand {
+    fn end_because(&mut self, reason: String) {
+        self.end_reason.get_or_insert(reason);
     }
 
-    fn heard(&mut self, before: f64, stands: &Stands) {
-        match &stands.held {
+    /// Takes a node's answer to a call that was made at `before`.
+    fn update(&mut self, before: f64, status: &DutyStatus) {
+        match &status.held {
             Some(held) if held.token == self.token => {
-                self.until = self.until.max(before + SHARE * held.left_ms);
-                self.most = self.most.max(held.left_ms);
+                self.valid_until = self.valid_until.max(before + USABLE_SHARE * held.left_ms);
+                self.longest_left_ms = self.longest_left_ms.max(held.left_ms);
                 if held.leave {
-                    self.leave_for("another is to have the duty".into());
+                    self.end_because("the duty is to go to another process".into());
                 }
             }
             _ => {
-                self.until = self.until.min(now());
-                self.leave_for("the duty is held no more".into());
+                self.valid_until = self.valid_until.min(now());
+                self.end_because("the duty is no longer held".into());
             }
         }
     }
 
-    /// Tells the command to end in time, and kills it in time.
-    fn act(&mut self, grace: f64) {
+    /// Sends TERM and later KILL if the command has to end, early enough before the lease expires.
+    fn enforce(&mut self, grace: f64) {
         let at = now();
-        let kill_at = self.until - MARGIN;
-        // A lease is renewed long before its last third, if anything renews it.
-        let grace = grace.min(self.most / 3.0);
+        let kill_at = self.valid_until - KILL_MARGIN_MS;
+        // A lease that can be renewed never gets down to its last third.
+        let grace = grace.min(self.longest_left_ms / 3.0);
         if at >= kill_at - grace {
-            self.leave_for("its lease runs out, and nobody renews it".into());
+            self.end_because("its lease runs out and could not be renewed".into());
         }
-        if self.leave.is_none() {
+        if self.end_reason.is_none() {
             return;
         }
         let group = self.group;
-        let told = *self.told.get_or_insert_with(|| {
+        let term_sent_at = *self.term_sent_at.get_or_insert_with(|| {
             end_group(group, Signal::TERM);
             at
         });
-        if at >= kill_at.min(told + grace) {
+        if at >= kill_at.min(term_sent_at + grace) {
             end_group(self.group, Signal::KILL);
         }
     }
 }
 
-/// A signal to the command and all that it has started in its group.
+/// Signals the command and all processes that it has started in its group.
 fn end_group(group: Option<Pid>, signal: Signal) {
     if let Some(group) = group {
         let _ = kill_process_group(group, signal);
     }
 }
 
-async fn told_to_end([one, other]: &mut [Told; 2]) {
+async fn end_signal([one, other]: &mut [SignalStream; 2]) {
     tokio::select! {
         _ = one.recv() => {}
         _ = other.recv() => {}
     }
 }
 
-/// Why a node did not say how things stand.
-enum Refusal {
-    /// Not now: another command has it.
-    Now(String),
-    /// It has no duties, or not of that name.
-    Never(String),
+/// Why a `hold` call failed.
+enum CallError {
+    /// Another command holds the duty through this node.
+    HeldElsewhere(String),
+    /// The node has no duties, or none of that name.
+    NoSuchDuty(String),
     NoAnswer(String),
 }
 
-/// The node, as this command speaks to it.
-struct Desk {
+/// Calls to the node on behalf of this command.
+struct NodeClient {
     node: SocketAddr,
     name: String,
     client: String,
     once_per: f64,
 }
 
-impl Desk {
+impl NodeClient {
     fn new(duty: &Duty) -> Self {
-        // Told apart from any other command of this machine, and of any other at the same node.
+        // Distinguishes this command from any other that uses the same node.
         let client = format!("{:x}-{:x}", std::process::id(), now().to_bits());
         Self { node: duty.node, name: duty.name.clone(), client, once_per: duty.once_per.unwrap_or(0.0) }
     }
 
     async fn call(&self, method: &str, path: &str) -> Result<(u16, String), String> {
-        let patience = Duration::from_secs_f64(ANSWER / 1e3);
-        let answer = operators::ask(self.node, method, path, "", patience).await;
-        answer.map_err(|problem| format!("{}: {problem}", self.node))
+        let timeout = Duration::from_secs_f64(ANSWER_TIMEOUT_MS / 1e3);
+        let answer = operators::ask(self.node, method, path, "", timeout).await;
+        answer.map_err(|message| format!("{}: {message}", self.node))
     }
 
-    async fn ask(&self) -> Result<Stands, Refusal> {
+    /// Claims or renews the duty.
+    async fn claim(&self) -> Result<DutyStatus, CallError> {
         let path =
             format!("/_duties/{}/hold?client={}&once_per_ms={}", self.name, self.client, self.once_per);
         match self.call("PUT", &path).await {
             Ok((200, body)) => {
-                serde_json::from_str(&body).map_err(|error| Refusal::NoAnswer(error.to_string()))
+                serde_json::from_str(&body).map_err(|error| CallError::NoAnswer(error.to_string()))
+            }
+            Ok((409, body)) => Err(CallError::HeldElsewhere(body.trim_end().into())),
+            Ok((404, _)) => {
+                Err(CallError::NoSuchDuty(format!("{}: its configuration names no voters", self.node)))
             }
-            Ok((409, body)) => Err(Refusal::Now(body.trim_end().into())),
-            Ok((404, _)) => Err(Refusal::Never(format!("{}: its file names no voters", self.node))),
-            Ok((status, body)) => Err(Refusal::NoAnswer(format!("{status} {}", body.trim_end()))),
-            Err(problem) => Err(Refusal::NoAnswer(problem)),
+            Ok((status, body)) => Err(CallError::NoAnswer(format!("{status} {}", body.trim_end()))),
+            Err(message) => Err(CallError::NoAnswer(message)),
         }
     }
 
-    async fn give_up(&self, well: bool) -> bool {
-        let path = format!("/_duties/{}/give-up?client={}&well={well}", self.name, self.client);
+    /// Gives the duty up; `success` counts for `--once-per`.
+    async fn give_up(&self, success: bool) -> bool {
+        let path = format!("/_duties/{}/give-up?client={}&well={success}", self.name, self.client);
         matches!(self.call("PUT", &path).await, Ok((200, _)))
     }
 
-    /// Gives it up, and waits until the log has it: another node must not run what has run.
-    async fn over(&self, token: u64, well: bool) -> bool {
-        let by = now() + KNOWN;
-        let mut said = false;
-        while now() < by {
-            said = said || self.give_up(well).await;
+    /// Gives the duty up and waits until the log has recorded it, so that another node does not run the command again.
+    async fn release_and_confirm(&self, token: u64, success: bool) -> bool {
+        let deadline = now() + RECORDED_TIMEOUT_MS;
+        let mut given_up = false;
+        while now() < deadline {
+            given_up = given_up || self.give_up(success).await;
             let listed = self.call("GET", "/_duties").await.ok();
-            let listing = listed.and_then(|(_, body)| serde_json::from_str::<Listing>(&body).ok());
-            if let Some(duties) = listing.and_then(|listing| listing.duties).filter(|_| said) {
+            let listing = listed.and_then(|(_, body)| serde_json::from_str::<DutyList>(&body).ok());
+            if let Some(duties) = listing.and_then(|listing| listing.duties).filter(|_| given_up) {
                 let own = duties.iter().find(|one| one.duty == self.name);
                 if own.is_none_or(|own| own.holders.iter().all(|holder| holder.token != token)) {
                     return true;
                 }
             }
-            pause(100.0).await;
+            sleep_ms(100.0).await;
         }
         false
     }
--- a/crates/pearfront-cli/src/duty/tests.rs
+++ b/crates/pearfront-cli/src/duty/tests.rs
@@ -7,23 +7,29 @@
 #[test_case("24" => None; "no unit")]
 #[test_case("-3s" => None; "before now")]
 #[test_case("s" => None; "no number")]
-fn times_need_their_unit(text: &str) -> Option<f64> {
-    span(text).ok()
+fn durations_need_their_unit(text: &str) -> Option<f64> {
+    parse_duration_ms(text).ok()
 }
 
-fn stands(token: Option<u64>, leave: bool) -> Stands {
-    let held = token.map(|token| Held { token, left_ms: 10_000.0, leave });
-    Stands { held, holders: Vec::new(), ran_ms_ago: None, leader: None }
+fn status(token: Option<u64>, leave: bool) -> DutyStatus {
+    let held = token.map(|token| HeldDuty { token, left_ms: 10_000.0, leave });
+    DutyStatus { held, holders: Vec::new(), ran_ms_ago: None, leader: None }
 }
 
-#[test_case(stands(Some(7), false), None; "renewed")]
-#[test_case(stands(Some(7), true), Some("another is to have the duty"); "to be left")]
-#[test_case(stands(Some(8), false), Some("the duty is held no more"); "under another token it is another's work")]
-#[test_case(stands(None, false), Some("the duty is held no more"); "lost")]
-fn what_is_heard_decides_whether_it_goes_on(stands: Stands, wanted: Option<&str>) {
-    let mut grip =
-        Grip { token: 7, until: now() + 1000.0, most: 1000.0, group: None, leave: None, told: None };
-    grip.heard(now(), &stands);
-    assert_eq!(grip.leave.as_deref(), wanted);
-    assert_eq!(grip.until > now() + 5000.0, stands.held.is_some_and(|held| held.token == 7));
+#[test_case(status(Some(7), false), None; "renewed")]
+#[test_case(status(Some(7), true), Some("the duty is to go to another process"); "to be left")]
+#[test_case(status(Some(8), false), Some("the duty is no longer held"); "under another token it is another lease")]
+#[test_case(status(None, false), Some("the duty is no longer held"); "lost")]
+fn the_answer_of_the_node_decides_whether_the_command_continues(status: DutyStatus, wanted: Option<&str>) {
+    let mut running = RunningCommand {
+        token: 7,
+        valid_until: now() + 1000.0,
+        longest_left_ms: 1000.0,
+        group: None,
+        end_reason: None,
+        term_sent_at: None,
+    };
+    running.update(now(), &status);
+    assert_eq!(running.end_reason.as_deref(), wanted);
+    assert_eq!(running.valid_until > now() + 5000.0, status.held.is_some_and(|held| held.token == 7));
 }
--- a/crates/pearfront-cli/src/main.rs
+++ b/crates/pearfront-cli/src/main.rs
@@ -1,15 +1,15 @@
-//! The `pearfront` command line: one subcommand a file. Exit codes: 0 kept, 1 could not be done, 2 bad input, 3 a rule
-//! was broken.
+//! The `pearfront` command line for operators and developers, one subcommand a module. Exit codes: 0 success, 1 the command
+//! failed, 2 bad input, 3 a rule was broken.
 
-mod among;
-mod carry;
 mod check;
 mod compare;
 mod duties;
 mod duty;
-mod log_form;
+mod logging;
 mod members;
+mod move_config;
 mod plot;
+mod processes;
 mod prove;
 mod rehearse;
 mod results;
@@ -21,19 +21,19 @@
 use std::process::ExitCode;
 use tokio::runtime::{Builder, Runtime};
 
-/// Rehearse what may happen to a fleet of services, see what the nodes before it make of it, and move their files.
+/// Rehearse failures of a fleet of services, inspect running nodes, and convert their configuration files.
 #[derive(Parser)]
 #[command(
     name = "pearfront",
     version,
-    after_help = "Exit codes: 0 all rules kept, 1 it could not be done, 2 bad input, \
-    3 a rule was broken.\nEverything that a play shows is simulated: servers, callers and discovery."
+    after_help = "Exit codes: 0 success, all rules kept; 1 the command failed; 2 bad input; 3 a rule was broken.\n\
+    Everything that a rehearsal shows is simulated: servers, clients and discovery."
 )]
 struct Arguments {
-    /// How the log is written, on standard error.
-    #[arg(long, global = true, value_enum, default_value_t = log_form::Form::Text)]
-    log: log_form::Form,
-    /// What is logged: off, error, warn, info, debug or trace.
+    /// Format of the log, which goes to standard error.
+    #[arg(long, global = true, value_enum, default_value_t = logging::LogFormat::Text)]
+    log: logging::LogFormat,
+    /// Lowest level that is logged: off, error, warn, info, debug or trace.
     #[arg(long, global = true, default_value = "warn", value_name = "LEVEL")]
     log_level: log::LevelFilter,
     #[command(subcommand)]
@@ -46,44 +46,44 @@
     Rehearse(rehearse::Rehearse),
     Compare(compare::Compare),
     Plot(plot::Plot),
-    Move(carry::Move),
+    Move(move_config::Move),
     Prove(prove::Prove),
     Members(members::Members),
     Duties(duties::Duties),
     Duty(duty::Duty),
     #[command(hide = true)]
-    DutyChild(duty::Child),
+    DutyChild(duty::DutyChild),
     Store(store::Store),
     Scale(scale::Scale),
     #[command(hide = true)]
-    ScalePoint(scale::PointOf),
+    ScalePoint(scale::ScalePoint),
     Soak(soak::Soak),
     #[command(hide = true)]
-    SoakRole(soak::RoleOf),
+    SoakRole(soak::SoakRole),
 }
 
-/// Why a command did not end well.
+/// Why a command did not succeed.
 #[derive(Debug)]
-pub enum Trouble {
-    /// It could not be done: a file that can't be written, a node that does not start, a play that came too late.
-    Undone(String),
-    /// What was given is wrong.
-    Input(String),
-    /// It was done, and a rule was broken.
+pub enum CommandError {
+    /// It could not be done: a file can't be written, a node does not start, a rehearsal ran too late.
+    Failed(String),
+    /// The input is wrong.
+    InvalidInput(String),
+    /// It was done, and a rule was broken, which has been printed.
     RuleBroken,
-    /// An exit code of the command's own, and what there is to say.
-    Code(u8, String),
+    /// An exit code of the command's own, and a message, which may be empty.
+    ExitCode(u8, String),
 }
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    log_form::start(arguments.log, arguments.log_level);
-    let done = match arguments.command {
+    logging::start(arguments.log, arguments.log_level);
+    let result = match arguments.command {
         Command::Check(check) => check.run(),
         Command::Rehearse(rehearse) => rehearse.run(),
         Command::Compare(compare) => compare.run(),
         Command::Plot(plot) => plot.run(),
-        Command::Move(carry) => carry.run(),
+        Command::Move(conversion) => conversion.run(),
         Command::Prove(prove) => prove.run(),
         Command::Members(members) => members.run(),
         Command::Duties(duties) => duties.run(),
@@ -95,23 +95,23 @@
         Command::Soak(soak) => soak.run(),
         Command::SoakRole(role) => role.run(),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Trouble::Undone(what)) => told(&what, 1),
-        Err(Trouble::Input(what)) => told(&what, 2),
-        Err(Trouble::RuleBroken) => ExitCode::from(3),
-        Err(Trouble::Code(code, what)) if what.is_empty() => ExitCode::from(code),
-        Err(Trouble::Code(code, what)) => told(&what, code),
+        Err(CommandError::Failed(message)) => report_error(&message, 1),
+        Err(CommandError::InvalidInput(message)) => report_error(&message, 2),
+        Err(CommandError::RuleBroken) => ExitCode::from(3),
+        Err(CommandError::ExitCode(code, message)) if message.is_empty() => ExitCode::from(code),
+        Err(CommandError::ExitCode(code, message)) => report_error(&message, code),
     }
 }
 
-/// For what waits for programs or the network.
-pub fn runtime() -> Result<Runtime, Trouble> {
+/// The runtime of commands that wait for programs or the network.
+pub fn runtime() -> Result<Runtime, CommandError> {
     let runtime = Builder::new_current_thread().enable_all().build();
-    runtime.map_err(|error| Trouble::Undone(format!("runtime: {error}")))
+    runtime.map_err(|error| CommandError::Failed(format!("runtime: {error}")))
 }
 
-fn told(what: &str, code: u8) -> ExitCode {
-    eprintln!("pearfront: {what}");
+fn report_error(message: &str, code: u8) -> ExitCode {
+    eprintln!("pearfront: {message}");
     ExitCode::from(code)
 }
--- a/crates/pearfront-cli/src/members.rs
+++ b/crates/pearfront-cli/src/members.rs
@@ -1,123 +1,127 @@
-//! `pearfront members`: who is there, as one process sees it.
+//! `pearfront members`: the members of a cluster as one process sees them. Also the HTTP calls to a node's `admin` address and
+//! the table layout that other commands use.
 
-use crate::{Trouble, runtime};
+use crate::{CommandError, runtime};
 use pearfront_emulator::operators;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest wait for a process's answer.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// Time between two looks with `--watch`.
-const LOOK: Duration = Duration::from_secs(1);
+/// Time-out of a call to a process.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval of queries with `--watch`.
+const WATCH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Ask a process who else is there, at its address for operators.
+/// List the members of the cluster as one process sees them.
 #[derive(clap::Args)]
 pub struct Members {
-    /// The process's `admin` address.
+    /// The `admin` address of a process.
     address: SocketAddr,
-    /// As it came, in JSON.
+    /// Print the answer as it is, in JSON.
     #[arg(long)]
     json: bool,
-    /// Again every second, until it is ended.
+    /// Repeat every second until interrupted.
     #[arg(long)]
     watch: bool,
 }
 
 impl Members {
-    pub fn run(self) -> Result<(), Trouble> {
+    pub fn run(self) -> Result<(), CommandError> {
         loop {
-            let text = ask(self.address, "/_members")?;
+            let text = get(self.address, "/_members")?;
             if self.json {
                 println!("{}", text.trim_end());
             } else {
-                let view: Value = serde_json::from_str(&text)
-                    .map_err(|error| Trouble::Undone(format!("{}: no view: {error}", self.address)))?;
-                println!("{}", table(&view));
+                let status: Value = serde_json::from_str(&text).map_err(|error| {
+                    CommandError::Failed(format!("{}: invalid answer: {error}", self.address))
+                })?;
+                println!("{}", table(&status));
             }
             if !self.watch {
                 return Ok(());
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(WATCH_INTERVAL);
         }
     }
 }
 
-/// The body of an answer of an operators' address.
-pub fn ask(address: SocketAddr, path: &str) -> Result<String, Trouble> {
+/// Reads from a process's `admin` address; returns the body of the answer.
+pub fn get(address: SocketAddr, path: &str) -> Result<String, CommandError> {
     call(address, "GET", path)
 }
 
-/// The same, of a call that changes something.
-pub fn put(address: SocketAddr, path: &str) -> Result<String, Trouble> {
+/// Makes a call that changes something; returns the body of the answer.
+pub fn put(address: SocketAddr, path: &str) -> Result<String, CommandError> {
     call(address, "PUT", path)
 }
 
-fn call(address: SocketAddr, method: &str, path: &str) -> Result<String, Trouble> {
-    let told = |what: String| Trouble::Undone(format!("{address}: {what}"));
-    let answer = runtime()?.block_on(operators::ask(address, method, path, "", PATIENCE)).map_err(told)?;
+fn call(address: SocketAddr, method: &str, path: &str) -> Result<String, CommandError> {
+    let failed = |message: String| CommandError::Failed(format!("{address}: {message}"));
+    let answer =
+        runtime()?.block_on(operators::ask(address, method, path, "", ANSWER_TIMEOUT)).map_err(failed)?;
     match answer {
         (200, body) => Ok(body),
-        (404, _) => {
-            Err(told(format!("has no {path}: its file lacks the key `cluster` or what is asked for in it")))
-        }
-        (409, body) => Err(told(body.trim_end().into())),
-        (status, _) => Err(told(format!("answered {status}"))),
+        (404, _) => Err(failed(format!(
+            "has no {path}: its configuration lacks the key `cluster`, or the part of it that this needs"
+        ))),
+        (409, body) => Err(failed(body.trim_end().into())),
+        (status, _) => Err(failed(format!("answered {status}"))),
     }
 }
 
-fn table(view: &Value) -> String {
+fn table(status: &Value) -> String {
     let text = |value: &Value| value.as_str().map_or_else(|| value.to_string(), str::to_string);
     let seconds = |value: &Value| value.as_f64().map_or("-".into(), |s| format!("{s:.1} s"));
-    let sure = if view["sure"] == true { "sure" } else { "not sure: it does not act on this" };
+    let certainty = if status["sure"] == true { "sure" } else { "not sure: it does not act on this" };
     let mut lines = vec![format!(
-        "{} of {} in {}, {} under incarnation {}, {sure}; sum {}, doubt in own health {} of 8",
-        text(&view["name"]),
-        text(&view["installation"]),
-        text(&view["zone"]),
-        text(&view["state"]),
-        view["incarnation"],
-        text(&view["sum"]),
-        view["health"]
+        "{} of {} in {}, {} under incarnation {}, {certainty}; sum {}, doubt in own health {} of 8",
+        text(&status["name"]),
+        text(&status["installation"]),
+        text(&status["zone"]),
+        text(&status["state"]),
+        status["incarnation"],
+        text(&status["sum"]),
+        status["health"]
     )];
-    if let Some(by) = view["barred_by"].as_str() {
+    if let Some(by) = status["barred_by"].as_str() {
         lines.push(format!("its name is that of a process at {by}: it takes no part"));
     }
-    if !view["deaf_s"].is_null() {
-        lines.push(format!("it has heard nobody for {}", seconds(&view["deaf_s"])));
+    if !status["deaf_s"].is_null() {
+        lines.push(format!("it has heard nobody for {}", seconds(&status["deaf_s"])));
     }
-    let head = ["name", "zone", "state", "since", "incarnation", "round trip", "heard", "link", "told by"];
-    let mut rows = vec![head.map(str::to_string).to_vec()];
-    for member in view["members"].as_array().into_iter().flatten() {
-        let trip = member["round_trip_ms"].as_f64().map_or("-".into(), |ms| format!("{ms:.2} ms"));
-        let suspected: Vec<String> =
+    let headings =
+        ["name", "zone", "state", "since", "incarnation", "round trip", "heard", "link", "told by"];
+    let mut cells = vec![headings.map(str::to_string).to_vec()];
+    for member in status["members"].as_array().into_iter().flatten() {
+        let round_trip = member["round_trip_ms"].as_f64().map_or("-".into(), |ms| format!("{ms:.2} ms"));
+        let suspected_by: Vec<String> =
             member["suspected_by"].as_array().into_iter().flatten().map(text).collect();
-        let told = if suspected.is_empty() {
+        let source = if suspected_by.is_empty() {
             member["told_by"].as_str().unwrap_or("-").into()
         } else {
-            suspected.join(" ")
+            suspected_by.join(" ")
         };
-        rows.push(vec![
+        cells.push(vec![
             text(&member["name"]),
             text(&member["zone"]),
             text(&member["state"]),
             seconds(&member["since_s"]),
             member["incarnation"].to_string(),
-            trip,
+            round_trip,
             seconds(&member["heard_s"]),
             text(&member["link"]),
-            told,
+            source,
         ]);
     }
-    lines.extend(self::rows(&rows));
+    lines.extend(align_columns(&cells));
     lines.join("\n")
 }
 
-/// Rows in columns as wide as they have to be.
-pub fn rows(rows: &[Vec<String>]) -> Vec<String> {
+/// Formats rows in aligned columns.
+pub fn align_columns(rows: &[Vec<String>]) -> Vec<String> {
     let count = rows.iter().map(Vec::len).max().unwrap_or(0);
     let width =
-        |place: usize| rows.iter().filter_map(|row| row.get(place)).map(String::len).max().unwrap_or(0);
+        |column: usize| rows.iter().filter_map(|row| row.get(column)).map(String::len).max().unwrap_or(0);
     let widths: Vec<usize> = (0..count).map(width).collect();
     let line = |row: &Vec<String>| {
         let cells = row.iter().zip(&widths).map(|(cell, width)| format!("{cell:width$}"));
--- a/crates/pearfront-cli/src/members/tests.rs
+++ b/crates/pearfront-cli/src/members/tests.rs
@@ -2,12 +2,12 @@
 use serde_json::json;
 
 #[test]
-fn a_view_is_shown_with_who_suspects_whom() {
+fn members_are_listed_with_those_that_suspect_them() {
     let member = json!({"name": "n1", "zone": "b", "state": "suspect", "since_s": 1.25, "incarnation": 3,
         "round_trip_ms": 0.4, "heard_s": null, "link": "stalled", "told_by": null, "suspected_by": ["n0", "n2"]});
-    let view = json!({"name": "n0", "installation": "shop", "zone": "a", "state": "member", "incarnation": 1,
+    let status = json!({"name": "n0", "installation": "shop", "zone": "a", "state": "member", "incarnation": 1,
         "sure": false, "sum": "0a", "health": 2, "barred_by": null, "deaf_s": 3.0, "members": [member]});
-    let shown = table(&view);
+    let shown = table(&status);
     let lines: Vec<&str> = shown.lines().collect();
     assert!(lines[0].contains("not sure") && lines[1] == "it has heard nobody for 3.0 s", "{shown}");
     let cells: Vec<&str> = lines[3].split("  ").map(str::trim).filter(|cell| !cell.is_empty()).collect();
--- a/crates/pearfront-cli/src/plot.rs
+++ b/crates/pearfront-cli/src/plot.rs
@@ -1,16 +1,17 @@
-//! `pearfront plot`: the page of a result, made anew.
+//! `pearfront plot`: makes the report page of a result again.
 
-use crate::{Trouble, results};
+use crate::{CommandError, results};
 use std::path::PathBuf;
 
-/// Make the page of a folder's result anew.
+/// Make the report pages of a folder of results again from their result.json.
 #[derive(clap::Args)]
 pub struct Plot {
+    /// Folder that `rehearse --out` wrote.
     folder: PathBuf,
 }
 
 impl Plot {
-    pub fn run(self) -> Result<(), Trouble> {
+    pub fn run(self) -> Result<(), CommandError> {
         let outcomes = results::read(&self.folder)?;
         for outcome in &outcomes {
             let below = self.folder.join(format!("seed-{}", outcome.seed));
--- a/crates/pearfront-cli/src/rehearse.rs
+++ b/crates/pearfront-cli/src/rehearse.rs
@@ -1,6 +1,6 @@
-//! `pearfront rehearse`: plays a scenario and says what came of it.
+//! `pearfront rehearse`: plays a scenario and judges the result by the rules.
 
-use crate::{Trouble, among, check, results};
+use crate::{CommandError, check, processes, results};
 use indicatif::{ProgressBar, ProgressStyle};
 use pearfront_emulator::decide::Policy;
 use pearfront_emulator::judge::{Verdict, judge};
@@ -10,52 +10,53 @@
 use pearfront_emulator::sockets::{self, NodeCommand};
 use std::path::PathBuf;
 
-/// The platform's file, as seen from the root.
-const DEPLOY: &str = "deploy/balancer.toml";
+/// The deploy file, relative to the repository's root; it says how a node is started.
+const DEPLOY_FILE: &str = "deploy/balancer.toml";
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
 enum Play {
-    /// Simulated time round the decision module itself; the same seed gives the same result, byte for byte.
+    /// The decision module itself in simulated time; the same seed gives the same result, byte for byte.
     Model,
-    /// Real time: node programs on loopback addresses, between emulated servers, callers and discovery.
+    /// Node processes in real time on loopback addresses, between emulated servers, clients and discovery.
     Sockets,
-    /// Real time: several node programs of one installation, with relays between them; files in `rehearsals/cluster/`.
+    /// Several node processes of one installation in real time, with relays between them; scenarios in `rehearsals/cluster/`.
     Processes,
 }
 
-/// Play a scenario. The last line of the output is for machines: service, rules, latencies.
+/// Play a scenario. The last line of the output is machine-readable: service, rules, latencies.
 #[derive(clap::Args)]
 pub struct Rehearse {
-    /// The scenario file; `rehearsals/` has some.
+    /// The scenario file; there are some in `rehearsals/`.
     scenario: PathBuf,
+    /// What is played, and in which time.
     #[arg(long, value_enum, default_value_t = Play::Model)]
     play: Play,
-    /// Seed of all chance; the file's own if absent.
+    /// Seed of all random numbers; the scenario's own by default.
     #[arg(long)]
     seed: Option<u64>,
-    /// Play so many seeds, one after another, from the first on.
+    /// Number of consecutive seeds to play.
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..=1000))]
     seeds: u64,
-    /// Write result.json, seconds.tsv and report.html there; with several seeds into a folder each below it.
+    /// Folder for result.json, seconds.tsv and report.html; with several seeds, each gets a folder in it.
     #[arg(long, value_name = "DIR")]
     out: Option<PathBuf>,
-    /// The node program, in the sockets play; else what the deploy file's `run` says.
+    /// The node program, with sockets and processes; by default what `run` in the deploy file says.
     #[arg(long, value_name = "PROGRAM")]
     nodes: Option<PathBuf>,
-    /// Who decides, in the model play: module, random, two-choices, least-held or sees-all.
-    #[arg(long, default_value = "module", value_parser = policy)]
+    /// The policy that decides, with --play model: module, random, two-choices, least-held or sees-all.
+    #[arg(long, default_value = "module", value_parser = parse_policy)]
     policy: Policy,
 }
 
-fn policy(name: &str) -> Result<Policy, String> {
+fn parse_policy(name: &str) -> Result<Policy, String> {
     let names: Vec<&str> = Policy::ALL.iter().map(|(name, _)| *name).collect();
-    Policy::named(name).ok_or_else(|| format!("it is one of {}", names.join(", ")))
+    Policy::named(name).ok_or_else(|| format!("must be one of {}", names.join(", ")))
 }
 
 impl Rehearse {
-    pub fn run(self) -> Result<(), Trouble> {
+    pub fn run(self) -> Result<(), CommandError> {
         if self.play == Play::Processes {
-            return self.processes();
+            return self.rehearse_processes();
         }
         let scenario = check::read(&self.scenario)?;
         let first = self.seed.unwrap_or(scenario.seed);
@@ -75,8 +76,8 @@
                 println!("mean distance from the recorded curve: {distance:.3}");
             }
             if let Some(folder) = &self.out {
-                let below = folder.join(format!("seed-{seed}"));
-                results::write(if self.seeds > 1 { &below } else { folder }, &outcome)?;
+                let subfolder = folder.join(format!("seed-{seed}"));
+                results::write(if self.seeds > 1 { &subfolder } else { folder }, &outcome)?;
             }
             outcomes.push(outcome);
             let last = outcomes.len() as u64 == self.seeds;
@@ -85,40 +86,43 @@
             }
             println!("seed={seed} {line}");
             if void {
-                return Err(Trouble::Undone("the emulator itself ran late: the play is void".into()));
+                return Err(CommandError::Failed("the emulator itself ran late: the play is void".into()));
             }
         }
-        if kept { Ok(()) } else { Err(Trouble::RuleBroken) }
+        if kept { Ok(()) } else { Err(CommandError::RuleBroken) }
     }
 
-    /// Several processes of one installation: their scenarios have a form of their own.
-    fn processes(self) -> Result<(), Trouble> {
-        let scenario = among::read(&self.scenario)?;
+    /// Plays several processes of one installation, whose scenarios have a format of their own.
+    fn rehearse_processes(self) -> Result<(), CommandError> {
+        let scenario = processes::read(&self.scenario)?;
         let first = self.seed.unwrap_or(scenario.seed);
         let mut kept = true;
         for seed in first..first.saturating_add(self.seeds) {
             let out = self.out.as_ref().map(|out| out.join(format!("seed-{seed}")));
-            kept &= among::rehearse(&scenario, seed, &self.command(seed)?, out.as_deref())?;
+            kept &= processes::rehearse(&scenario, seed, &self.node_command(seed)?, out.as_deref())?;
         }
-        if kept { Ok(()) } else { Err(Trouble::RuleBroken) }
+        if kept { Ok(()) } else { Err(CommandError::RuleBroken) }
     }
 
-    /// How nodes are started, and a folder for their files: beside the results, else a fresh one that is kept.
-    fn command(&self, seed: u64) -> Result<NodeCommand, Trouble> {
+    /// How nodes are started, and the folder for their files: among the results, or a temporary one that is not removed.
+    fn node_command(&self, seed: u64) -> Result<NodeCommand, CommandError> {
         if self.policy != Policy::Module {
-            return Err(Trouble::Input("--policy: on sockets the node program decides".into()));
+            return Err(CommandError::InvalidInput(
+                "--policy: with node processes the node program decides".into(),
+            ));
         }
         let run = match &self.nodes {
             Some(program) => format!("exec '{}'", program.display()),
-            None => deployed()?,
+            None => deployed_command()?,
         };
-        let below = format!("nodes-{seed}-{}", std::process::id());
-        let folder = self.out.clone().unwrap_or_else(|| std::env::temp_dir().join("pearfront")).join(below);
+        let subfolder = format!("nodes-{seed}-{}", std::process::id());
+        let folder =
+            self.out.clone().unwrap_or_else(|| std::env::temp_dir().join("pearfront")).join(subfolder);
         Ok(NodeCommand { run, folder })
     }
 
-    fn play(&self, scenario: &Scenario, seed: u64) -> Result<Verdict, Trouble> {
-        // Drawn on a terminal only.
+    fn play(&self, scenario: &Scenario, seed: u64) -> Result<Verdict, CommandError> {
+        // The bar is drawn only on a terminal.
         let bar = ProgressBar::new(1000);
         if let Ok(style) = ProgressStyle::with_template("{bar:40} {percent} % {elapsed}") {
             bar.set_style(style);
@@ -129,11 +133,13 @@
                 let options = model::Options { seed, policy: self.policy, fault: None };
                 Ok(model::play(scenario, options, &mut progress))
             }
-            // It has a form of its own, and went its own way before this.
-            Play::Processes => Err(Trouble::Undone("processes are played by their own scenarios".into())),
+            // `run` handles it before, since its scenarios have another format.
+            Play::Processes => {
+                Err(CommandError::Failed("--play processes needs a scenario of `rehearsals/cluster/`".into()))
+            }
             Play::Sockets => {
-                let command = self.command(seed)?;
-                sockets::play(scenario, seed, &command, &mut progress).map_err(Trouble::Undone)
+                let command = self.node_command(seed)?;
+                sockets::play(scenario, seed, &command, &mut progress).map_err(CommandError::Failed)
             }
         };
         bar.finish_and_clear();
@@ -141,11 +147,15 @@
     }
 }
 
-/// What the deploy file of this folder starts a node with.
-fn deployed() -> Result<String, Trouble> {
-    let wrong = |what: String| Trouble::Input(format!("{DEPLOY}: {what}; --nodes names a program instead"));
-    let text = std::fs::read_to_string(DEPLOY).map_err(|error| wrong(error.to_string()))?;
-    let deploy: toml::Table = toml::from_str(&text).map_err(|error| wrong(error.message().to_string()))?;
+/// The command that starts a node by the deploy file of this folder.
+fn deployed_command() -> Result<String, CommandError> {
+    let invalid = |message: String| {
+        CommandError::InvalidInput(format!(
+            "{DEPLOY_FILE}: {message}; alternatively name a program with --nodes"
+        ))
+    };
+    let text = std::fs::read_to_string(DEPLOY_FILE).map_err(|error| invalid(error.to_string()))?;
+    let deploy: toml::Table = toml::from_str(&text).map_err(|error| invalid(error.message().to_string()))?;
     let run = deploy.get("run").and_then(|run| run.as_str());
-    run.map(str::to_string).ok_or_else(|| wrong("run is missing or no text".into()))
+    run.map(str::to_string).ok_or_else(|| invalid("run is missing or not a string".into()))
 }
--- a/crates/pearfront-cli/src/scale.rs
+++ b/crates/pearfront-cli/src/scale.rs
@@ -1,6 +1,6 @@
-//! `pearfront scale`: what each part costs by size, and the fleet size at which a row fails.
+//! `pearfront scale`: measures the cost of each component by size, and finds the fleet size at which it exceeds its budget.
 
-use crate::Trouble;
+use crate::CommandError;
 use pearfront_scale::measure::Measurement;
 use pearfront_scale::plan::{Plan, Series};
 use pearfront_scale::rank::Result as Outcome;
@@ -8,29 +8,29 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 
-/// Tries of a point whose rig was late.
-const TRIES: usize = 3;
+/// Attempts at a point that is void because the measurement itself ran late.
+const MAX_ATTEMPTS: usize = 3;
 
-/// Measure what each part costs at several sizes, fit slopes, and hold them against the target's budgets. Each point runs in
-/// a process of its own, one after another; processor time counts, not time.
+/// Measure the cost of each component at several sizes, fit slopes, and compare them with the budgets of the target. Each point
+/// runs in a process of its own, one after another; processor time is measured, not wall-clock time.
 #[derive(clap::Args)]
 pub struct Scale {
-    /// The plan (`rehearsals/scale/fleet.toml`).
+    /// The plan, such as `rehearsals/scale/fleet.toml`.
     plan: PathBuf,
-    /// Folder for result.json, scale.md and a plot of each row.
+    /// Folder for result.json, scale.md and a plot for each row.
     #[arg(long)]
     out: Option<PathBuf>,
-    /// Only this measurement; with `--from`, this one anew beside the others as they were.
+    /// Run only this measurement; with `--from`, run it again and take the others from the result.
     #[arg(long, value_name = "MEASUREMENT")]
     only: Option<String>,
-    /// Points of a result that was written before, held against the plan as it is now.
+    /// Take the points from an earlier result, and evaluate them against the plan as it is now.
     #[arg(long, value_name = "RESULT")]
     from: Option<PathBuf>,
 }
 
-/// One point, for `scale` itself: prints it as JSON.
+/// Measures one point and prints it as JSON; `scale` runs it as a child process.
 #[derive(clap::Args)]
-pub struct PointOf {
+pub struct ScalePoint {
     measure: String,
     size: usize,
     seconds: f64,
@@ -38,21 +38,21 @@
 }
 
 impl Scale {
-    pub fn run(self) -> Result<(), Trouble> {
-        let mut plan = Plan::parse(&text(&self.plan)?)
-            .map_err(|mistake| Trouble::Input(format!("{}: {mistake}", self.plan.display())))?;
-        let only = self.only.as_deref().map(measurement).transpose()?;
-        let old = self.from.as_deref().map(read).transpose()?;
+    pub fn run(self) -> Result<(), CommandError> {
+        let mut plan = Plan::parse(&read_text(&self.plan)?)
+            .map_err(|error| CommandError::InvalidInput(format!("{}: {error}", self.plan.display())))?;
+        let only = self.only.as_deref().map(parse_measurement).transpose()?;
+        let old = self.from.as_deref().map(read_result).transpose()?;
         if old.is_none() {
             plan.series.retain(|series| only.is_none_or(|only| series.measure == only));
         }
         let points = |series: &Series| match &old {
-            Some(old) if only != Some(series.measure) => Ok(taken_from(old, series)),
+            Some(old) if only != Some(series.measure) => Ok(points_of(old, series)),
             _ => measure(series),
         };
         let measured = plan.series.iter().map(points).collect::<Result<_, _>>()?;
         let outcome = Outcome { plan, measured };
-        let page = show::markdown(&outcome).map_err(Trouble::Undone)?;
+        let page = show::markdown(&outcome).map_err(CommandError::Failed)?;
         println!("{page}");
         match &self.out {
             Some(folder) => write(folder, &outcome, &page),
@@ -61,91 +61,98 @@
     }
 }
 
-impl PointOf {
-    pub fn run(self) -> Result<(), Trouble> {
-        let point = measurement(&self.measure)?.run(self.size, self.seconds, self.seed);
-        let point = point.map_err(Trouble::Undone)?;
-        println!("{}", serde_json::to_string(&point).map_err(|error| Trouble::Undone(error.to_string()))?);
+impl ScalePoint {
+    pub fn run(self) -> Result<(), CommandError> {
+        let point = parse_measurement(&self.measure)?.run(self.size, self.seconds, self.seed);
+        let point = point.map_err(CommandError::Failed)?;
+        println!(
+            "{}",
+            serde_json::to_string(&point).map_err(|error| CommandError::Failed(error.to_string()))?
+        );
         Ok(())
     }
 }
 
-fn text(path: &Path) -> Result<String, Trouble> {
-    std::fs::read_to_string(path).map_err(|error| Trouble::Input(format!("{}: {error}", path.display())))
+fn read_text(path: &Path) -> Result<String, CommandError> {
+    std::fs::read_to_string(path)
+        .map_err(|error| CommandError::InvalidInput(format!("{}: {error}", path.display())))
 }
 
-fn measurement(name: &str) -> Result<Measurement, Trouble> {
-    serde_json::from_value(name.into()).map_err(|error| Trouble::Input(error.to_string()))
+fn parse_measurement(name: &str) -> Result<Measurement, CommandError> {
+    serde_json::from_value(name.into()).map_err(|error| CommandError::InvalidInput(error.to_string()))
 }
 
-fn measure(series: &Series) -> Result<Vec<Point>, Trouble> {
+fn measure(series: &Series) -> Result<Vec<Point>, CommandError> {
     let mut points = Vec::new();
     for size in &series.sizes {
         for seed in 1..=series.repeats {
-            points.extend(in_time(series, *size, seed)?);
+            points.extend(measure_point(series, *size, seed)?);
         }
     }
     Ok(points)
 }
 
-/// One point; none if each try was void, which is told.
-fn in_time(series: &Series, size: usize, seed: u64) -> Result<Option<Point>, Trouble> {
-    for attempt in 1..=TRIES {
-        let point = point(series, size, seed)?;
+/// Measures one point; none if every attempt was void, which is printed.
+fn measure_point(series: &Series, size: usize, seed: u64) -> Result<Option<Point>, CommandError> {
+    for attempt in 1..=MAX_ATTEMPTS {
+        let point = run_point(series, size, seed)?;
         let (cpu, wall) = (point.cpu_s, point.wall_s);
         match &point.void {
             None => {
                 eprintln!("{} at {size}: {cpu:.1} s of processor time in {wall:.1} s", series.by);
                 return Ok(Some(point));
             }
-            Some(why) => eprintln!("{} at {size}, try {attempt} of {TRIES}, is void: {why}", series.by),
+            Some(reason) => {
+                eprintln!("{} at {size}, attempt {attempt} of {MAX_ATTEMPTS}, is void: {reason}", series.by)
+            }
         }
     }
     Ok(None)
 }
 
-/// A point in a process of its own: memory is that of this size alone.
-fn point(series: &Series, size: usize, seed: u64) -> Result<Point, Trouble> {
-    let undone = |what: String| Trouble::Undone(format!("{} at {size}: {what}", series.by));
-    let own = std::env::current_exe().map_err(|error| undone(error.to_string()))?;
-    let name = serde_json::to_value(series.measure).map_err(|error| undone(error.to_string()))?;
-    let ended = Command::new(own)
+/// Measures a point in a process of its own, so that the memory is that of this size alone.
+fn run_point(series: &Series, size: usize, seed: u64) -> Result<Point, CommandError> {
+    let failed = |message: String| CommandError::Failed(format!("{} at {size}: {message}", series.by));
+    let own_program = std::env::current_exe().map_err(|error| failed(error.to_string()))?;
+    let name = serde_json::to_value(series.measure).map_err(|error| failed(error.to_string()))?;
+    let output = Command::new(own_program)
         .args(["--log-level", "error", "scale-point", name.as_str().unwrap_or_default()])
         .args([size.to_string(), series.seconds.to_string(), seed.to_string()])
         .stderr(Stdio::inherit())
         .output()
-        .map_err(|error| undone(error.to_string()))?;
-    if !ended.status.success() {
-        return Err(undone(ended.status.to_string()));
+        .map_err(|error| failed(error.to_string()))?;
+    if !output.status.success() {
+        return Err(failed(output.status.to_string()));
     }
-    serde_json::from_slice(&ended.stdout).map_err(|error| undone(error.to_string()))
+    serde_json::from_slice(&output.stdout).map_err(|error| failed(error.to_string()))
 }
 
-fn read(path: &Path) -> Result<Outcome, Trouble> {
-    serde_json::from_str(&text(path)?).map_err(|error| Trouble::Input(format!("{}: {error}", path.display())))
+fn read_result(path: &Path) -> Result<Outcome, CommandError> {
+    serde_json::from_str(&read_text(path)?)
+        .map_err(|error| CommandError::InvalidInput(format!("{}: {error}", path.display())))
 }
 
-/// Points of a result, by measurement and sizes: rows, budgets and targets may have changed since. What it has not was not
-/// measured.
-fn taken_from(old: &Outcome, series: &Series) -> Vec<Point> {
-    let same = |other: &Series| (other.measure, &other.sizes) == (series.measure, &series.sizes);
-    let place = old.plan.series.iter().position(same);
-    place.and_then(|place| old.measured.get(place)).cloned().unwrap_or_default()
+/// Points of an earlier result that belong to a series, matched by measurement and sizes, since rows, budgets and targets may
+/// have changed. A series without a match counts as not measured.
+fn points_of(old: &Outcome, series: &Series) -> Vec<Point> {
+    let same_points = |other: &Series| (other.measure, &other.sizes) == (series.measure, &series.sizes);
+    let index = old.plan.series.iter().position(same_points);
+    index.and_then(|index| old.measured.get(index)).cloned().unwrap_or_default()
 }
 
-fn write(folder: &Path, outcome: &Outcome, page: &str) -> Result<(), Trouble> {
-    let undone = |what: String| Trouble::Undone(format!("{}: {what}", folder.display()));
-    std::fs::create_dir_all(folder).map_err(|error| undone(error.to_string()))?;
-    let put = |name: &str, text: &str| {
-        std::fs::write(folder.join(name), text).map_err(|error| undone(error.to_string()))
+fn write(folder: &Path, outcome: &Outcome, page: &str) -> Result<(), CommandError> {
+    let failed = |message: String| CommandError::Failed(format!("{}: {message}", folder.display()));
+    std::fs::create_dir_all(folder).map_err(|error| failed(error.to_string()))?;
+    let write_file = |name: &str, text: &str| {
+        std::fs::write(folder.join(name), text).map_err(|error| failed(error.to_string()))
     };
-    let json = serde_json::to_string_pretty(outcome).map_err(|error| undone(error.to_string()))?;
-    put("result.json", &json)?;
-    put("scale.md", page)?;
-    for (place, told) in outcome.rows().map_err(Trouble::Undone)?.iter().enumerate() {
-        match show::plot(told) {
-            Ok(svg) => put(&format!("row-{place:02}.svg"), &svg)?,
-            Err(what) => eprintln!("{}: {what}", told.row.name),
+    let json = serde_json::to_string_pretty(outcome).map_err(|error| failed(error.to_string()))?;
+    write_file("result.json", &json)?;
+    write_file("scale.md", page)?;
+    for (index, ranked) in outcome.rows().map_err(CommandError::Failed)?.iter().enumerate() {
+        match show::plot(ranked) {
+            Ok(svg) => write_file(&format!("row-{index:02}.svg"), &svg)?,
+            Err(message) => eprintln!("{}: {message}", ranked.row.name),
         }
     }
     Ok(())
--- a/crates/pearfront-cli/src/store.rs
+++ b/crates/pearfront-cli/src/store.rs
@@ -1,46 +1,46 @@
-//! `pearfront store`: what a folder of records has, and whether it is whole.
+//! `pearfront store`: checks the stored log of a voter, and recovers a cluster that has lost its majority.
 
-use crate::Trouble;
+use crate::CommandError;
 use pearfront_cluster::rescue;
 use pearfront_store::{Folder, StoreError, check};
 use std::path::PathBuf;
 
-/// Look at a folder of records.
+/// Check or recover a voter's stored log.
 #[derive(clap::Args)]
 pub struct Store {
     #[command(subcommand)]
-    what: What,
+    action: Action,
 }
 
 #[derive(clap::Subcommand)]
-enum What {
+enum Action {
     Check(Check),
     Rescue(Rescue),
 }
 
-/// Where a majority of voters is lost for good: make, out of the folder that one of them has left, the folder that all
-/// voters begin anew from. WARNING: whatever only the lost ones knew is gone, and if one of them still runs or starts
-/// again with what it had, two of them may hold one duty at once.
+/// Recover after the permanent loss of a majority of voters: from the folder of a remaining voter, make the folder with which
+/// all voters start again. WARNING: everything that only the lost voters knew is lost, and if one of them still runs, or starts
+/// again with its old folder, two processes may hold the same duty at once.
 #[derive(clap::Args)]
 struct Rescue {
-    /// The folder `voter` of the one that is left; it must not run.
+    /// The folder `voter` of a remaining voter, which must not be running.
     folder: PathBuf,
-    /// Where to make the new one; copy it over the folder `voter` of every voter before any of them starts.
+    /// Where to make the new folder; copy it over the folder `voter` of every voter before any of them starts.
     #[arg(long)]
     to: PathBuf,
-    /// Said by whoever is certain that the others are lost.
+    /// Confirms that the other voters are lost for certain.
     #[arg(long)]
     the_others_are_lost: bool,
 }
 
 impl Rescue {
-    fn run(self) -> Result<(), Trouble> {
+    fn run(self) -> Result<(), CommandError> {
         if !self.the_others_are_lost {
-            let what = "what only the others knew would be gone, and two may hold one duty if one of them still runs; \
-                        say --the-others-are-lost if that is certain";
-            return Err(Trouble::Input(what.into()));
+            let message = "what only the other voters knew would be lost, and two processes may hold one duty if one of them still runs; \
+                        confirm with --the-others-are-lost";
+            return Err(CommandError::InvalidInput(message.into()));
         }
-        let found = rescue(&self.folder, &self.to).map_err(Trouble::Undone)?;
+        let found = rescue(&self.folder, &self.to).map_err(CommandError::Failed)?;
         println!(
             "{} duties up to entry {}; the last token known is {}, the next one will be {}, in a term above {}",
             found.duties, found.last_index, found.last_token, found.next_token, found.term
@@ -53,27 +53,28 @@
     }
 }
 
-/// Say what is there and whether it is whole; nothing is changed, and a process may hold the folder meanwhile.
+/// Print what a folder contains and whether it is intact. Nothing is changed, and the process of the folder may be running.
 #[derive(clap::Args)]
 struct Check {
+    /// The folder `voter` of a node.
     folder: PathBuf,
 }
 
 impl Store {
-    pub fn run(self) -> Result<(), Trouble> {
-        match self.what {
-            What::Check(check) => check.run(),
-            What::Rescue(rescue) => rescue.run(),
+    pub fn run(self) -> Result<(), CommandError> {
+        match self.action {
+            Action::Check(check) => check.run(),
+            Action::Rescue(rescue) => rescue.run(),
         }
     }
 }
 
 impl Check {
-    fn run(self) -> Result<(), Trouble> {
+    fn run(self) -> Result<(), CommandError> {
         let folder = self.folder;
-        let shown = folder.display();
+        let path = folder.display();
         if !folder.is_dir() {
-            return Err(Trouble::Input(format!("{shown}: is no folder")));
+            return Err(CommandError::InvalidInput(format!("{path}: is not a folder")));
         }
         match check(&mut Folder::open_read_only(&folder)) {
             Ok(found) => {
@@ -81,7 +82,7 @@
                     format!("a snapshot of {} bytes up to record {}", snapshot.bytes.len(), snapshot.index)
                 });
                 println!(
-                    "{shown}: whole; {snapshot}, {} records behind it, the last is {}",
+                    "{path}: whole; {snapshot}, {} records behind it, the last is {}",
                     found.entries.len(),
                     found.last_index()
                 );
@@ -94,10 +95,10 @@
                 Ok(())
             }
             Err(damage @ StoreError::Damaged { .. }) => {
-                println!("{shown}: {damage}");
-                Err(Trouble::RuleBroken)
+                println!("{path}: {damage}");
+                Err(CommandError::RuleBroken)
             }
-            Err(error) => Err(Trouble::Undone(format!("{shown}: {error}"))),
+            Err(error) => Err(CommandError::Failed(format!("{path}: {error}"))),
         }
     }
 }
--- a/crates/pearfront-cli/tests/cli.rs
+++ b/crates/pearfront-cli/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line as a program: what it prints, what it leaves behind and how it ends.
+//! The command line as a program: its output, the files it writes, and its exit codes.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -12,7 +12,7 @@
     String::from_utf8(bytes.to_vec()).unwrap()
 }
 
-/// A folder that only this test has.
+/// A temporary folder of one test.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -28,13 +28,13 @@
         self.0.join(name).to_str().unwrap().to_string()
     }
 
-    /// The calm minute, shorter, with changes.
+    /// The scenario `calm-minute`, shortened and with changes.
     fn scenario(&self, changes: &[(&str, &str)], more: &str) -> String {
         let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../rehearsals/calm-minute.toml");
         let mut text = std::fs::read_to_string(file).unwrap().replace("length_s = 60", "length_s = 12");
-        for (was, is) in changes {
-            assert!(text.contains(was), "{was}");
-            text = text.replace(was, is);
+        for (old, new) in changes {
+            assert!(text.contains(old), "{old}");
+            text = text.replace(old, new);
         }
         let path = self.path("scenario.toml");
         std::fs::write(&path, text + more).unwrap();
@@ -49,20 +49,20 @@
 }
 
 #[test]
-fn a_folder_of_records_is_told_to_be_whole_or_where_it_is_not() {
+fn store_check_reports_an_intact_folder_or_where_it_is_damaged() {
     let folder = Folder::new();
     let empty = run(&["store", "check", &folder.path("")]);
     assert_eq!(empty.status.code(), Some(0), "{}", text(&empty.stderr));
     assert!(text(&empty.stdout).ends_with("whole; no snapshot, 0 records behind it, the last is 0\n"));
     std::fs::write(folder.path("snapshot"), b"half of one").unwrap();
-    let spoilt = run(&["store", "check", &folder.path("")]);
-    assert_eq!(spoilt.status.code(), Some(3));
-    assert!(text(&spoilt.stdout).contains("snapshot is damaged at byte 0"), "{}", text(&spoilt.stdout));
+    let damaged = run(&["store", "check", &folder.path("")]);
+    assert_eq!(damaged.status.code(), Some(3));
+    assert!(text(&damaged.stdout).contains("snapshot is damaged at byte 0"), "{}", text(&damaged.stdout));
     assert_eq!(run(&["store", "check", &folder.path("nowhere")]).status.code(), Some(2));
 }
 
 #[test]
-fn a_play_that_keeps_the_rules_ends_with_0_and_one_line_for_machines() {
+fn a_rehearsal_that_keeps_the_rules_exits_with_0_and_a_machine_readable_line() {
     let folder = Folder::new();
     let played = run(&["rehearse", &folder.scenario(&[], ""), "--out", &folder.path("out")]);
     assert_eq!(played.status.code(), Some(0), "{}", text(&played.stderr));
@@ -71,7 +71,7 @@
     let pairs: Vec<(&str, &str)> = last.split(' ').map(|pair| pair.split_once('=').expect(last)).collect();
     assert!(pairs.contains(&("rules", "kept")) && pairs.contains(&("void", "false")), "{last}");
     assert!(pairs.iter().any(|(name, value)| *name == "service" && value.parse::<f64>().unwrap() > 0.9));
-    // No bar where nobody looks, and nothing in the log below a warning.
+    // No progress bar without a terminal, and no log line below warning.
     assert_eq!(text(&played.stderr), "");
     for name in ["result.json", "seconds.tsv", "report.html"] {
         assert!(folder.0.join("out").join(name).is_file(), "{name}");
@@ -79,9 +79,9 @@
 }
 
 #[test]
-fn a_broken_rule_ends_with_3_and_is_named() {
+fn a_broken_rule_is_named_and_exits_with_3() {
     let folder = Folder::new();
-    // A cold server bears next to nothing, and random choice does not care.
+    // A cold server can take next to no load, and the random policy ignores that.
     let more = "[discovery]\nlate_ms = [1, 2]\n[rules]\ntip_multiple = 0.3\n[[troubles]]\nwhat = \"silent\"\nat_s = 1\nfor_s = 2\ncount = 4\n";
     let scenario = folder.scenario(&[], more);
     let played = run(&["rehearse", &scenario, "--policy", "random"]);
@@ -91,16 +91,16 @@
 }
 
 #[test]
-fn bad_input_ends_with_2_and_names_key_and_line() {
+fn bad_input_exits_with_2_and_names_key_and_line() {
     let folder = Folder::new();
     let scenario = folder.scenario(&[("cores = 2", "cores = 0")], "");
     for command in ["check", "rehearse"] {
-        let told = run(&[command, &scenario]);
-        assert_eq!(told.status.code(), Some(2));
+        let output = run(&[command, &scenario]);
+        assert_eq!(output.status.code(), Some(2));
         assert!(
-            text(&told.stderr).contains("line 12: kinds[0].cores: 0 is not above 0"),
+            text(&output.stderr).contains("line 12: kinds[0].cores: 0 is not above 0"),
             "{}",
-            text(&told.stderr)
+            text(&output.stderr)
         );
     }
     assert_eq!(run(&["check", "nowhere.toml"]).status.code(), Some(2));
@@ -110,19 +110,19 @@
 }
 
 #[test]
-fn a_node_program_that_does_not_start_is_told_and_ends_with_1() {
+fn a_node_program_that_does_not_start_is_reported_and_exits_with_1() {
     let folder = Folder::new();
     let scenario = folder.scenario(&[], "");
     let nodes = folder.path("no-such-program");
     let out = folder.path("out");
     let played = run(&["rehearse", &scenario, "--play", "sockets", "--nodes", &nodes, "--out", &out]);
     assert_eq!(played.status.code(), Some(1));
-    let told = text(&played.stderr);
-    assert!(told.contains("did not start") || told.contains("ended at its start"), "{told}");
+    let error = text(&played.stderr);
+    assert!(error.contains("did not start") || error.contains("ended at its start"), "{error}");
 }
 
 #[test]
-fn sets_of_seeds_are_compared_and_pages_made_anew() {
+fn sets_of_seeds_are_compared_and_pages_made_again() {
     let folder = Folder::new();
     let scenario = folder.scenario(&[("rate = 750", "rate = 200")], "");
     for (policy, out) in [("module", "one"), ("random", "other")] {
@@ -142,22 +142,22 @@
     assert_eq!(run(&["compare", &folder.path("one"), &folder.path("none")]).status.code(), Some(2));
 }
 
-const NEW_SHAPE: [&str; 10] =
+const SIDECAR_OPTIONS: [&str; 10] =
     ["--nodes", "300", "--zones", "a,b,c", "--zone", "b", "--streams", "100", "--seed", "1f"];
 
 impl Folder {
-    /// A node's file of the old shape, with a change.
-    fn node_file(&self, was: &str, is: &str) -> String {
+    /// The configuration file of a node of a pool, with a change.
+    fn node_file(&self, old: &str, new: &str) -> String {
         let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/example.json");
         let text = std::fs::read_to_string(file).unwrap();
-        assert!(text.contains(was), "{was}");
+        assert!(text.contains(old), "{old}");
         let path = self.path("old.json");
-        std::fs::write(&path, text.replacen(was, is, 1)).unwrap();
+        std::fs::write(&path, text.replacen(old, new, 1)).unwrap();
         path
     }
 
     fn move_file(&self, file: &str, more: &[&str]) -> Output {
-        run(&[&["move", file], &NEW_SHAPE[..], more].concat())
+        run(&[&["move", file], &SIDECAR_OPTIONS[..], more].concat())
     }
 
     fn names(&self) -> Vec<String> {
@@ -170,14 +170,14 @@
 }
 
 #[test]
-fn a_node_file_is_moved_and_what_stays_behind_is_told() {
+fn a_node_file_is_converted_and_lost_settings_are_listed() {
     let folder = Folder::new();
     let (old, new) = (folder.node_file("{", "{"), folder.path("new.json"));
     let before = std::fs::read(&old).unwrap();
-    let told = folder.move_file(&old, &["--out", &new]);
-    assert_eq!(told.status.code(), Some(0), "{}", text(&told.stderr));
+    let output = folder.move_file(&old, &["--out", &new]);
+    assert_eq!(output.status.code(), Some(0), "{}", text(&output.stderr));
     for key in ["seed", "ask_within", "parallel_tries", "deductions.probe"] {
-        assert!(text(&told.stdout).contains(key), "{key}: {}", text(&told.stdout));
+        assert!(text(&output.stdout).contains(key), "{key}: {}", text(&output.stdout));
     }
     assert!(std::fs::read_to_string(&new).unwrap().contains("\"discovery\": \"pushed\""));
     assert_eq!(std::fs::read(&old).unwrap(), before);
@@ -188,12 +188,14 @@
 }
 
 #[test]
-fn no_file_is_overwritten_unasked_and_looking_changes_nothing() {
+fn no_file_is_overwritten_without_force_and_a_dry_run_writes_nothing() {
     let folder = Folder::new();
     let (old, new) = (folder.node_file("{", "{"), folder.path("new.json"));
-    let looked = folder.move_file(&old, &["--dry-run"]);
-    assert_eq!(looked.status.code(), Some(0), "{}", text(&looked.stderr));
-    assert!(text(&looked.stdout).contains("nothing written") && text(&looked.stdout).contains("ask_within"));
+    let dry_run = folder.move_file(&old, &["--dry-run"]);
+    assert_eq!(dry_run.status.code(), Some(0), "{}", text(&dry_run.stderr));
+    assert!(
+        text(&dry_run.stdout).contains("nothing written") && text(&dry_run.stdout).contains("ask_within")
+    );
     assert_eq!(folder.move_file(&old, &["--out", &new, "--dry-run"]).status.code(), Some(0));
     assert_eq!(folder.names(), ["old.json"]);
     std::fs::write(&new, "mine").unwrap();
@@ -207,7 +209,7 @@
 }
 
 #[test]
-fn a_node_file_that_is_wrong_is_named_with_its_key_and_nothing_is_written() {
+fn a_wrong_node_file_is_reported_with_its_key_and_nothing_is_written() {
     let folder = Folder::new();
     let wrong = [
         ("\"siblings\": 1", "\"siblings\": \"one\"", "config.settings.siblings"),
@@ -215,10 +217,10 @@
         ("\"seed\":", "\"seeds\":", "config.seeds is unknown"),
         ("\"rules\":", "rules:", "old.json: "),
     ];
-    for (was, is, problem) in wrong {
-        let told = folder.move_file(&folder.node_file(was, is), &["--out", &folder.path("new.json")]);
-        let line = text(&told.stderr);
-        assert_eq!(told.status.code(), Some(2), "{line}");
+    for (old, new, problem) in wrong {
+        let output = folder.move_file(&folder.node_file(old, new), &["--out", &folder.path("new.json")]);
+        let line = text(&output.stderr);
+        assert_eq!(output.status.code(), Some(2), "{line}");
         assert!(line.contains("old.json") && line.contains(problem) && line.lines().count() == 1, "{line}");
     }
     let missing = folder.move_file(&folder.path("none.json"), &["--out", &folder.path("new.json")]);
--- a/crates/pearfront-cli/tests/scale.rs
+++ b/crates/pearfront-cli/tests/scale.rs
@@ -1,4 +1,4 @@
-//! `pearfront scale` as a command: what it writes, what it reads again, what it refuses.
+//! `pearfront scale` as a command: what it writes, what it reads back, and what it rejects.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -9,7 +9,7 @@
     Command::new(env!("CARGO_BIN_EXE_pearfront")).arg("scale").args(words).output().unwrap()
 }
 
-/// A folder of this test's own.
+/// An empty temporary folder for one test.
 fn folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("pearfront-scale-{name}-{}", std::process::id()));
     drop(std::fs::remove_dir_all(&folder));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_run_writes_tables_result_and_plots_and_is_read_again_against_another_plan() {
+fn a_run_writes_tables_result_and_plots_and_can_be_evaluated_by_another_plan() {
     let folder = folder("run");
     let out = folder.join("out");
     let ran = scale(&[SMALL, "--only", "lists", "--out", &text(&out)]);
@@ -32,20 +32,20 @@
     for file in ["result.json", "scale.md", "row-00.svg"] {
         assert!(out.join(file).is_file(), "{file}");
     }
-    // The same points against a plan with ten times the budget: nothing fails any more.
+    // The same points by a plan with a hundred times the budget: nothing fails any more.
     let plan = std::fs::read_to_string(SMALL).unwrap().replace("budget = 15000", "budget = 1500000");
     let wider = folder.join("wider.toml");
     std::fs::write(&wider, plan).unwrap();
     let again = scale(&[&text(&wider), "--from", &text(&out.join("result.json"))]);
     let shown = String::from_utf8_lossy(&again.stdout).to_string();
     assert!(again.status.success() && !shown.contains("| 1 |"), "{shown}");
-    // What the result has not is told as not measured.
+    // Series that the result does not contain are listed as not measured.
     assert!(shown.contains("void or not measured"), "{shown}");
     drop(std::fs::remove_dir_all(&folder));
 }
 
 #[test]
-fn a_plan_that_is_wrong_is_refused_with_its_key() {
+fn a_wrong_plan_is_rejected_with_its_key() {
     let folder = folder("wrong");
     let wrong = folder.join("wrong.toml");
     std::fs::write(&wrong, std::fs::read_to_string(SMALL).unwrap().replace("fleet = 22000", "flet = 22000"))
