--- a/crates/pearfront-distribute/src/distributor/reports.rs
+++ b/crates/pearfront-distribute/src/distributor/reports.rs
@@ -60,7 +60,7 @@
             if was_full { self.nodes.keys().cloned().collect() } else { reported.into_iter().collect() };
         for name in names {
             let Some(node) = self.nodes.get_mut(&name).filter(|node| !node.registered) else { continue };
-            // The node subscribed since that report was sent.
+            // The node subscribed, possibly again, after that report was sent: the next one registers it.
             if self.upstream.changed_nodes.contains(&name) {
                 continue;
             }
--- a/crates/pearfront-distribute/src/subscriber.rs
+++ b/crates/pearfront-distribute/src/subscriber.rs
@@ -244,7 +244,7 @@
         let current = self.current.as_ref().map(|current| current.version);
         self.connector.mark_healthy();
         self.last_rejection = None;
-        // After a gap, or an update to an older version, subscribes anew instead of guessing.
+        // After a gap, or an update to an older version, subscribes again instead of guessing.
         let fits = update.from == current && current.is_none_or(|current| update.to >= current);
         if !fits {
             return self.subscribe();
--- a/crates/pearfront-distribute/tests/distributor.rs
+++ b/crates/pearfront-distribute/tests/distributor.rs
@@ -16,7 +16,7 @@
     closed: Vec<u64>,
     now: f64,
     answers: bool,
-    beats: u64,
+    heartbeats: u64,
 }
 
 fn process_id(name: &str) -> ProcessId {
@@ -29,7 +29,17 @@
         let core = Distributor::new("shop", process_id("d1"), ("z1", "r1"), &voters, times, (1, 0.0));
         let (sent, reports, closed) = (Vec::new(), Vec::new(), Vec::new());
         let catalog = Catalog::default();
-        Self { core, catalog, upstream_link: 0, sent, reports, closed, now: 0.0, answers: true, beats: 0 }
+        Self {
+            core,
+            catalog,
+            upstream_link: 0,
+            sent,
+            reports,
+            closed,
+            now: 0.0,
+            answers: true,
+            heartbeats: 0,
+        }
     }
 
     /// A distributor with one service of two servers, whose first report was accepted.
@@ -87,8 +97,8 @@
         while self.now < now {
             self.now = self.core.due().max(self.now + 1.0).min(now).min(self.now + 100.0);
             if self.answers {
-                self.beats += 1;
-                let (number, version) = (self.beats, self.catalog.version());
+                self.heartbeats += 1;
+                let (number, version) = (self.heartbeats, self.catalog.version());
                 self.core.receive_from_voter(
                     self.upstream_link,
                     FromVoter::Heartbeat { number, version, in_force: None },
--- a/crates/pearfront-distribute/tests/wire.rs
+++ b/crates/pearfront-distribute/tests/wire.rs
@@ -39,8 +39,8 @@
     assert_eq!(decode::<ToDistributor>(&encode(&many)), None);
     let long = ToDistributor::Refuse { session: 1, version: 1, reason: "x".repeat(257) };
     assert_eq!(decode::<ToDistributor>(&encode(&long)), None);
-    let beat = ToSubscriber::Heartbeat { session: 1, unchanged: None, age: f64::NAN };
-    assert_eq!(decode::<ToSubscriber>(&encode(&beat)), None);
+    let heartbeat = ToSubscriber::Heartbeat { session: 1, unchanged: None, age: f64::NAN };
+    assert_eq!(decode::<ToSubscriber>(&encode(&heartbeat)), None);
 }
 
 #[test]
