--- a/crates/pearfront-consensus/src/lib.rs
+++ b/crates/pearfront-consensus/src/lib.rs
@@ -5,10 +5,10 @@
 //! Ongaro: Consensus: Bridging Theory and Practice (2014); Alagappan and others: Protocol-Aware Recovery (FAST 2018). What
 //! differs, and why, is in `docs/design/consensus.md`.
 
-mod elect;
+mod election;
 mod message;
-mod proof;
-mod replicate;
+mod recovery;
+mod replication;
 mod times;
 mod voter;
 
--- a/crates/pearfront-consensus/src/message.rs
+++ b/crates/pearfront-consensus/src/message.rs
@@ -12,7 +12,7 @@
 
 /// The last entry of a log: the higher term is further on, then the higher index.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub(crate) struct Place {
+pub(crate) struct LogPosition {
     pub term: u64,
     pub index: u64,
 }
@@ -20,51 +20,51 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Body {
     /// Would you vote for me in the next term? Changes nothing.
-    PreVote {
-        last: Place,
+    PreVoteRequest {
+        last: LogPosition,
     },
-    PreVoted {
+    PreVoteResponse {
         granted: bool,
     },
-    Vote {
-        last: Place,
+    VoteRequest {
+        last: LogPosition,
     },
-    Voted {
+    VoteResponse {
         granted: bool,
     },
     /// Entries behind that place. `round` ties the answer to when this was sent.
-    Append {
-        before: Place,
+    AppendRequest {
+        previous: LogPosition,
         entries: Vec<Entry>,
-        commit: u64,
-        in_own_term: bool,
+        leader_commit: u64,
+        committed_in_term: bool,
         round: u64,
     },
     /// All up to `index` is stored here; or, if not taken, nothing behind `index` fits.
-    Appended {
-        taken: bool,
+    AppendResponse {
+        accepted: bool,
         index: u64,
         round: u64,
     },
     /// Part of the snapshot up to that place.
-    Piece {
-        upto: Place,
+    SnapshotChunk {
+        last_included: LogPosition,
         offset: u64,
-        whole: u64,
+        total_bytes: u64,
         bytes: Vec<u8>,
         round: u64,
     },
     /// So much of it is here.
-    PieceTaken {
+    SnapshotChunkResponse {
         index: u64,
-        next: u64,
+        next_offset: u64,
         round: u64,
     },
     /// I have just started: how far are you?
-    Ask,
+    StatusRequest,
     /// My log goes up to there, in the term of this message; or I have nothing either.
-    Told {
-        last: Place,
+    StatusResponse {
+        last: LogPosition,
         empty: bool,
     },
 }
--- a/crates/pearfront-consensus/src/times.rs
+++ b/crates/pearfront-consensus/src/times.rs
@@ -16,7 +16,7 @@
 }
 
 /// Entries, and bytes of them, in one message: one that lost much must not hold up the beats of all.
-pub const ENTRIES: usize = 256;
-pub const BYTES: usize = 256 * 1024;
+pub const MAX_ENTRIES: usize = 256;
+pub const MAX_APPEND_BYTES: usize = 256 * 1024;
 /// Bytes of a snapshot in one message.
-pub const PIECE: usize = 64 * 1024;
+pub const SNAPSHOT_CHUNK_BYTES: usize = 64 * 1024;
--- a/crates/pearfront-consensus/src/voter.rs
+++ b/crates/pearfront-consensus/src/voter.rs
@@ -1,7 +1,7 @@
 //! One voter: its state, what comes in, and what waits for the disk.
 
-use crate::message::{Body, Entry, Message, Place, Record};
-use crate::proof::Proof;
+use crate::message::{Body, Entry, LogPosition, Message, Record};
+use crate::recovery::Recovery;
 use crate::times::Times;
 use rand::prelude::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -30,19 +30,21 @@
 
 /// Puts records together again, in their order.
 pub fn recover(records: impl IntoIterator<Item = Record>) -> PersistentState {
-    let mut kept = PersistentState::default();
+    let mut stored_state = PersistentState::default();
     for record in records {
         match record {
-            Record::Term { term, voted_for } => (kept.term, kept.voted_for) = (term, voted_for),
-            Record::Entry(entry) => kept.entries.push(entry),
-            Record::Truncate { from } => kept.entries.retain(|entry| entry.index < from),
+            Record::Term { term, voted_for } => {
+                (stored_state.term, stored_state.voted_for) = (term, voted_for)
+            }
+            Record::Entry(entry) => stored_state.entries.push(entry),
+            Record::Truncate { from } => stored_state.entries.retain(|entry| entry.index < from),
             Record::Snapshot { index, term, bytes } => {
-                kept.entries.retain(|entry| entry.index > index);
-                kept.snapshot = Some((index, term, bytes));
+                stored_state.entries.retain(|entry| entry.index > index);
+                stored_state.snapshot = Some((index, term, bytes));
             }
         }
     }
-    kept
+    stored_state
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -83,16 +85,16 @@
 
 /// A leader's knowledge of one other.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Other {
+pub(crate) struct Progress {
     /// All up to there is stored there.
-    pub stored: u64,
+    pub match_index: u64,
     /// The next that is sent.
-    pub next: u64,
+    pub next_index: u64,
     /// When it last answered, and to which round.
-    pub heard: f64,
-    pub round: u64,
+    pub last_response_at: f64,
+    pub acked_round: u64,
     /// Next byte of the snapshot that it is sent, if it is.
-    pub piece: Option<(u64, u64)>,
+    pub snapshot_offset: Option<(u64, u64)>,
 }
 
 #[derive(Debug, Clone)]
@@ -104,93 +106,93 @@
 
 #[derive(Clone)]
 pub struct Voter {
-    pub(crate) me: String,
-    pub(crate) others: Vec<String>,
+    pub(crate) own_name: String,
+    pub(crate) peers: Vec<String>,
     pub(crate) times: Times,
-    pub(crate) chance: ChaCha8Rng,
+    pub(crate) rng: ChaCha8Rng,
     pub(crate) term: u64,
     pub(crate) voted_for: Option<String>,
     pub(crate) log: VecDeque<Entry>,
     /// The last entry that is in the snapshot, and not in the log.
-    pub(crate) base: Place,
+    pub(crate) snapshot_position: LogPosition,
     pub(crate) snapshot: Option<Rc<Vec<u8>>>,
-    pub(crate) commit: u64,
+    pub(crate) commit_index: u64,
     pub(crate) role: Role,
     pub(crate) leader: Option<String>,
     /// When a leader was last heard, and when to stand if none is.
-    pub(crate) heard: f64,
-    pub(crate) stand_at: f64,
+    pub(crate) leader_heard_at: f64,
+    pub(crate) election_at: f64,
     pub(crate) votes: BTreeSet<String>,
-    pub(crate) beat_at: f64,
+    pub(crate) heartbeat_at: f64,
     pub(crate) round: u64,
-    pub(crate) known: BTreeMap<String, Other>,
-    pub(crate) reads: Vec<PendingRead>,
-    pub(crate) proof: Proof,
+    pub(crate) followers: BTreeMap<String, Progress>,
+    pub(crate) pending_reads: Vec<PendingRead>,
+    pub(crate) recovery: Recovery,
     /// Snapshot that comes in, by its last index.
-    pub(crate) coming: Option<(Place, Vec<u8>)>,
-    out: Vec<Action>,
-    writing: Vec<Record>,
+    pub(crate) incoming_snapshot: Option<(LogPosition, Vec<u8>)>,
+    actions: Vec<Action>,
+    unstored_records: Vec<Record>,
     /// Number of the last group given out to be stored, and of the last that is.
-    written: u64,
-    stored: u64,
+    last_group: u64,
+    synced_group: u64,
     /// Messages that are true only once that group is stored.
-    held: VecDeque<(u64, Message)>,
+    held_messages: VecDeque<(u64, Message)>,
     /// Last entries by the group that brings them; what of the log is stored.
-    brought: VecDeque<(u64, u64)>,
-    pub(crate) own_stored: u64,
+    unsynced_entries: VecDeque<(u64, u64)>,
+    pub(crate) own_match_index: u64,
 }
 
 impl Voter {
     /// A voter as its disk had it. It takes part in votes only after the others have told what they know of it.
     pub fn new(
-        me: &str,
+        own_name: &str,
         voters: &[String],
-        kept: PersistentState,
+        stored_state: PersistentState,
         times: Times,
         seed: u64,
         now: f64,
     ) -> Self {
-        let fresh = kept == PersistentState::default();
-        let base = kept
+        let started_empty = stored_state == PersistentState::default();
+        let snapshot_position = stored_state
             .snapshot
             .as_ref()
-            .map_or(Place::default(), |(index, term, _)| Place { term: *term, index: *index });
-        let others = voters.iter().filter(|name| *name != me).cloned().collect();
+            .map_or(LogPosition::default(), |(index, term, _)| LogPosition { term: *term, index: *index });
+        let peers = voters.iter().filter(|name| *name != own_name).cloned().collect();
         let mut voter = Self {
-            me: me.into(),
-            others,
+            own_name: own_name.into(),
+            peers,
             times,
-            chance: ChaCha8Rng::seed_from_u64(seed),
-            term: kept.term,
-            voted_for: kept.voted_for,
-            log: kept.entries.into(),
-            base,
-            snapshot: kept.snapshot.map(|(.., bytes)| Rc::new(bytes)),
-            commit: base.index,
+            rng: ChaCha8Rng::seed_from_u64(seed),
+            term: stored_state.term,
+            voted_for: stored_state.voted_for,
+            log: stored_state.entries.into(),
+            snapshot_position,
+            snapshot: stored_state.snapshot.map(|(.., bytes)| Rc::new(bytes)),
+            commit_index: snapshot_position.index,
             role: Role::Follower,
             leader: None,
-            heard: f64::NEG_INFINITY,
-            stand_at: now,
+            leader_heard_at: f64::NEG_INFINITY,
+            election_at: now,
             votes: BTreeSet::new(),
-            beat_at: f64::INFINITY,
+            heartbeat_at: f64::INFINITY,
             round: 0,
-            known: BTreeMap::new(),
-            reads: Vec::new(),
-            proof: Proof::new(fresh, voters.len() / 2 + 1, now),
-            coming: None,
-            out: Vec::new(),
-            writing: Vec::new(),
-            written: 0,
-            stored: 0,
-            held: VecDeque::new(),
-            brought: VecDeque::new(),
-            own_stored: 0,
+            followers: BTreeMap::new(),
+            pending_reads: Vec::new(),
+            recovery: Recovery::new(started_empty, voters.len() / 2 + 1, now),
+            incoming_snapshot: None,
+            actions: Vec::new(),
+            unstored_records: Vec::new(),
+            last_group: 0,
+            synced_group: 0,
+            held_messages: VecDeque::new(),
+            unsynced_entries: VecDeque::new(),
+            own_match_index: 0,
         };
-        voter.own_stored = voter.last().index;
+        voter.own_match_index = voter.last_position().index;
         if let Some(bytes) = voter.snapshot.clone() {
-            voter.out.push(Action::Restore { index: base.index, bytes });
+            voter.actions.push(Action::Restore { index: snapshot_position.index, bytes });
         }
-        voter.stand_later(now);
+        voter.reset_election_timer(now);
         voter
     }
 
@@ -210,80 +212,108 @@
     }
 
     pub fn commit_index(&self) -> u64 {
-        self.commit
+        self.commit_index
     }
 
     /// May it stand? Not before the others have told how far they are, nor while it has less.
     pub fn may_stand(&self) -> bool {
-        self.proof.allows(self.last(), self.term + 1)
+        self.recovery.allows_vote(self.last_position(), self.term + 1)
     }
 
     /// Does it lead, and has it committed in its own term? Then it has all that was ever committed.
     pub fn has_committed_in_term(&self) -> bool {
-        self.role == Role::Leader && self.place(self.commit).is_some_and(|place| place.term == self.term)
+        self.role == Role::Leader
+            && self.position_of(self.commit_index).is_some_and(|position| position.term == self.term)
     }
 
     /// Index of its last entry.
     pub fn last_index(&self) -> u64 {
-        self.last().index
+        self.last_position().index
     }
 
     pub(crate) fn majority(&self) -> usize {
-        self.others.len().div_ceil(2) + 1
+        self.peers.len().div_ceil(2) + 1
     }
 
-    pub(crate) fn last(&self) -> Place {
-        self.log.back().map_or(self.base, |entry| Place { term: entry.term, index: entry.index })
+    pub(crate) fn last_position(&self) -> LogPosition {
+        self.log
+            .back()
+            .map_or(self.snapshot_position, |entry| LogPosition { term: entry.term, index: entry.index })
     }
 
     /// The place of that index, if it is in the log or the last of the snapshot.
-    pub(crate) fn place(&self, index: u64) -> Option<Place> {
-        if index == self.base.index {
-            return Some(self.base);
+    pub(crate) fn position_of(&self, index: u64) -> Option<LogPosition> {
+        if index == self.snapshot_position.index {
+            return Some(self.snapshot_position);
         }
-        let entry = self.log.get(usize::try_from(index.checked_sub(self.base.index + 1)?).ok()?)?;
-        Some(Place { term: entry.term, index })
+        let entry =
+            self.log.get(usize::try_from(index.checked_sub(self.snapshot_position.index + 1)?).ok()?)?;
+        Some(LogPosition { term: entry.term, index })
     }
 
     /// Everything that decides what it does next, times as they are to now: two voters with the same do the same but for
     /// chance. For checks that go through all that may happen.
     pub fn fingerprint(&self, now: f64) -> String {
-        let beats = |since: f64| ((now - since) / self.times.heartbeat).min(1000.0) as i64;
-        let known: Vec<_> = self
-            .known
+        let heartbeats_since = |since: f64| ((now - since) / self.times.heartbeat).min(1000.0) as i64;
+        let followers: Vec<_> = self
+            .followers
             .iter()
-            .map(|(name, one)| (name, one.stored, one.next, one.round, one.piece, beats(one.heard)))
+            .map(|(name, one)| {
+                (
+                    name,
+                    one.match_index,
+                    one.next_index,
+                    one.acked_round,
+                    one.snapshot_offset,
+                    heartbeats_since(one.last_response_at),
+                )
+            })
             .collect();
-        let own = (self.term, &self.voted_for, self.role, &self.leader, self.commit, self.hears_leader(now));
-        let log = (&self.log, self.base, self.own_stored, &self.votes, self.round, &self.reads);
-        let disk = (self.written, self.stored, &self.held, &self.brought, &self.writing, &self.coming);
-        format!("{own:?}{log:?}{known:?}{disk:?}{:?}", self.proof)
+        let own =
+            (self.term, &self.voted_for, self.role, &self.leader, self.commit_index, self.hears_leader(now));
+        let log = (
+            &self.log,
+            self.snapshot_position,
+            self.own_match_index,
+            &self.votes,
+            self.round,
+            &self.pending_reads,
+        );
+        let disk = (
+            self.last_group,
+            self.synced_group,
+            &self.held_messages,
+            &self.unsynced_entries,
+            &self.unstored_records,
+            &self.incoming_snapshot,
+        );
+        format!("{own:?}{log:?}{followers:?}{disk:?}{:?}", self.recovery)
     }
 
     /// When it wants to be called at the latest, ms.
     pub fn due(&self) -> f64 {
-        let heartbeat = if self.role == Role::Leader { self.beat_at } else { f64::INFINITY };
-        heartbeat.min(self.stand_at).min(self.proof.due())
+        let heartbeat = if self.role == Role::Leader { self.heartbeat_at } else { f64::INFINITY };
+        heartbeat.min(self.election_at).min(self.recovery.due())
     }
 
     /// What has to be done outside now.
     pub fn take_actions(&mut self) -> Vec<Action> {
-        if !self.writing.is_empty() {
-            let records = std::mem::take(&mut self.writing);
-            self.written += 1;
-            self.out.push(Action::Store { number: self.written, records });
+        if !self.unstored_records.is_empty() {
+            let records = std::mem::take(&mut self.unstored_records);
+            self.last_group += 1;
+            self.actions.push(Action::Store { number: self.last_group, records });
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
     // ---- what comes in ----
 
     pub fn tick(&mut self, now: f64) {
-        self.prove(now);
+        self.request_status(now);
         if self.role == Role::Leader {
-            self.lead(now);
-        } else if now >= self.stand_at {
-            self.stand(now);
+            self.tick_leader(now);
+        } else if now >= self.election_at {
+            self.start_pre_vote(now);
         }
     }
 
@@ -292,73 +322,80 @@
     pub fn process_ended(&mut self, name: &str, now: f64) {
         if self.leader.as_deref() == Some(name) && self.role != Role::Leader {
             self.leader = None;
-            self.heard = f64::NEG_INFINITY;
-            self.stand_at = now + self.times.heartbeat * self.chance.random::<f64>();
+            self.leader_heard_at = f64::NEG_INFINITY;
+            self.election_at = now + self.times.heartbeat * self.rng.random::<f64>();
         }
     }
 
     /// A group of records is stored and synced.
     pub fn on_stored(&mut self, number: u64, now: f64) {
-        self.stored = self.stored.max(number);
-        while let Some((_, index)) = self.brought.front().filter(|(group, _)| *group <= self.stored) {
+        self.synced_group = self.synced_group.max(number);
+        while let Some((_, index)) =
+            self.unsynced_entries.front().filter(|(group, _)| *group <= self.synced_group)
+        {
             // It may have been cut since.
-            self.own_stored = (*index).min(self.last().index);
-            self.brought.pop_front();
+            self.own_match_index = (*index).min(self.last_position().index);
+            self.unsynced_entries.pop_front();
         }
-        while self.held.front().is_some_and(|(group, _)| *group <= self.stored) {
-            if let Some((_, message)) = self.held.pop_front() {
-                self.out.push(Action::Send(message));
+        while self.held_messages.front().is_some_and(|(group, _)| *group <= self.synced_group) {
+            if let Some((_, message)) = self.held_messages.pop_front() {
+                self.actions.push(Action::Send(message));
             }
         }
         if self.role == Role::Leader {
-            self.count(now);
+            self.advance_commit(now);
         }
     }
 
     /// A message came. One of another installation's voters is none of ours.
     pub fn receive(&mut self, message: Message, now: f64) {
-        if message.to != self.me || !self.others.contains(&message.from) {
+        if message.to != self.own_name || !self.peers.contains(&message.from) {
             return;
         }
         let Message { from, term, body, .. } = message;
-        let asks = matches!(body, Body::PreVote { .. } | Body::PreVoted { .. } | Body::Ask);
+        let is_query =
+            matches!(body, Body::PreVoteRequest { .. } | Body::PreVoteResponse { .. } | Body::StatusRequest);
         // What it is told at its start brings it into the latest term: to stand above that is then the next.
         // Pre-votes speak of a term that nobody is in yet, and a voter that hears a leader does not follow one who wants
         // to be another: whoever was cut off would unseat it.
-        let sticks = matches!(body, Body::Vote { .. }) && self.hears_leader(now);
-        if term > self.term && !asks && !sticks {
-            self.follow(term, None, now);
+        let ignored = matches!(body, Body::VoteRequest { .. }) && self.hears_leader(now);
+        if term > self.term && !is_query && !ignored {
+            self.become_follower(term, None, now);
         }
         match body {
-            Body::PreVote { last } => self.asked(&from, term, last, now),
-            Body::PreVoted { granted } => self.would(&from, granted, term, now),
-            Body::Ask => self.asked_how_far(&from),
-            Body::Told { last, empty } => self.told(&from, term, last, empty),
-            Body::Vote { last } => self.vote(&from, term, last, now),
+            Body::PreVoteRequest { last } => self.on_pre_vote_request(&from, term, last, now),
+            Body::PreVoteResponse { granted } => self.on_pre_vote_response(&from, granted, term, now),
+            Body::StatusRequest => self.on_status_request(&from),
+            Body::StatusResponse { last, empty } => self.on_status_response(&from, term, last, empty),
+            Body::VoteRequest { last } => self.on_vote_request(&from, term, last, now),
             // What is left is of this term, or over.
-            _ if term < self.term => self.correct(&from, &body),
-            Body::Voted { granted } => self.counted(&from, granted, now),
-            Body::Append { before, entries, commit, in_own_term, round } => {
-                self.follow(term, Some(from.clone()), now);
-                self.append(&from, before, entries, (commit, in_own_term), round);
+            _ if term < self.term => self.reject_stale_term(&from, &body),
+            Body::VoteResponse { granted } => self.on_vote_response(&from, granted, now),
+            Body::AppendRequest { previous, entries, leader_commit, committed_in_term, round } => {
+                self.become_follower(term, Some(from.clone()), now);
+                self.on_append_request(&from, previous, entries, (leader_commit, committed_in_term), round);
+            }
+            Body::SnapshotChunk { last_included, offset, total_bytes, bytes, round } => {
+                self.become_follower(term, Some(from.clone()), now);
+                self.on_snapshot_chunk(&from, last_included, (offset, total_bytes), &bytes, round);
+            }
+            Body::AppendResponse { accepted, index, round } => {
+                self.on_append_response(&from, accepted, index, round, now)
             }
-            Body::Piece { upto, offset, whole, bytes, round } => {
-                self.follow(term, Some(from.clone()), now);
-                self.piece(&from, upto, (offset, whole), &bytes, round);
+            Body::SnapshotChunkResponse { index, next_offset, round } => {
+                self.on_snapshot_chunk_response(&from, index, next_offset, round, now)
             }
-            Body::Appended { taken, index, round } => self.appended(&from, taken, index, round, now),
-            Body::PieceTaken { index, next, round } => self.piece_taken(&from, index, next, round, now),
         }
     }
 
     /// One that speaks of a term that is over hears of this one.
-    fn correct(&mut self, from: &str, body: &Body) {
+    fn reject_stale_term(&mut self, from: &str, body: &Body) {
         match body {
-            Body::Append { round, .. } => {
-                self.send(from, Body::Appended { taken: false, index: 0, round: *round })
+            Body::AppendRequest { round, .. } => {
+                self.send(from, Body::AppendResponse { accepted: false, index: 0, round: *round })
             }
-            Body::Piece { round, .. } => {
-                self.send(from, Body::PieceTaken { index: 0, next: 0, round: *round })
+            Body::SnapshotChunk { round, .. } => {
+                self.send(from, Body::SnapshotChunkResponse { index: 0, next_offset: 0, round: *round })
             }
             _ => {}
         }
@@ -367,20 +404,20 @@
     // ---- ways from one state to the next ----
 
     /// Follows in that term, a leader if one is known.
-    pub(crate) fn follow(&mut self, term: u64, leader: Option<String>, now: f64) {
+    pub(crate) fn become_follower(&mut self, term: u64, leader: Option<String>, now: f64) {
         if term > self.term {
             self.set_term(term, None);
         }
         if self.role == Role::Leader || self.role == Role::Candidate || self.role == Role::PreCandidate {
             self.role = Role::Follower;
             self.votes.clear();
-            let reads = std::mem::take(&mut self.reads);
-            self.out.extend(reads.into_iter().map(|read| Action::ReadFailed { read_id: read.id }));
-            self.stand_later(now);
+            let reads = std::mem::take(&mut self.pending_reads);
+            self.actions.extend(reads.into_iter().map(|read| Action::ReadFailed { read_id: read.id }));
+            self.reset_election_timer(now);
         }
         if leader.is_some() {
-            self.heard = now;
-            self.stand_later(now);
+            self.leader_heard_at = now;
+            self.reset_election_timer(now);
         }
         self.leader = leader;
     }
@@ -389,97 +426,103 @@
         self.term = term;
         self.voted_for.clone_from(&voted_for);
         // What was promised in a term that is over need not be said any more.
-        self.held.retain(|(_, message)| message.term >= term);
-        self.writing.push(Record::Term { term, voted_for });
+        self.held_messages.retain(|(_, message)| message.term >= term);
+        self.unstored_records.push(Record::Term { term, voted_for });
     }
 
     pub(crate) fn hears_leader(&self, now: f64) -> bool {
-        self.role == Role::Leader || now - self.heard < self.times.election
+        self.role == Role::Leader || now - self.leader_heard_at < self.times.election
     }
 
-    pub(crate) fn stand_later(&mut self, now: f64) {
-        self.stand_at = now + self.times.election * (1.0 + self.chance.random::<f64>());
+    pub(crate) fn reset_election_timer(&mut self, now: f64) {
+        self.election_at = now + self.times.election * (1.0 + self.rng.random::<f64>());
     }
 
     // ---- log ----
 
-    pub(crate) fn push(&mut self, entry: Entry) {
-        self.writing.push(Record::Entry(entry.clone()));
-        let number = self.written + 1;
-        match self.brought.back_mut().filter(|(group, _)| *group == number) {
+    pub(crate) fn append_entry(&mut self, entry: Entry) {
+        self.unstored_records.push(Record::Entry(entry.clone()));
+        let number = self.last_group + 1;
+        match self.unsynced_entries.back_mut().filter(|(group, _)| *group == number) {
             Some((_, index)) => *index = entry.index,
-            None => self.brought.push_back((number, entry.index)),
+            None => self.unsynced_entries.push_back((number, entry.index)),
         }
         self.log.push_back(entry);
     }
 
     /// Everything from that index on goes.
-    pub(crate) fn cut(&mut self, from: u64) {
-        self.writing.push(Record::Truncate { from });
+    pub(crate) fn truncate_log(&mut self, from: u64) {
+        self.unstored_records.push(Record::Truncate { from });
         while self.log.back().is_some_and(|entry| entry.index >= from) {
             self.log.pop_back();
         }
-        self.own_stored = self.own_stored.min(from - 1);
-        self.brought.iter_mut().for_each(|(_, index)| *index = (*index).min(from - 1));
+        self.own_match_index = self.own_match_index.min(from - 1);
+        self.unsynced_entries.iter_mut().for_each(|(_, index)| *index = (*index).min(from - 1));
     }
 
     pub(crate) fn commit_to(&mut self, index: u64) {
-        let index = index.min(self.last().index);
-        while self.commit < index {
-            self.commit += 1;
-            let place = (self.commit - self.base.index - 1) as usize;
-            if let Some(entry) = self.log.get(place) {
-                self.out.push(Action::Commit(entry.clone()));
+        let index = index.min(self.last_position().index);
+        while self.commit_index < index {
+            self.commit_index += 1;
+            let position = (self.commit_index - self.snapshot_position.index - 1) as usize;
+            if let Some(entry) = self.log.get(position) {
+                self.actions.push(Action::Commit(entry.clone()));
             }
         }
     }
 
     /// What was committed up to there is in this, from whoever applies it: the log before it goes.
     pub fn compact(&mut self, index: u64, bytes: Vec<u8>) {
-        let Some(place) = self.place(index).filter(|_| index > self.base.index && index <= self.commit)
+        let Some(position) = self
+            .position_of(index)
+            .filter(|_| index > self.snapshot_position.index && index <= self.commit_index)
         else {
             return;
         };
-        self.take_snapshot(place, bytes);
+        self.install_snapshot(position, bytes);
     }
 
-    pub(crate) fn take_snapshot(&mut self, place: Place, bytes: Vec<u8>) {
-        self.writing.push(Record::Snapshot { index: place.index, term: place.term, bytes: bytes.clone() });
-        while self.log.front().is_some_and(|entry| entry.index <= place.index) {
+    pub(crate) fn install_snapshot(&mut self, position: LogPosition, bytes: Vec<u8>) {
+        self.unstored_records.push(Record::Snapshot {
+            index: position.index,
+            term: position.term,
+            bytes: bytes.clone(),
+        });
+        while self.log.front().is_some_and(|entry| entry.index <= position.index) {
             self.log.pop_front();
         }
-        self.base = place;
+        self.snapshot_position = position;
         self.snapshot = Some(Rc::new(bytes));
     }
 
-    pub(crate) fn restored(&mut self, bytes: Rc<Vec<u8>>) {
-        self.commit = self.base.index;
-        self.out.push(Action::Restore { index: self.base.index, bytes });
+    pub(crate) fn push_restore(&mut self, bytes: Rc<Vec<u8>>) {
+        self.commit_index = self.snapshot_position.index;
+        self.actions.push(Action::Restore { index: self.snapshot_position.index, bytes });
     }
 
     // ---- sending ----
 
     pub(crate) fn message(&self, to: &str, body: Body) -> Message {
-        Message { from: self.me.clone(), to: to.into(), term: self.term, body }
+        Message { from: self.own_name.clone(), to: to.into(), term: self.term, body }
     }
 
     pub(crate) fn send(&mut self, to: &str, body: Body) {
         let message = self.message(to, body);
-        self.out.push(Action::Send(message));
+        self.actions.push(Action::Send(message));
     }
 
     /// Sent once all that was written so far is on disk: it is a promise.
-    pub(crate) fn promise(&mut self, to: &str, body: Body) {
+    pub(crate) fn send_once_synced(&mut self, to: &str, body: Body) {
         let message = self.message(to, body);
-        let waits = if self.writing.is_empty() { self.written } else { self.written + 1 };
-        if waits <= self.stored {
-            self.out.push(Action::Send(message))
+        let group = if self.unstored_records.is_empty() { self.last_group } else { self.last_group + 1 };
+        if group <= self.synced_group {
+            self.actions.push(Action::Send(message))
         } else {
-            self.held.push_back((waits, message))
+            self.held_messages.push_back((group, message))
         }
     }
 
-    pub(crate) fn tell(&mut self, out: Action) {
-        self.out.push(out);
+    pub(crate) fn push_action(&mut self, out: Action) {
+        self.actions.push(out);
     }
 }
