--- a/crates/pearfront-consensus/src/election.rs
+++ b/crates/pearfront-consensus/src/election.rs
@@ -1,10 +1,11 @@
-//! Elections: who would vote for me, who does, and the beginning of a term.
+//! Elections: pre-vote, votes and the start of a leader's term. Implements part of `Voter`.
 
 use crate::message::{Body, Entry, LogPosition};
 use crate::voter::{Progress, Role, Voter};
 
 impl Voter {
-    /// No leader was heard for long: asks first whether it could be one, so that a term is not spent in vain.
+    /// Starts a pre-vote after the election time-out. The term only rises once a majority would vote for this
+    /// voter, so that a voter that can't win does not use up terms.
     pub(crate) fn start_pre_vote(&mut self, now: f64) {
         self.reset_election_timer(now);
         if !self.may_stand() {
@@ -45,7 +46,7 @@
         self.set_term(term, Some(own_name));
         let last = self.last_position();
         for peer in self.peers.clone() {
-            // Its own vote is in there.
+            // The request implies this voter's vote for itself, so that vote has to be on disk first.
             self.send_once_synced(&peer, Body::VoteRequest { last });
         }
         self.reset_election_timer(now);
@@ -72,7 +73,7 @@
             return;
         }
         self.votes.insert(from.into());
-        // Its own vote is on disk: the others were only asked then.
+        // Plus its own vote, which is on disk: vote requests are only sent after that.
         if self.votes.len() + 1 < self.majority() {
             return;
         }
--- a/crates/pearfront-consensus/src/lib.rs
+++ b/crates/pearfront-consensus/src/lib.rs
@@ -1,9 +1,12 @@
-//! A small replicated log among 3 or 5 named voters, after Raft: elections with pre-vote and check of quorum, reads that
-//! are linearizable, snapshots in pieces, and voters that forgot. Pure: messages, times and what was stored come in;
-//! messages, records to store and what is committed go out. `Voter` is the way in.
+//! A replicated log among 3 or 5 named voters, after Raft: elections with pre-vote and check-quorum,
+//! linearizable reads, snapshots sent in chunks, and recovery of voters that lost data. Used by
+//! `pearfront-cluster` and by the simulations.
 //!
-//! Ongaro: Consensus: Bridging Theory and Practice (2014); Alagappan and others: Protocol-Aware Recovery (FAST 2018). What
-//! differs, and why, is in `docs/design/consensus.md`.
+//! The crate has no I/O: messages, times and completed writes come in; messages, records to store and committed
+//! entries go out as `Action`s. The entry point is `Voter`.
+//!
+//! Ongaro: Consensus: Bridging Theory and Practice (2014); Alagappan and others: Protocol-Aware Recovery (FAST
+//! 2018). Differences from them, with reasons, are in `docs/design/consensus.md`.
 
 mod election;
 mod message;
--- a/crates/pearfront-consensus/src/message.rs
+++ b/crates/pearfront-consensus/src/message.rs
@@ -1,8 +1,9 @@
-//! What goes between voters, and what each keeps on disk. `decode` is the only way in, and takes nothing on trust.
+//! Messages between voters, and the records that each voter keeps on disk. Incoming bytes pass through
+//! `decode`, which validates them.
 
 use serde::{Deserialize, Serialize};
 
-/// One entry of the log; empty bytes are what a leader begins its term with.
+/// One log entry. A leader starts its term with an entry that has no bytes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     pub index: u64,
@@ -10,16 +11,17 @@
     pub bytes: Vec<u8>,
 }
 
-/// The last entry of a log: the higher term is further on, then the higher index.
+/// The position of a log entry. Ordered by term, then by index, as Raft compares logs.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct LogPosition {
     pub term: u64,
     pub index: u64,
 }
 
+/// What a message says.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Body {
-    /// Would you vote for me in the next term? Changes nothing.
+    /// Asks whether the receiver would vote for the sender in the next term. Changes no state.
     PreVoteRequest {
         last: LogPosition,
     },
@@ -32,7 +34,7 @@
     VoteResponse {
         granted: bool,
     },
-    /// Entries behind that place. `round` ties the answer to when this was sent.
+    /// Log entries that follow `previous`. `round` matches the response to the time of this request.
     AppendRequest {
         previous: LogPosition,
         entries: Vec<Entry>,
@@ -40,13 +42,14 @@
         committed_in_term: bool,
         round: u64,
     },
-    /// All up to `index` is stored here; or, if not taken, nothing behind `index` fits.
+    /// If accepted, the log matches and is stored up to `index`. If not, the receiver has nothing in common
+    /// with the leader after `index`.
     AppendResponse {
         accepted: bool,
         index: u64,
         round: u64,
     },
-    /// Part of the snapshot up to that place.
+    /// Part of the snapshot that covers the log up to `last_included`.
     SnapshotChunk {
         last_included: LogPosition,
         offset: u64,
@@ -54,15 +57,15 @@
         bytes: Vec<u8>,
         round: u64,
     },
-    /// So much of it is here.
+    /// Confirms the bytes of the snapshot up to `next_offset`.
     SnapshotChunkResponse {
         index: u64,
         next_offset: u64,
         round: u64,
     },
-    /// I have just started: how far are you?
+    /// Sent by a voter that has just started: how far is the receiver's log?
     StatusRequest,
-    /// My log goes up to there, in the term of this message; or I have nothing either.
+    /// The sender's last log position, in the term of this message; `empty` if it has no state at all.
     StatusResponse {
         last: LogPosition,
         empty: bool,
@@ -79,31 +82,31 @@
 }
 
 impl Message {
-    /// Its bytes, with a sum in front.
+    /// Encodes the message, with a checksum in front.
     pub fn encode(&self) -> Vec<u8> {
         pearfront_codec::encode(self)
     }
 }
 
-/// A message from its bytes; none if they are not one, whole.
+/// Decodes a message; `None` if the bytes are not one complete, intact message.
 pub fn decode(bytes: &[u8]) -> Option<Message> {
     pearfront_codec::decode(bytes)
 }
 
-/// What a voter keeps on disk, in this order; later ones count.
+/// What a voter keeps on disk. Records are replayed in order; later ones override earlier ones.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// The term, and for whom it voted in it.
+    /// The current term, and the candidate that this voter voted for in it.
     Term {
         term: u64,
         voted_for: Option<String>,
     },
     Entry(Entry),
-    /// All entries from this index on are void.
+    /// Removes all entries from this index on.
     Truncate {
         from: u64,
     },
-    /// All up to there is in this; entries up to it are void.
+    /// State up to `index`; replaces all entries up to it.
     Snapshot {
         index: u64,
         term: u64,
@@ -117,11 +120,12 @@
     }
 }
 
+/// Decodes one record; `None` if the bytes are not one.
 pub fn decode_record(bytes: &[u8]) -> Option<Record> {
     postcard::from_bytes(bytes).ok()
 }
 
-/// Records in one piece, for a store that puts all it has into a snapshot.
+/// Encodes records as one block of bytes, for a store that compacts everything into a snapshot.
 pub fn encode_records(records: &[Record]) -> Vec<u8> {
     let mut bytes = Vec::new();
     for record in records {
@@ -132,7 +136,7 @@
     bytes
 }
 
-/// The records of such a piece.
+/// Decodes the records of such a block.
 pub fn decode_records(bytes: &[u8]) -> Vec<Record> {
     let (mut records, mut rest) = (Vec::new(), bytes);
     while let Some((length, more)) = rest.split_first_chunk::<4>() {
--- a/crates/pearfront-consensus/src/recovery.rs
+++ b/crates/pearfront-consensus/src/recovery.rs
@@ -1,18 +1,23 @@
-//! A voter that forgot must not vote as if it had not: an empty folder, an older copy, or a disk that lost what it had
-//! synced would make two majorities of one. It can't know itself what it lacks. So each that starts asks the others how far
-//! they are, and holds itself to the furthest of them until it has caught up with a leader: it votes only for one that has as
-//! much, only in a term that nobody was in yet, and stands only if it has as much itself. One that has nothing at all votes
-//! only after it has caught up, unless nobody has anything.
+//! Recovery of voters that may have lost data. Used by `Voter` after each start.
+//!
+//! A voter with an empty folder, an older copy of it, or a disk that lost synced data must not vote as if it
+//! had lost nothing: two disjoint majorities would be possible. It can't tell by itself what it lacks. So every
+//! voter that starts asks the others how far their logs go. Until it has caught up with a leader, it votes only
+//! for a candidate whose log reaches as far as the furthest report, and only in a term that is higher than any
+//! reported; it becomes a candidate itself only on the same condition. A voter without any state votes only
+//! once it has caught up, unless no voter has any state.
 
 use crate::message::{Body, LogPosition};
 use crate::voter::{Role, Voter};
 use std::collections::BTreeMap;
 
+/// Whether this voter's data is known to be complete.
 #[derive(Debug, Clone)]
 pub(crate) enum Recovery {
     Complete,
-    /// Goes on asking until it has caught up; what each said last: how far it is, its term, whether it has nothing. One
-    /// that forgot in its turn must not hold this one to what nobody has any more, or nobody could ever be elected.
+    /// Still asking the others. `reports` holds the latest report of each: its last log position, its term, and
+    /// whether it has no state. A newer report replaces an older one: if the reporting voter has lost data
+    /// since, requiring what nobody has any more would make every election impossible.
     CatchingUp {
         started_empty: bool,
         reports: BTreeMap<String, (LogPosition, u64, bool)>,
@@ -30,7 +35,7 @@
         if let Self::CatchingUp { next_request_at, .. } = self { *next_request_at } else { f64::INFINITY }
     }
 
-    /// May it vote for one that is so far, in that term?
+    /// May this voter vote in `term` for a candidate whose log ends at `last`?
     pub fn allows_vote(&self, last: LogPosition, term: u64) -> bool {
         match self {
             Self::Complete => true,
@@ -46,7 +51,7 @@
 }
 
 impl Voter {
-    /// Asks as long as it has to.
+    /// Sends status requests, once per election time-out, until recovery is complete.
     pub(crate) fn request_status(&mut self, now: f64) {
         let interval = self.times.election;
         let Recovery::CatchingUp { next_request_at, .. } = &mut self.recovery else { return };
@@ -59,14 +64,14 @@
         }
     }
 
-    /// Another has started. What it was known to have it may not have any more.
+    /// The sender has restarted, and may have lost entries that it had confirmed before.
     pub(crate) fn on_status_request(&mut self, from: &str) {
         if let Some(follower) = self.followers.get_mut(from) {
             (follower.match_index, follower.snapshot_offset) = (0, None);
         }
         let (last, empty) =
             (self.last_position(), self.term == 0 && self.last_position() == LogPosition::default());
-        // What it says it has must be there after it, too.
+        // Sent after a sync, since the reported entries must survive a restart of this voter.
         self.send_once_synced(from, Body::StatusResponse { last, empty });
     }
 
@@ -74,21 +79,23 @@
         let peer_count = self.peers.len();
         let Recovery::CatchingUp { started_empty, reports, .. } = &mut self.recovery else { return };
         reports.insert(from.into(), (last, term, empty));
-        // One that has nothing may have forgotten everything: only if nobody has anything is it a beginning.
+        // A voter without any state may have lost all of it. This is a new installation only if all voters are
+        // empty.
         if *started_empty && reports.len() == peer_count && reports.values().all(|(.., empty)| *empty) {
             self.recovery = Recovery::Complete;
         }
     }
 
-    /// A leader that has committed in its own term has all that was ever committed; whoever has committed as much has it,
-    /// too.
+    /// Ends recovery. A leader that has committed an entry in its own term has every committed entry, and so
+    /// does a voter that has committed as much.
     pub(crate) fn check_caught_up(&mut self, leader: &str, leader_commit: u64, committed_in_term: bool) {
         let caught_up =
             committed_in_term && self.commit_index >= leader_commit && self.role == Role::Follower;
         if matches!(self.recovery, Recovery::Complete) || !caught_up {
             return;
         }
-        // It may have voted in this term before it forgot: its vote is the leader's, who has won it already.
+        // This voter may have voted in this term before it lost its data. Recording the vote for the leader is
+        // safe, as the leader has already won the term.
         let (term, voted_for) = (self.term, Some(leader.to_string()));
         if self.voted_for != voted_for {
             self.set_term(term, voted_for);
--- a/crates/pearfront-consensus/src/replication.rs
+++ b/crates/pearfront-consensus/src/replication.rs
@@ -1,4 +1,5 @@
-//! The leader's work and the followers': entries, snapshots in pieces, what is committed, reads, check of quorum.
+//! Log replication: entries, snapshots in chunks, commit index, linearizable reads, and the leader's
+//! check-quorum. Implements part of `Voter`, for leader and follower.
 
 use crate::message::{Body, Entry, LogPosition};
 use crate::times::{MAX_APPEND_BYTES, MAX_ENTRIES, SNAPSHOT_CHUNK_BYTES};
@@ -7,7 +8,8 @@
 impl Voter {
     // ---- leader ----
 
-    /// Proposes an entry; its index and term, if this voter leads. It is committed once it comes out as such.
+    /// Proposes an entry. Returns its index and term if this voter leads; the entry is committed only once it
+    /// comes out as `Action::Commit`.
     pub fn propose(&mut self, bytes: Vec<u8>, now: f64) -> Option<(u64, u64)> {
         if self.role != Role::Leader {
             return None;
@@ -18,12 +20,13 @@
         Some((index, term))
     }
 
-    /// Asks for the index that a linearizable read has to see: `Out::Read` or `Out::NoRead` answers.
+    /// Requests the index that a linearizable read has to wait for. The result is `Action::ReadReady` or
+    /// `Action::ReadFailed`.
     pub fn request_read(&mut self, read_id: u64, now: f64) {
         if self.role != Role::Leader {
             return self.push_action(Action::ReadFailed { read_id });
         }
-        // Before its first own entry is committed it may not know of all that is.
+        // Until the first entry of its own term is committed, the leader may not know of all committed entries.
         let index = self.commit_index.max(self.first_index_of_term());
         self.round += 1;
         self.pending_reads.push(PendingRead { id: read_id, index, round: self.round });
@@ -35,7 +38,8 @@
         self.last_position().index + 1 - in_term
     }
 
-    /// Beats, and steps down if no majority was heard for as long as another may have been elected.
+    /// Sends heartbeats. Steps down if no majority has responded for an election time-out, since another leader
+    /// may have been elected.
     pub(crate) fn tick_leader(&mut self, now: f64) {
         if now < self.heartbeat_at {
             return;
@@ -82,13 +86,13 @@
         );
     }
 
-    /// What the other needs is in the snapshot only.
+    /// Sends the next chunk of the snapshot to a follower that needs entries which are no longer in the log.
     fn send_snapshot_chunk(&mut self, name: &str) {
         let (last_included, round) = (self.snapshot_position, self.round);
         let (Some(snapshot), Some(follower)) = (self.snapshot.clone(), self.followers.get_mut(name)) else {
             return;
         };
-        // One that was begun of an older snapshot begins anew.
+        // A transfer of an older snapshot starts over.
         let begun = follower.snapshot_offset.filter(|(index, _)| *index == last_included.index);
         let (_, offset) = *follower.snapshot_offset.insert(begun.unwrap_or((last_included.index, 0)));
         let from = (offset as usize).min(snapshot.len());
@@ -119,7 +123,7 @@
         } else {
             follower.next_index = (index + 1).min(follower.next_index).max(follower.match_index + 1);
         }
-        // The rest follows at once, not with the next beat.
+        // Sends what is left at once instead of with the next heartbeat.
         if !accepted || follower.next_index <= last {
             self.send_entries(from);
         }
@@ -152,8 +156,8 @@
         self.advance_commit(now);
     }
 
-    /// What a majority has stored is committed, if it ends in an entry of this term (Raft, 5.4.2); reads whose round a
-    /// majority has answered may go.
+    /// Commits what a majority has stored, if it ends in an entry of the current term (Raft, section 5.4.2),
+    /// and releases reads whose round a majority has acknowledged.
     pub(crate) fn advance_commit(&mut self, _now: f64) {
         if self.role != Role::Leader {
             return;
@@ -190,11 +194,11 @@
         (leader_commit, committed_in_term): (u64, bool),
         round: u64,
     ) {
-        // What is in its snapshot is committed and needs no look.
+        // Entries covered by the snapshot are committed, so they match.
         let matches = previous.index <= self.snapshot_position.index
             || self.position_of(previous.index) == Some(previous);
         if !matches {
-            // Nothing of that term or later is common: back to before it, at once.
+            // Backs up past all entries of that term or later in one step, since none of them can match.
             let highest = self.last_position().index.min(previous.index.saturating_sub(1));
             let common =
                 self.log.iter().rev().find(|entry| entry.index <= highest && entry.term <= previous.term);
@@ -213,7 +217,7 @@
             }
             self.append_entry(entry);
         }
-        // It is said to fit up to there and no further: what follows here may be another's.
+        // The log is only known to match up to `last_index`; later entries may stem from another leader.
         self.commit_to(leader_commit.min(last_index));
         self.check_caught_up(from, leader_commit, committed_in_term);
         self.send_once_synced(from, Body::AppendResponse { accepted: true, index: last_index, round });
@@ -228,7 +232,7 @@
         round: u64,
     ) {
         if last_included.index <= self.commit_index {
-            // It has all of that.
+            // The snapshot covers nothing that is not committed here already.
             return self.send_once_synced(
                 from,
                 Body::SnapshotChunkResponse { index: last_included.index, next_offset: total_bytes, round },
--- a/crates/pearfront-consensus/src/voter.rs
+++ b/crates/pearfront-consensus/src/voter.rs
@@ -1,4 +1,5 @@
-//! One voter: its state, what comes in, and what waits for the disk.
+//! `Voter`: the state of one voter, its inputs, and what waits for the disk. The rest of it is in `election`,
+//! `replication` and `recovery`.
 
 use crate::message::{Body, Entry, LogPosition, Message, Record};
 use crate::recovery::Recovery;
@@ -8,17 +9,18 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
-/// What a voter had on disk.
+/// What a voter had stored on disk.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PersistentState {
     pub term: u64,
     pub voted_for: Option<String>,
+    /// Index, term and bytes.
     pub snapshot: Option<(u64, u64, Vec<u8>)>,
     pub entries: Vec<Entry>,
 }
 
 impl PersistentState {
-    /// As few records as bring it back.
+    /// The shortest list of records that restores this state.
     pub fn into_records(self) -> Vec<Record> {
         let Self { term, voted_for, snapshot, entries } = self;
         let mut all = vec![Record::Term { term, voted_for }];
@@ -28,7 +30,7 @@
     }
 }
 
-/// Puts records together again, in their order.
+/// Replays stored records in their order.
 pub fn recover(records: impl IntoIterator<Item = Record>) -> PersistentState {
     let mut stored_state = PersistentState::default();
     for record in records {
@@ -47,56 +49,58 @@
     stored_state
 }
 
+/// Role of a voter in its current term.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
     Follower,
-    /// Asks whether it could be elected.
+    /// Runs a pre-vote.
     PreCandidate,
     Candidate,
     Leader,
 }
 
-/// What is to be done outside, in this order.
+/// What the caller has to do, in this order.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Store and sync these; then `stored` with this number. Numbers rise by one.
+    /// Store and sync these records, then call `on_stored` with this number. Numbers rise by one.
     Store {
         number: u64,
         records: Vec<Record>,
     },
     Send(Message),
-    /// Committed, in order and once, but for what a snapshot brings.
+    /// Entry that is committed; each comes once and in order, apart from those covered by a snapshot.
     Commit(Entry),
-    /// Everything up to there is in this; it takes the place of what was applied.
+    /// State up to `index`; replaces everything applied so far.
     Restore {
         index: u64,
         bytes: Rc<Vec<u8>>,
     },
-    /// That read may be answered once everything up to there is applied.
+    /// The read may be answered once everything up to `index` is applied.
     ReadReady {
         read_id: u64,
         index: u64,
     },
-    /// That read can't be answered here.
+    /// The read can't be answered by this voter.
     ReadFailed {
         read_id: u64,
     },
 }
 
-/// A leader's knowledge of one other.
+/// A leader's view of one follower.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Progress {
-    /// All up to there is stored there.
+    /// Highest index known to be stored on the follower.
     pub match_index: u64,
-    /// The next that is sent.
+    /// Next index to send.
     pub next_index: u64,
-    /// When it last answered, and to which round.
+    /// When it last responded, and the highest round that it acknowledged.
     pub last_response_at: f64,
     pub acked_round: u64,
-    /// Next byte of the snapshot that it is sent, if it is.
+    /// Index of the snapshot being sent, and the next byte of it.
     pub snapshot_offset: Option<(u64, u64)>,
 }
 
+/// A linearizable read that waits for a majority to acknowledge its round.
 #[derive(Debug, Clone)]
 pub(crate) struct PendingRead {
     pub id: u64,
@@ -104,6 +108,7 @@
     pub round: u64,
 }
 
+/// One voter of the replicated log.
 #[derive(Clone)]
 pub struct Voter {
     pub(crate) own_name: String,
@@ -113,13 +118,13 @@
     pub(crate) term: u64,
     pub(crate) voted_for: Option<String>,
     pub(crate) log: VecDeque<Entry>,
-    /// The last entry that is in the snapshot, and not in the log.
+    /// Last entry covered by the snapshot; the log begins after it.
     pub(crate) snapshot_position: LogPosition,
     pub(crate) snapshot: Option<Rc<Vec<u8>>>,
     pub(crate) commit_index: u64,
     pub(crate) role: Role,
     pub(crate) leader: Option<String>,
-    /// When a leader was last heard, and when to stand if none is.
+    /// When a leader was last heard, and when the election time-out expires.
     pub(crate) leader_heard_at: f64,
     pub(crate) election_at: f64,
     pub(crate) votes: BTreeSet<String>,
@@ -128,22 +133,23 @@
     pub(crate) followers: BTreeMap<String, Progress>,
     pub(crate) pending_reads: Vec<PendingRead>,
     pub(crate) recovery: Recovery,
-    /// Snapshot that comes in, by its last index.
+    /// Snapshot being received, by its last included position.
     pub(crate) incoming_snapshot: Option<(LogPosition, Vec<u8>)>,
     actions: Vec<Action>,
     unstored_records: Vec<Record>,
-    /// Number of the last group given out to be stored, and of the last that is.
+    /// Number of the last group of records handed out for storing, and of the last that is synced.
     last_group: u64,
     synced_group: u64,
-    /// Messages that are true only once that group is stored.
+    /// Messages that may only be sent once the given group is synced.
     held_messages: VecDeque<(u64, Message)>,
-    /// Last entries by the group that brings them; what of the log is stored.
+    /// Last entry index per group that is not synced yet.
     unsynced_entries: VecDeque<(u64, u64)>,
     pub(crate) own_match_index: u64,
 }
 
 impl Voter {
-    /// A voter as its disk had it. It takes part in votes only after the others have told what they know of it.
+    /// Creates a voter from its stored state. It takes part in votes only after the others have reported how
+    /// far their logs go (see `recovery`).
     pub fn new(
         own_name: &str,
         voters: &[String],
@@ -196,37 +202,42 @@
         voter
     }
 
-    // ---- what may be read ----
+    // ---- state ----
 
+    /// Its role in the current term.
     pub fn role(&self) -> Role {
         self.role
     }
 
+    /// The current term.
     pub fn term(&self) -> u64 {
         self.term
     }
 
-    /// Who leads, as far as is known here.
+    /// The current leader, if it is known here.
     pub fn leader(&self) -> Option<&str> {
         self.leader.as_deref()
     }
 
+    /// Highest index known to be committed.
     pub fn commit_index(&self) -> u64 {
         self.commit_index
     }
 
-    /// May it stand? Not before the others have told how far they are, nor while it has less.
+    /// May this voter become a candidate? Not before the others have reported their positions, nor while its
+    /// own log is shorter.
     pub fn may_stand(&self) -> bool {
         self.recovery.allows_vote(self.last_position(), self.term + 1)
     }
 
-    /// Does it lead, and has it committed in its own term? Then it has all that was ever committed.
+    /// Does it lead, and has it committed an entry in its own term? Only then does it know of all committed
+    /// entries.
     pub fn has_committed_in_term(&self) -> bool {
         self.role == Role::Leader
             && self.position_of(self.commit_index).is_some_and(|position| position.term == self.term)
     }
 
-    /// Index of its last entry.
+    /// Index of the last log entry.
     pub fn last_index(&self) -> u64 {
         self.last_position().index
     }
@@ -241,7 +252,7 @@
             .map_or(self.snapshot_position, |entry| LogPosition { term: entry.term, index: entry.index })
     }
 
-    /// The place of that index, if it is in the log or the last of the snapshot.
+    /// Position of the entry with that index, if it is in the log or the last one in the snapshot.
     pub(crate) fn position_of(&self, index: u64) -> Option<LogPosition> {
         if index == self.snapshot_position.index {
             return Some(self.snapshot_position);
@@ -251,8 +262,8 @@
         Some(LogPosition { term: entry.term, index })
     }
 
-    /// Everything that decides what it does next, times as they are to now: two voters with the same do the same but for
-    /// chance. For checks that go through all that may happen.
+    /// Everything that determines this voter's future behaviour apart from randomness, with times relative to
+    /// `now`. Exhaustive checks use it to recognize equal states.
     pub fn fingerprint(&self, now: f64) -> String {
         let heartbeats_since = |since: f64| ((now - since) / self.times.heartbeat).min(1000.0) as i64;
         let followers: Vec<_> = self
@@ -290,13 +301,13 @@
         format!("{own:?}{log:?}{followers:?}{disk:?}{:?}", self.recovery)
     }
 
-    /// When it wants to be called at the latest, ms.
+    /// Latest time at which `tick` must be called, ms.
     pub fn due(&self) -> f64 {
         let heartbeat = if self.role == Role::Leader { self.heartbeat_at } else { f64::INFINITY };
         heartbeat.min(self.election_at).min(self.recovery.due())
     }
 
-    /// What has to be done outside now.
+    /// Takes the actions that are pending; the caller has to carry them out.
     pub fn take_actions(&mut self) -> Vec<Action> {
         if !self.unstored_records.is_empty() {
             let records = std::mem::take(&mut self.unstored_records);
@@ -306,8 +317,9 @@
         std::mem::take(&mut self.actions)
     }
 
-    // ---- what comes in ----
+    // ---- inputs ----
 
+    /// Runs the timers that have expired.
     pub fn tick(&mut self, now: f64) {
         self.request_status(now);
         if self.role == Role::Leader {
@@ -317,8 +329,8 @@
         }
     }
 
-    /// That voter's process has ended, for certain: if it led nobody has to wait for it. Times decide nothing but when
-    /// somebody stands, so a proof that were none would cost an election and no more.
+    /// That voter's process has ended, by proof. If it led, the election need not wait for the time-out. Timing
+    /// only affects when a voter becomes a candidate, so a wrong proof would cost one election and no safety.
     pub fn process_ended(&mut self, name: &str, now: f64) {
         if self.leader.as_deref() == Some(name) && self.role != Role::Leader {
             self.leader = None;
@@ -327,13 +339,13 @@
         }
     }
 
-    /// A group of records is stored and synced.
+    /// Group `number` of records is stored and synced.
     pub fn on_stored(&mut self, number: u64, now: f64) {
         self.synced_group = self.synced_group.max(number);
         while let Some((_, index)) =
             self.unsynced_entries.front().filter(|(group, _)| *group <= self.synced_group)
         {
-            // It may have been cut since.
+            // The log may have been truncated since.
             self.own_match_index = (*index).min(self.last_position().index);
             self.unsynced_entries.pop_front();
         }
@@ -347,7 +359,7 @@
         }
     }
 
-    /// A message came. One of another installation's voters is none of ours.
+    /// Handles a message. Messages of processes that are not voters of this installation are dropped.
     pub fn receive(&mut self, message: Message, now: f64) {
         if message.to != self.own_name || !self.peers.contains(&message.from) {
             return;
@@ -355,9 +367,9 @@
         let Message { from, term, body, .. } = message;
         let is_query =
             matches!(body, Body::PreVoteRequest { .. } | Body::PreVoteResponse { .. } | Body::StatusRequest);
-        // What it is told at its start brings it into the latest term: to stand above that is then the next.
-        // Pre-votes speak of a term that nobody is in yet, and a voter that hears a leader does not follow one who wants
-        // to be another: whoever was cut off would unseat it.
+        // The term of a status response is adopted, so that a later candidacy is above it. Pre-vote messages
+        // name a term that nobody has entered yet. A voter that hears a leader ignores vote requests, or a
+        // voter returning from a partition would depose the leader.
         let ignored = matches!(body, Body::VoteRequest { .. }) && self.hears_leader(now);
         if term > self.term && !is_query && !ignored {
             self.become_follower(term, None, now);
@@ -368,7 +380,7 @@
             Body::StatusRequest => self.on_status_request(&from),
             Body::StatusResponse { last, empty } => self.on_status_response(&from, term, last, empty),
             Body::VoteRequest { last } => self.on_vote_request(&from, term, last, now),
-            // What is left is of this term, or over.
+            // All other messages are only valid in the current term.
             _ if term < self.term => self.reject_stale_term(&from, &body),
             Body::VoteResponse { granted } => self.on_vote_response(&from, granted, now),
             Body::AppendRequest { previous, entries, leader_commit, committed_in_term, round } => {
@@ -388,7 +400,7 @@
         }
     }
 
-    /// One that speaks of a term that is over hears of this one.
+    /// Informs a leader of an earlier term about the current one.
     fn reject_stale_term(&mut self, from: &str, body: &Body) {
         match body {
             Body::AppendRequest { round, .. } => {
@@ -401,9 +413,9 @@
         }
     }
 
-    // ---- ways from one state to the next ----
+    // ---- transitions ----
 
-    /// Follows in that term, a leader if one is known.
+    /// Becomes a follower in that term, of that leader if it is known.
     pub(crate) fn become_follower(&mut self, term: u64, leader: Option<String>, now: f64) {
         if term > self.term {
             self.set_term(term, None);
@@ -425,7 +437,7 @@
     pub(crate) fn set_term(&mut self, term: u64, voted_for: Option<String>) {
         self.term = term;
         self.voted_for.clone_from(&voted_for);
-        // What was promised in a term that is over need not be said any more.
+        // Promises made in an earlier term have no effect any more.
         self.held_messages.retain(|(_, message)| message.term >= term);
         self.unstored_records.push(Record::Term { term, voted_for });
     }
@@ -450,7 +462,7 @@
         self.log.push_back(entry);
     }
 
-    /// Everything from that index on goes.
+    /// Removes all entries from this index on.
     pub(crate) fn truncate_log(&mut self, from: u64) {
         self.unstored_records.push(Record::Truncate { from });
         while self.log.back().is_some_and(|entry| entry.index >= from) {
@@ -471,7 +483,7 @@
         }
     }
 
-    /// What was committed up to there is in this, from whoever applies it: the log before it goes.
+    /// Replaces the log up to `index`, which has to be committed, by a snapshot of the applied state.
     pub fn compact(&mut self, index: u64, bytes: Vec<u8>) {
         let Some(position) = self
             .position_of(index)
@@ -511,7 +523,7 @@
         self.actions.push(Action::Send(message));
     }
 
-    /// Sent once all that was written so far is on disk: it is a promise.
+    /// Sends the message once everything written so far is synced, as it promises that this is durable.
     pub(crate) fn send_once_synced(&mut self, to: &str, body: Body) {
         let message = self.message(to, body);
         let group = if self.unstored_records.is_empty() { self.last_group } else { self.last_group + 1 };
