--- a/crates/pearfront-cluster/src/board.rs
+++ b/crates/pearfront-cluster/src/board.rs
@@ -295,7 +295,7 @@
             holders: waits
                 .map(|waits| waits.holders.iter().map(TakenView::new).collect())
                 .unwrap_or_default(),
-            ran_ms_ago: waits.and_then(|waits| waits.ran_ago),
+            ran_ms_ago: waits.and_then(|waits| waits.last_run_ago),
             leader: self.agent.leader().map(str::to_string),
         }
     }
--- a/crates/pearfront-cluster/src/duty_view.rs
+++ b/crates/pearfront-cluster/src/duty_view.rs
@@ -13,7 +13,7 @@
 
 impl TakenView {
     pub(crate) fn new(taken: &HolderInfo) -> Self {
-        Self { name: taken.name.clone(), token: taken.token, left_ms: taken.left }
+        Self { name: taken.name.clone(), token: taken.token, left_ms: taken.remaining }
     }
 }
 
@@ -34,8 +34,8 @@
             duty: listed.duty.clone(),
             holders: listed.holders.iter().map(TakenView::new).collect(),
             candidates: listed.candidates.clone(),
-            ran_ms_ago: listed.ran_ago,
-            ran_by: listed.ran_by.clone(),
+            ran_ms_ago: listed.last_run_ago,
+            ran_by: listed.last_run_by.clone(),
         }
     }
 }
--- a/crates/pearfront-duties/src/agent.rs
+++ b/crates/pearfront-duties/src/agent.rs
@@ -5,7 +5,7 @@
     DutyInfo, HeldLease, LeaseRequest, LeaseResponse, Order, Release, ResponseBody, WaitStatus, Want,
 };
 use crate::state::ProcessId;
-use crate::times::{ASKS, LEASE, MAX_WANTS, REMEMBERED, Times, USABLE_LEASE_SHARE};
+use crate::times::{LEASE, MAX_SENT_REQUESTS, MAX_WANTS, REQUESTS_PER_LEASE, Times, USABLE_LEASE_SHARE};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Why it stopped acting.
@@ -48,75 +48,75 @@
 /// One duty that it holds, or is about to be done with.
 struct LocalLease {
     token: u64,
-    lease: f64,
+    duration: f64,
     until: f64,
     acting: bool,
     /// It is told to leave it.
-    leaving: bool,
+    must_leave: bool,
     /// It is done with it, and said so: did it end well?
-    over: Option<bool>,
+    released: Option<bool>,
     /// Since when nothing comes of its acts.
-    failing: Option<f64>,
+    failing_since: Option<f64>,
 }
 
-struct Sent {
+struct SentRequest {
     number: u64,
-    at: f64,
-    holds: Vec<(String, u64)>,
+    sent_at: f64,
+    held: Vec<(String, u64)>,
     orders: usize,
 }
 
 pub struct Agent {
-    me: ProcessId,
+    own_id: ProcessId,
     voters: Vec<String>,
     times: Times,
     wants: BTreeMap<String, Want>,
-    grips: BTreeMap<String, LocalLease>,
-    waits: BTreeMap<String, WaitStatus>,
+    leases: BTreeMap<String, LocalLease>,
+    wait_statuses: BTreeMap<String, WaitStatus>,
     /// Tokens that are over, by duty: none of them is ever begun again, whatever message comes late.
-    over: BTreeMap<String, u64>,
+    ended_tokens: BTreeMap<String, u64>,
     orders: Vec<Order>,
-    list: bool,
+    list_requested: bool,
     /// It wants something no more, said in the ask of that number if in any, and no leader has heard it: a candidate that
     /// is gone must not count as steady.
-    less: Option<Option<u64>>,
-    sent: VecDeque<Sent>,
+    withdrawal: Option<Option<u64>>,
+    sent_requests: VecDeque<SentRequest>,
     number: u64,
     /// Number of the last ask that was answered: what answers an older one is out of date.
-    answered: u64,
+    last_answered: u64,
     leader: Option<String>,
-    turn: usize,
+    next_voter: usize,
     /// Voters in a row that sent it on to another.
-    sent_on: u32,
-    ask_at: f64,
-    answer_by: f64,
-    out: Vec<Action>,
+    redirects: u32,
+    request_at: f64,
+    response_deadline: f64,
+    actions: Vec<Action>,
 }
 
 impl Agent {
-    pub fn new(me: ProcessId, voters: &[String], times: Times) -> Self {
+    pub fn new(own_id: ProcessId, voters: &[String], times: Times) -> Self {
         // Not all begin with the same voter.
-        let turn = me.life as usize % voters.len().max(1);
+        let turn = own_id.life as usize % voters.len().max(1);
         Self {
-            me,
+            own_id,
             voters: voters.to_vec(),
             times,
             wants: BTreeMap::new(),
-            grips: BTreeMap::new(),
-            waits: BTreeMap::new(),
-            over: BTreeMap::new(),
+            leases: BTreeMap::new(),
+            wait_statuses: BTreeMap::new(),
+            ended_tokens: BTreeMap::new(),
             orders: Vec::new(),
-            list: false,
-            less: None,
-            sent: VecDeque::new(),
+            list_requested: false,
+            withdrawal: None,
+            sent_requests: VecDeque::new(),
             number: 0,
-            answered: 0,
+            last_answered: 0,
             leader: None,
-            turn,
-            sent_on: 0,
-            ask_at: f64::INFINITY,
-            answer_by: f64::INFINITY,
-            out: Vec::new(),
+            next_voter: turn,
+            redirects: 0,
+            request_at: f64::INFINITY,
+            response_deadline: f64::INFINITY,
+            actions: Vec::new(),
         }
     }
 
@@ -129,61 +129,61 @@
             return;
         }
         self.wants.insert(want.duty.clone(), want);
-        self.ask_at = now;
+        self.request_at = now;
     }
 
     /// Wants it no more; what it holds of it is given up.
     pub fn unwant(&mut self, duty: &str, now: f64) {
-        self.waits.remove(duty);
+        self.wait_statuses.remove(duty);
         if self.wants.remove(duty).is_some() {
             self.give_up(duty, false, now);
-            self.less = Some(None);
-            self.ask_at = now;
+            self.withdrawal = Some(None);
+            self.request_at = now;
         }
     }
 
     /// Is done with what it holds: from this call on it does not act.
     pub fn give_up(&mut self, duty: &str, succeeded: bool, now: f64) {
-        let Some(grip) = self.grips.get_mut(duty).filter(|grip| grip.over.is_none()) else { return };
-        grip.over = Some(succeeded);
-        let (token, acted) = (grip.token, std::mem::replace(&mut grip.acting, false));
+        let Some(lease) = self.leases.get_mut(duty).filter(|lease| lease.released.is_none()) else { return };
+        lease.released = Some(succeeded);
+        let (token, acted) = (lease.token, std::mem::replace(&mut lease.acting, false));
         if acted {
-            self.out.push(Action::Stopped { duty: duty.into(), token, reason: StopReason::Given });
+            self.actions.push(Action::Stopped { duty: duty.into(), token, reason: StopReason::Given });
         }
-        self.ask_at = now;
+        self.request_at = now;
     }
 
     /// Something came of an act, or not: a duty that is held and not done goes to another.
     pub fn record_outcome(&mut self, duty: &str, done: bool, now: f64) {
-        if let Some(grip) = self.grips.get_mut(duty) {
-            grip.failing = if done { None } else { Some(grip.failing.unwrap_or(now)) };
+        if let Some(lease) = self.leases.get_mut(duty) {
+            lease.failing_since = if done { None } else { Some(lease.failing_since.unwrap_or(now)) };
         }
     }
 
     pub fn order(&mut self, order: Order, now: f64) {
         if self.orders.len() < MAX_WANTS {
             self.orders.push(order);
-            self.ask_at = now;
+            self.request_at = now;
         }
     }
 
     /// Asks for all duties.
     pub fn request_list(&mut self, now: f64) {
-        self.list = true;
-        self.ask_at = now;
+        self.list_requested = true;
+        self.request_at = now;
     }
 
     // ---- what may be read ----
 
     /// May it act now? Its token, and until when.
     pub fn may_act(&self, duty: &str, now: f64) -> Option<(u64, f64)> {
-        let grip = self.grips.get(duty).filter(|grip| grip.acting && now < grip.until)?;
-        Some((grip.token, grip.until))
+        let lease = self.leases.get(duty).filter(|lease| lease.acting && now < lease.until)?;
+        Some((lease.token, lease.until))
     }
 
     /// Is it told to leave that duty?
     pub fn must_leave(&self, duty: &str) -> bool {
-        self.grips.get(duty).is_some_and(|grip| grip.leaving)
+        self.leases.get(duty).is_some_and(|lease| lease.must_leave)
     }
 
     pub fn wants(&self, duty: &str) -> bool {
@@ -192,13 +192,13 @@
 
     /// Duties that it holds, with token and until when it may act; those that it may not act on are not among them.
     pub fn held(&self, now: f64) -> Vec<(&str, u64, f64)> {
-        let acting = self.grips.iter().filter(|(_, grip)| grip.acting && now < grip.until);
-        acting.map(|(duty, grip)| (duty.as_str(), grip.token, grip.until)).collect()
+        let acting = self.leases.iter().filter(|(_, lease)| lease.acting && now < lease.until);
+        acting.map(|(duty, lease)| (duty.as_str(), lease.token, lease.until)).collect()
     }
 
     /// Who has a duty that it waits for, as it was last told.
     pub fn wait_status(&self, duty: &str) -> Option<&WaitStatus> {
-        self.waits.get(duty)
+        self.wait_statuses.get(duty)
     }
 
     pub fn leader(&self) -> Option<&str> {
@@ -207,211 +207,219 @@
 
     /// When it wants to be called at the latest, ms.
     pub fn due(&self) -> f64 {
-        let ends = self.grips.values().filter(|grip| grip.acting).map(|grip| {
-            let failing = grip.failing.map_or(f64::INFINITY, |since| since + self.times.max_failing);
-            grip.until.min(failing)
+        let ends = self.leases.values().filter(|lease| lease.acting).map(|lease| {
+            let failing = lease.failing_since.map_or(f64::INFINITY, |since| since + self.times.max_failing);
+            lease.until.min(failing)
         });
-        ends.fold(self.ask_at.min(self.answer_by), f64::min)
+        ends.fold(self.request_at.min(self.response_deadline), f64::min)
     }
 
     pub fn take_actions(&mut self) -> Vec<Action> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
     // ---- time ----
 
     pub fn tick(&mut self, now: f64) {
-        for (duty, grip) in &mut self.grips {
-            if grip.acting && grip.until <= now {
-                grip.acting = false;
-                self.out.push(Action::Stopped {
+        for (duty, lease) in &mut self.leases {
+            if lease.acting && lease.until <= now {
+                lease.acting = false;
+                self.actions.push(Action::Stopped {
                     duty: duty.clone(),
-                    token: grip.token,
+                    token: lease.token,
                     reason: StopReason::Lapsed,
                 });
             }
         }
-        let after = self.times.max_failing;
-        let failing =
-            |grip: &LocalLease| grip.acting && grip.failing.is_some_and(|since| now >= since + after);
+        let limit = self.times.max_failing;
+        let failing = |lease: &LocalLease| {
+            lease.acting && lease.failing_since.is_some_and(|since| now >= since + limit)
+        };
         let failing: Vec<String> =
-            self.grips.iter().filter(|(_, grip)| failing(grip)).map(|(duty, _)| duty.clone()).collect();
+            self.leases.iter().filter(|(_, lease)| failing(lease)).map(|(duty, _)| duty.clone()).collect();
         failing.iter().for_each(|duty| self.give_up(duty, false, now));
-        if now >= self.answer_by {
+        if now >= self.response_deadline {
             self.leader = None;
-            self.turn += 1;
-            self.ask_at = now;
+            self.next_voter += 1;
+            self.request_at = now;
         }
-        if now >= self.ask_at {
-            self.ask(now);
+        if now >= self.request_at {
+            self.send_request(now);
         }
     }
 
-    fn ask(&mut self, now: f64) {
-        self.ask_at = f64::INFINITY;
-        self.answer_by = f64::INFINITY;
-        let idle = self.wants.is_empty() && self.grips.is_empty() && self.orders.is_empty();
-        if (idle && !self.list && self.less.is_none()) || self.voters.is_empty() {
+    fn send_request(&mut self, now: f64) {
+        self.request_at = f64::INFINITY;
+        self.response_deadline = f64::INFINITY;
+        let idle = self.wants.is_empty() && self.leases.is_empty() && self.orders.is_empty();
+        if (idle && !self.list_requested && self.withdrawal.is_none()) || self.voters.is_empty() {
             return;
         }
         self.number += 1;
-        self.less = self.less.map(|said| Some(said.unwrap_or(self.number)));
-        let live = self.grips.iter().filter(|(_, grip)| grip.over.is_none());
-        let holds: Vec<(String, u64)> = live.map(|(duty, grip)| (duty.clone(), grip.token)).collect();
-        let over = self.grips.iter().filter_map(|(duty, grip)| {
-            grip.over.map(|succeeded| Release { duty: duty.clone(), token: grip.token, succeeded })
+        self.withdrawal = self.withdrawal.map(|number| Some(number.unwrap_or(self.number)));
+        let unreleased = self.leases.iter().filter(|(_, lease)| lease.released.is_none());
+        let held_now: Vec<(String, u64)> =
+            unreleased.map(|(duty, lease)| (duty.clone(), lease.token)).collect();
+        let releases = self.leases.iter().filter_map(|(duty, lease)| {
+            lease.released.map(|succeeded| Release { duty: duty.clone(), token: lease.token, succeeded })
         });
-        let ask = LeaseRequest {
-            from: self.me.clone(),
+        let request = LeaseRequest {
+            from: self.own_id.clone(),
             number: self.number,
-            answered: self.answered,
-            holds,
+            last_answered: self.last_answered,
+            held: held_now,
             wants: self.wants.values().cloned().collect(),
-            over: over.collect(),
+            releases: releases.collect(),
             orders: self.orders.clone(),
-            list: self.list,
+            list: self.list_requested,
         };
         // What it says that it is done with is looked for in the answer, too.
-        let said = self.grips.iter().map(|(duty, grip)| (duty.clone(), grip.token)).collect();
-        let sent = Sent { number: self.number, at: now, holds: said, orders: self.orders.len() };
-        if self.sent.len() == REMEMBERED {
-            self.sent.pop_front();
+        let held = self.leases.iter().map(|(duty, lease)| (duty.clone(), lease.token)).collect();
+        let sent = SentRequest { number: self.number, sent_at: now, held, orders: self.orders.len() };
+        if self.sent_requests.len() == MAX_SENT_REQUESTS {
+            self.sent_requests.pop_front();
         }
-        self.sent.push_back(sent);
-        self.answer_by = now + self.times.response_timeout;
-        let turn = self.turn % self.voters.len();
-        let to = self.leader.clone().unwrap_or_else(|| self.voters[turn].clone());
-        self.out.push(Action::Send { to, request: ask });
+        self.sent_requests.push_back(sent);
+        self.response_deadline = now + self.times.response_timeout;
+        let index = self.next_voter % self.voters.len();
+        let to = self.leader.clone().unwrap_or_else(|| self.voters[index].clone());
+        self.actions.push(Action::Send { to, request });
     }
 
     // ---- what the voters say ----
 
-    pub fn receive(&mut self, told: LeaseResponse, now: f64) {
-        let known = self.sent.iter().position(|sent| sent.number == told.number);
-        let Some(place) = known.filter(|_| told.to == self.me && told.number >= self.answered) else {
+    pub fn receive(&mut self, response: LeaseResponse, now: f64) {
+        let known = self.sent_requests.iter().position(|sent| sent.number == response.number);
+        let Some(index) =
+            known.filter(|_| response.to == self.own_id && response.number >= self.last_answered)
+        else {
             return;
         };
-        match told.body {
+        match response.body {
             ResponseBody::NotLeader { leader } => {
-                if told.number == self.number {
-                    self.elsewhere(&told.from, leader, now);
+                if response.number == self.number {
+                    self.on_not_leader(&response.from, leader, now);
                 }
             }
             ResponseBody::Granted(held) => {
-                let at = self.sent[place].at;
-                self.holds(held, at, now);
+                let sent_at = self.sent_requests[index].sent_at;
+                self.on_held_lease(held, sent_at, now);
             }
-            ResponseBody::Status { held, waits, list, orders } => {
-                self.answered = told.number;
-                self.less = self.less.filter(|said| said.is_none_or(|said| said > told.number));
-                self.leader = Some(told.from);
-                self.sent_on = 0;
-                if told.number == self.number {
-                    self.answer_by = f64::INFINITY;
-                    self.ask_at = self.ask_at.min(now + self.every());
+            ResponseBody::Status { held, waiting, list, order_results } => {
+                self.last_answered = response.number;
+                self.withdrawal =
+                    self.withdrawal.filter(|number| number.is_none_or(|number| number > response.number));
+                self.leader = Some(response.from);
+                self.redirects = 0;
+                if response.number == self.number {
+                    self.response_deadline = f64::INFINITY;
+                    self.request_at = self.request_at.min(now + self.request_interval());
                 }
-                self.stands(place, held, now);
-                self.waits = waits.into_iter().map(|one| (one.duty.clone(), one)).collect();
-                let done = self.sent[place].orders.min(self.orders.len());
+                self.on_status(index, held, now);
+                self.wait_statuses = waiting.into_iter().map(|one| (one.duty.clone(), one)).collect();
+                let done = self.sent_requests[index].orders.min(self.orders.len());
                 if done > 0 {
                     self.orders.drain(..done);
-                    self.sent.iter_mut().for_each(|sent| sent.orders = 0);
-                    self.out.push(Action::OrderResults(orders));
+                    self.sent_requests.iter_mut().for_each(|sent| sent.orders = 0);
+                    self.actions.push(Action::OrderResults(order_results));
                 }
                 if let Some(list) = list {
-                    self.list = false;
-                    self.out.push(Action::List(list));
+                    self.list_requested = false;
+                    self.actions.push(Action::List(list));
                 }
             }
         }
     }
 
-    fn elsewhere(&mut self, from: &str, leader: Option<String>, now: f64) {
-        self.answer_by = f64::INFINITY;
-        self.sent_on += 1;
+    fn on_not_leader(&mut self, from: &str, leader: Option<String>, now: f64) {
+        self.response_deadline = f64::INFINITY;
+        self.redirects += 1;
         self.leader = leader.filter(|name| name != from && self.voters.contains(name));
         if self.leader.is_none() {
-            self.turn += 1;
+            self.next_voter += 1;
         }
         // The first hint is followed at once; two that name each other must not be asked in circles.
-        let pause = if self.leader.is_some() && self.sent_on == 1 { 0.0 } else { self.times.retry_delay };
-        self.ask_at = now + pause;
+        let pause = if self.leader.is_some() && self.redirects == 1 { 0.0 } else { self.times.retry_delay };
+        self.request_at = now + pause;
     }
 
     /// Time between two asks while all goes well.
-    fn every(&self) -> f64 {
+    fn request_interval(&self) -> f64 {
         let leases = self.wants.values().map(|want| want.lease);
-        leases.chain(self.grips.values().map(|grip| grip.lease)).fold(LEASE.1, f64::min) / ASKS
+        leases.chain(self.leases.values().map(|lease| lease.duration)).fold(LEASE.1, f64::min)
+            / REQUESTS_PER_LEASE
     }
 
-    fn stands(&mut self, place: usize, held: Vec<HeldLease>, now: f64) {
-        let (at, said) = (self.sent[place].at, std::mem::take(&mut self.sent[place].holds));
+    fn on_status(&mut self, index: usize, held: Vec<HeldLease>, now: f64) {
+        let (sent_at, previously_held) =
+            (self.sent_requests[index].sent_at, std::mem::take(&mut self.sent_requests[index].held));
         let named: Vec<u64> = held.iter().map(|held| held.token).collect();
-        held.into_iter().for_each(|held| self.holds(held, at, now));
-        for (duty, token) in said.into_iter().filter(|(_, token)| !named.contains(token)) {
-            self.lost(&duty, token);
+        held.into_iter().for_each(|held| self.on_held_lease(held, sent_at, now));
+        for (duty, token) in previously_held.into_iter().filter(|(_, token)| !named.contains(token)) {
+            self.on_token_ended(&duty, token);
         }
     }
 
     /// The log says that this token is over.
-    fn lost(&mut self, duty: &str, token: u64) {
-        let Some(grip) = self.grips.get(duty).filter(|grip| grip.token == token) else { return };
-        if grip.acting {
-            self.out.push(Action::Stopped { duty: duty.into(), token, reason: StopReason::Lost });
+    fn on_token_ended(&mut self, duty: &str, token: u64) {
+        let Some(lease) = self.leases.get(duty).filter(|lease| lease.token == token) else { return };
+        if lease.acting {
+            self.actions.push(Action::Stopped { duty: duty.into(), token, reason: StopReason::Lost });
         }
-        self.grips.remove(duty);
-        self.forget(duty, token);
+        self.leases.remove(duty);
+        self.remember_ended_token(duty, token);
     }
 
-    fn forget(&mut self, duty: &str, token: u64) {
-        let over = self.over.entry(duty.into()).or_default();
-        *over = token.max(*over);
+    fn remember_ended_token(&mut self, duty: &str, token: u64) {
+        let last_ended = self.ended_tokens.entry(duty.into()).or_default();
+        *last_ended = token.max(*last_ended);
         // The oldest say least: a message from before them was answered long ago.
-        if self.over.len() > 2 * MAX_WANTS {
-            let oldest = self.over.iter().min_by_key(|(_, token)| **token).map(|(duty, _)| duty.clone());
-            oldest.and_then(|duty| self.over.remove(&duty));
+        if self.ended_tokens.len() > 2 * MAX_WANTS {
+            let oldest =
+                self.ended_tokens.iter().min_by_key(|(_, token)| **token).map(|(duty, _)| duty.clone());
+            oldest.and_then(|duty| self.ended_tokens.remove(&duty));
         }
     }
 
     /// A voter says that it holds this, at a time after `sent`.
-    fn holds(&mut self, held: HeldLease, sent: f64, now: f64) {
-        let HeldLease { duty, token, lease, renewed, give_up } = held;
-        if self.over.get(&duty).is_some_and(|over| token <= *over) {
+    fn on_held_lease(&mut self, held: HeldLease, sent_at: f64, now: f64) {
+        let HeldLease { duty, token, lease: duration, renewed, give_up } = held;
+        if self.ended_tokens.get(&duty).is_some_and(|last_ended| token <= *last_ended) {
             return;
         }
-        match self.grips.get(&duty).map(|grip| grip.token) {
+        match self.leases.get(&duty).map(|lease| lease.token) {
             Some(other) if other > token => return,
-            Some(other) if other < token => self.lost(&duty, other),
+            Some(other) if other < token => self.on_token_ended(&duty, other),
             _ => {}
         }
         let new = LocalLease {
             token,
-            lease,
+            duration,
             until: f64::NEG_INFINITY,
             acting: false,
-            leaving: false,
-            over: None,
-            failing: None,
+            must_leave: false,
+            released: None,
+            failing_since: None,
         };
-        let grip = self.grips.entry(duty.clone()).or_insert(new);
+        let lease = self.leases.entry(duty.clone()).or_insert(new);
         if renewed {
-            grip.until = grip.until.max(sent + lease * USABLE_LEASE_SHARE);
+            lease.until = lease.until.max(sent_at + duration * USABLE_LEASE_SHARE);
         }
-        if grip.over.is_some() {
+        if lease.released.is_some() {
             return;
         }
-        let told_to_leave = give_up && !grip.leaving;
-        grip.leaving |= give_up;
-        let (until, acting) = (grip.until, grip.acting);
-        if !self.wants.contains_key(&duty) || (grip.leaving && !acting) {
+        let newly_asked_to_leave = give_up && !lease.must_leave;
+        lease.must_leave |= give_up;
+        let (until, acting) = (lease.until, lease.acting);
+        if !self.wants.contains_key(&duty) || (lease.must_leave && !acting) {
             return self.give_up(&duty, false, now);
         }
-        if told_to_leave {
-            self.out.push(Action::Leave { duty: duty.clone(), token });
+        if newly_asked_to_leave {
+            self.actions.push(Action::Leave { duty: duty.clone(), token });
         }
         if !acting && now < until {
-            grip.acting = true;
-            self.out.push(Action::Acquired { duty, token, until });
+            lease.acting = true;
+            self.actions.push(Action::Acquired { duty, token, until });
         }
     }
 }
--- a/crates/pearfront-duties/src/lease_manager.rs
+++ b/crates/pearfront-duties/src/lease_manager.rs
@@ -7,7 +7,7 @@
     WaitStatus, Want,
 };
 use crate::state::{Change, Command, Duties, Entry, Grantee, Holder, ProcessId};
-use crate::times::{ASKS, DEAF, Times};
+use crate::times::{REQUESTS_PER_LEASE, RESPONSE_LOSS_GRACE, Times};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Debug, Clone, PartialEq)]
@@ -24,15 +24,15 @@
     want: Want,
     /// Its last ask that came.
     number: u64,
-    heard: f64,
+    last_request_at: f64,
     /// Since when it has been there without a gap, in this standing or a better one.
-    since: f64,
+    steady_since: f64,
     /// Since when it has been there without having the duty.
-    waits: f64,
+    waiting_since: f64,
 }
 
 /// A grant that was proposed.
-struct Granting {
+struct PendingGrant {
     duty: String,
     who: ProcessId,
     /// The asker's ask that had come by then. Its lease counts from that one: a later ask may come while this leader does
@@ -41,311 +41,351 @@
 }
 
 /// A holder that is to leave.
-struct Going {
-    asked: f64,
+struct PendingMove {
+    requested_at: f64,
     to: Option<String>,
 }
 
 /// One whose asks come may not hear the answers: it does not act then, and must not keep others from it.
-struct Unheard {
+struct UnconfirmedResponse {
     life: u64,
     number: u64,
-    at: f64,
+    sent_at: f64,
 }
 
-struct Lead {
+struct Leadership {
     term: u64,
     /// When each token's lease is over.
-    until: BTreeMap<u64, (String, f64)>,
+    expiries: BTreeMap<u64, (String, f64)>,
     /// Tokens whose end is proposed.
-    ending: BTreeSet<u64>,
-    granting: Vec<Granting>,
-    going: BTreeMap<u64, Going>,
+    ending_tokens: BTreeSet<u64>,
+    pending_grants: Vec<PendingGrant>,
+    pending_moves: BTreeMap<u64, PendingMove>,
     candidates: BTreeMap<String, BTreeMap<String, Candidate>>,
     /// What each process wanted last.
-    wanted: BTreeMap<String, Vec<String>>,
+    wanted_duties: BTreeMap<String, Vec<String>>,
     /// Operators took it from them: not theirs again before then.
-    taken: BTreeMap<(String, String), f64>,
+    blocked_until: BTreeMap<(String, String), f64>,
     /// The first answer to each process that it has not said it heard.
-    unheard: BTreeMap<String, Unheard>,
-    collecting: Vec<LeaseRequest>,
-    reading: Option<(u64, Vec<LeaseRequest>)>,
+    unconfirmed: BTreeMap<String, UnconfirmedResponse>,
+    queued_requests: Vec<LeaseRequest>,
+    read_in_flight: Option<(u64, Vec<LeaseRequest>)>,
 }
 
 pub struct LeaseManager {
-    me: String,
+    own_name: String,
     times: Times,
     /// The log's time, and when that was here.
-    clock: (f64, f64),
-    reads: u64,
-    lead: Option<Lead>,
-    out: Vec<Action>,
+    log_clock: (f64, f64),
+    last_read_id: u64,
+    leadership: Option<Leadership>,
+    actions: Vec<Action>,
 }
 
 impl LeaseManager {
-    pub fn new(me: &str, times: Times) -> Self {
-        Self { me: me.into(), times, clock: (0.0, 0.0), reads: 0, lead: None, out: Vec::new() }
+    pub fn new(own_name: &str, times: Times) -> Self {
+        Self {
+            own_name: own_name.into(),
+            times,
+            log_clock: (0.0, 0.0),
+            last_read_id: 0,
+            leadership: None,
+            actions: Vec::new(),
+        }
     }
 
     pub fn take_actions(&mut self) -> Vec<Action> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
     pub fn is_leading(&self) -> bool {
-        self.lead.is_some()
+        self.leadership.is_some()
     }
 
     fn log_now(&self, now: f64) -> f64 {
-        self.clock.0 + (now - self.clock.1).max(0.0)
+        self.log_clock.0 + (now - self.log_clock.1).max(0.0)
     }
 
     // ---- the log ----
 
     /// This voter leads in that term and has applied all that was committed before it, or it does not lead.
     pub fn set_leadership(&mut self, term: Option<u64>, duties: &Duties, now: f64) {
-        if self.lead.as_ref().map(|lead| lead.term) == term {
+        if self.leadership.as_ref().map(|leadership| leadership.term) == term {
             return;
         }
-        if let Some(lead) = self.lead.take() {
-            let reading = lead.reading.into_iter().flat_map(|(_, requests)| requests);
-            reading.chain(lead.collecting).for_each(|request| self.elsewhere(&request, None));
+        if let Some(leadership) = self.leadership.take() {
+            let in_flight = leadership.read_in_flight.into_iter().flat_map(|(_, requests)| requests);
+            in_flight
+                .chain(leadership.queued_requests)
+                .for_each(|request| self.respond_not_leader(&request, None));
         }
         let Some(term) = term else { return };
         let holders = duties.all().flat_map(|(name, duty)| duty.holders.iter().map(move |one| (name, one)));
-        let until = holders.map(|(name, one)| (one.token, (name.clone(), now + one.lease))).collect();
-        self.lead = Some(Lead {
+        let expiries = holders.map(|(name, one)| (one.token, (name.clone(), now + one.lease))).collect();
+        self.leadership = Some(Leadership {
             term,
-            until,
-            ending: BTreeSet::new(),
-            granting: Vec::new(),
-            going: BTreeMap::new(),
+            expiries,
+            ending_tokens: BTreeSet::new(),
+            pending_grants: Vec::new(),
+            pending_moves: BTreeMap::new(),
             candidates: BTreeMap::new(),
-            wanted: BTreeMap::new(),
-            taken: BTreeMap::new(),
-            unheard: BTreeMap::new(),
-            collecting: Vec::new(),
-            reading: None,
+            wanted_duties: BTreeMap::new(),
+            blocked_until: BTreeMap::new(),
+            unconfirmed: BTreeMap::new(),
+            queued_requests: Vec::new(),
+            read_in_flight: None,
         });
     }
 
     /// A snapshot has taken the place of what was applied.
     pub fn restored(&mut self, duties: &Duties, now: f64) {
-        self.clock = (duties.log_time(), now);
+        self.log_clock = (duties.log_time(), now);
     }
 
     /// An entry was applied, and these came of it.
     pub fn applied(&mut self, changes: Vec<Change>, duties: &Duties, now: f64) {
-        if duties.log_time() > self.clock.0 {
-            self.clock = (duties.log_time(), now);
+        if duties.log_time() > self.log_clock.0 {
+            self.log_clock = (duties.log_time(), now);
         }
         for change in changes {
             match change {
-                Change::Granted { duty, holder } => self.granted(duty, &holder, now),
+                Change::Granted { duty, holder } => self.on_granted(duty, &holder, now),
                 Change::Ended { duty, holder } => {
-                    let Some(lead) = &mut self.lead else { continue };
-                    lead.until.remove(&holder.token);
-                    lead.ending.remove(&holder.token);
-                    lead.going.remove(&holder.token);
-                    let own = lead.candidates.get_mut(&duty).and_then(|all| all.get_mut(&holder.who.name));
+                    let Some(leadership) = &mut self.leadership else { continue };
+                    leadership.expiries.remove(&holder.token);
+                    leadership.ending_tokens.remove(&holder.token);
+                    leadership.pending_moves.remove(&holder.token);
+                    let own =
+                        leadership.candidates.get_mut(&duty).and_then(|all| all.get_mut(&holder.who.name));
                     if let Some(own) = own {
-                        own.waits = now;
+                        own.waiting_since = now;
                     }
-                    self.fill(&duty, duties, now);
+                    self.grant_free(&duty, duties, now);
                 }
                 Change::Refused { duty, who } => {
-                    self.no_more_granting(&duty, &who);
+                    self.remove_pending_grant(&duty, &who);
                 }
             }
         }
     }
 
-    fn no_more_granting(&mut self, duty: &str, who: &ProcessId) -> Option<u64> {
-        let lead = self.lead.as_mut()?;
-        let place = lead.granting.iter().position(|one| one.duty == duty && one.who == *who)?;
-        Some(lead.granting.remove(place).number)
+    fn remove_pending_grant(&mut self, duty: &str, who: &ProcessId) -> Option<u64> {
+        let leadership = self.leadership.as_mut()?;
+        let index = leadership.pending_grants.iter().position(|one| one.duty == duty && one.who == *who)?;
+        Some(leadership.pending_grants.remove(index).number)
     }
 
-    fn granted(&mut self, duty: String, holder: &Holder, now: f64) {
-        let number = self.no_more_granting(&duty, &holder.who);
-        let Some(lead) = &mut self.lead else { return };
-        lead.until.insert(holder.token, (duty.clone(), now + holder.lease));
+    fn on_granted(&mut self, duty: String, holder: &Holder, now: f64) {
+        let number = self.remove_pending_grant(&duty, &holder.who);
+        let Some(leadership) = &mut self.leadership else { return };
+        leadership.expiries.insert(holder.token, (duty.clone(), now + holder.lease));
         if let Some(number) = number {
             let (token, lease) = (holder.token, holder.lease);
             let held = HeldLease { duty, token, lease, renewed: true, give_up: false };
-            self.tell(&holder.who, number, ResponseBody::Granted(held));
+            self.respond(&holder.who, number, ResponseBody::Granted(held));
         }
     }
 
     fn propose(&mut self, command: Command, now: f64) {
         let entry = Entry { at: self.log_now(now), command };
-        self.out.push(Action::Propose(entry.encode()));
+        self.actions.push(Action::Propose(entry.encode()));
     }
 
-    fn tell(&mut self, to: &ProcessId, number: u64, body: ResponseBody) {
-        self.out.push(Action::Respond(LeaseResponse { from: self.me.clone(), to: to.clone(), number, body }));
+    fn respond(&mut self, to: &ProcessId, number: u64, body: ResponseBody) {
+        self.actions.push(Action::Respond(LeaseResponse {
+            from: self.own_name.clone(),
+            to: to.clone(),
+            number,
+            body,
+        }));
     }
 
-    fn elsewhere(&mut self, request: &LeaseRequest, leader: Option<&str>) {
+    fn respond_not_leader(&mut self, request: &LeaseRequest, leader: Option<&str>) {
         let leader = leader.map(str::to_string);
-        self.tell(&request.from, request.number, ResponseBody::NotLeader { leader });
+        self.respond(&request.from, request.number, ResponseBody::NotLeader { leader });
     }
 
     // ---- asks ----
 
     /// An ask came; `leader` is who leads as far as this voter knows.
     pub fn receive(&mut self, request: LeaseRequest, leader: Option<&str>, now: f64) {
-        let Some(lead) = &mut self.lead else { return self.elsewhere(&request, leader) };
-        lead.note(&request, now);
-        lead.collecting.push(request);
-        self.read_on();
+        let Some(leadership) = &mut self.leadership else { return self.respond_not_leader(&request, leader) };
+        leadership.record_request(&request, now);
+        leadership.queued_requests.push(request);
+        self.start_read();
     }
 
     /// One read for all asks that came while the one before it was under way.
-    fn read_on(&mut self) {
-        let Some(lead) = self.lead.as_mut().filter(|lead| lead.reading.is_none()) else { return };
-        if lead.collecting.is_empty() {
+    fn start_read(&mut self) {
+        let Some(leadership) =
+            self.leadership.as_mut().filter(|leadership| leadership.read_in_flight.is_none())
+        else {
+            return;
+        };
+        if leadership.queued_requests.is_empty() {
             return;
         }
-        self.reads += 1;
-        lead.reading = Some((self.reads, std::mem::take(&mut lead.collecting)));
-        self.out.push(Action::Read(self.reads));
+        self.last_read_id += 1;
+        leadership.read_in_flight =
+            Some((self.last_read_id, std::mem::take(&mut leadership.queued_requests)));
+        self.actions.push(Action::Read(self.last_read_id));
     }
 
     /// That read may be answered, or can't be.
-    pub fn read_result(&mut self, read: u64, may: bool, duties: &Duties, now: f64) {
-        let Some(lead) = &mut self.lead else { return };
-        let Some((_, requests)) = lead.reading.take_if(|(number, _)| *number == read) else { return };
+    pub fn read_result(&mut self, read: u64, allowed: bool, duties: &Duties, now: f64) {
+        let Some(leadership) = &mut self.leadership else { return };
+        let Some((_, requests)) = leadership.read_in_flight.take_if(|(number, _)| *number == read) else {
+            return;
+        };
         for request in requests {
-            if may { self.answer(&request, duties, now) } else { self.elsewhere(&request, None) }
+            if allowed { self.answer(&request, duties, now) } else { self.respond_not_leader(&request, None) }
         }
-        self.read_on();
+        self.start_read();
     }
 
     fn answer(&mut self, request: &LeaseRequest, duties: &Duties, now: f64) {
-        for Release { duty, token, succeeded } in &request.over {
+        for Release { duty, token, succeeded } in &request.releases {
             if duties.holder(duty, *token).is_some_and(|holder| holder.who == request.from) {
-                self.end(duty, *token, *succeeded, duties, now);
+                self.propose_end(duty, *token, *succeeded, duties, now);
             }
         }
-        let orders = request.orders.iter().map(|order| self.order(order, duties, now)).collect();
+        let order_results = request.orders.iter().map(|order| self.apply_order(order, duties, now)).collect();
         for want in &request.wants {
-            self.fill(&want.duty, duties, now);
-            self.move_on(&want.duty, duties, now);
+            self.grant_free(&want.duty, duties, now);
+            self.move_to_better(&want.duty, duties, now);
         }
         let held = self.renew(&request.from, duties, now);
-        let waits = request.wants.iter().filter(|want| !held.iter().any(|held| held.duty == want.duty));
-        let waits = waits.map(|want| self.waits(&want.duty, duties, now)).collect();
-        let list = request.list.then(|| self.list(duties, now));
-        if let Some(lead) = &mut self.lead {
-            let unheard = Unheard { life: request.from.life, number: request.number, at: now };
-            lead.unheard.entry(request.from.name.clone()).or_insert(unheard);
+        let waiting = request.wants.iter().filter(|want| !held.iter().any(|held| held.duty == want.duty));
+        let waiting = waiting.map(|want| self.wait_status(&want.duty, duties, now)).collect();
+        let list = request.list.then(|| self.list_duties(duties, now));
+        if let Some(leadership) = &mut self.leadership {
+            let unconfirmed =
+                UnconfirmedResponse { life: request.from.life, number: request.number, sent_at: now };
+            leadership.unconfirmed.entry(request.from.name.clone()).or_insert(unconfirmed);
         }
-        self.tell(&request.from, request.number, ResponseBody::Status { held, waits, list, orders });
+        self.respond(
+            &request.from,
+            request.number,
+            ResponseBody::Status { held, waiting, list, order_results },
+        );
     }
 
     /// All that it holds, renewed but for what it has to leave.
     fn renew(&mut self, who: &ProcessId, duties: &Duties, now: f64) -> Vec<HeldLease> {
-        let Some(lead) = &mut self.lead else { return Vec::new() };
+        let Some(leadership) = &mut self.leadership else { return Vec::new() };
         let mut all = Vec::new();
         for (name, duty) in duties.all() {
             let Some(holder) = duty.holders.iter().find(|holder| holder.who == *who) else { continue };
             let (token, lease) = (holder.token, holder.lease);
-            let going = lead.going.get(&token);
-            let hears = !lead.is_deaf(&who.name, lease, now);
+            let pending_move = leadership.pending_moves.get(&token);
+            let receives = !leadership.misses_responses(&who.name, lease, now);
             // One that is told to leave has a lease's time for that, or it would never have to.
-            let stays = going.is_none_or(|going| now < going.asked + lease);
-            let renewed = hears && stays && !lead.ending.contains(&token);
+            let stays = pending_move.is_none_or(|pending| now < pending.requested_at + lease);
+            let renewed = receives && stays && !leadership.ending_tokens.contains(&token);
             if renewed {
-                lead.until.insert(token, (name.clone(), now + lease));
+                leadership.expiries.insert(token, (name.clone(), now + lease));
             }
-            let give_up = going.is_some();
+            let give_up = pending_move.is_some();
             all.push(HeldLease { duty: name.clone(), token, lease, renewed, give_up });
         }
         all
     }
 
-    fn taken(&self, holders: &[Holder], now: f64) -> Vec<HolderInfo> {
-        let until =
-            |token| self.lead.as_ref().and_then(|lead| lead.until.get(&token)).map(|(_, until)| *until);
-        let taken = |one: &Holder| HolderInfo {
+    fn holder_infos(&self, holders: &[Holder], now: f64) -> Vec<HolderInfo> {
+        let expires_at = |token| {
+            self.leadership
+                .as_ref()
+                .and_then(|leadership| leadership.expiries.get(&token))
+                .map(|(_, expires_at)| *expires_at)
+        };
+        let info = |one: &Holder| HolderInfo {
             name: one.who.name.clone(),
             token: one.token,
-            left: until(one.token).map_or(0.0, |until| (until - now).max(0.0)),
+            remaining: expires_at(one.token).map_or(0.0, |expires_at| (expires_at - now).max(0.0)),
         };
-        holders.iter().map(taken).collect()
+        holders.iter().map(info).collect()
     }
 
-    fn waits(&self, duty: &str, duties: &Duties, now: f64) -> WaitStatus {
-        let holders = self.taken(duties.holders(duty), now);
-        let ran = duties.get(duty).and_then(|duty| duty.ran.as_ref());
+    fn wait_status(&self, duty: &str, duties: &Duties, now: f64) -> WaitStatus {
+        let holders = self.holder_infos(duties.holders(duty), now);
+        let ran = duties.get(duty).and_then(|duty| duty.last_run.as_ref());
         WaitStatus {
             duty: duty.into(),
             holders,
-            ran_ago: ran.map(|ran| (self.log_now(now) - ran.at).max(0.0)),
+            last_run_ago: ran.map(|ran| (self.log_now(now) - ran.at).max(0.0)),
         }
     }
 
-    fn list(&self, duties: &Duties, now: f64) -> Vec<DutyInfo> {
-        let Some(lead) = &self.lead else { return Vec::new() };
+    fn list_duties(&self, duties: &Duties, now: f64) -> Vec<DutyInfo> {
+        let Some(leadership) = &self.leadership else { return Vec::new() };
         let names: BTreeSet<&String> =
-            duties.all().map(|(name, _)| name).chain(lead.candidates.keys()).collect();
-        let listed = |name: &String| {
-            let WaitStatus { duty, holders, ran_ago } = self.waits(name, duties, now);
-            let ran_by = duties.get(name).and_then(|duty| duty.ran.as_ref()).map(|ran| ran.by.clone());
-            let mut waiting: Vec<(Rank, String)> =
-                lead.here(name, now).map(|one| (one.want.rank, one.who.name.clone())).collect();
+            duties.all().map(|(name, _)| name).chain(leadership.candidates.keys()).collect();
+        let info = |name: &String| {
+            let WaitStatus { duty, holders, last_run_ago } = self.wait_status(name, duties, now);
+            let last_run_by =
+                duties.get(name).and_then(|duty| duty.last_run.as_ref()).map(|ran| ran.by.clone());
+            let mut waiting: Vec<(Rank, String)> = leadership
+                .active_candidates(name, now)
+                .map(|one| (one.want.rank, one.who.name.clone()))
+                .collect();
             waiting.sort();
             let candidates = waiting.into_iter().map(|(_, name)| name).collect();
-            DutyInfo { duty, holders, candidates, ran_ago, ran_by }
+            DutyInfo { duty, holders, candidates, last_run_ago, last_run_by }
         };
-        names.into_iter().map(listed).collect()
+        names.into_iter().map(info).collect()
     }
 
-    fn order(&mut self, order: &Order, duties: &Duties, now: f64) -> String {
+    fn apply_order(&mut self, order: &Order, duties: &Duties, now: f64) -> String {
         let Order::Move { duty, token, to } = order;
         let Some(holder) = duties.holder(duty, *token) else {
             return format!("{duty} is not held under token {token}");
         };
-        let Some(lead) = &mut self.lead else { return String::new() };
+        let Some(leadership) = &mut self.leadership else { return String::new() };
         if let Some(name) = to
-            && !lead.here(duty, now).any(|one| one.who.name == *name && one.who != holder.who)
+            && !leadership
+                .active_candidates(duty, now)
+                .any(|one| one.who.name == *name && one.who != holder.who)
         {
             return format!("{name} does not want {duty}");
         }
         let name = holder.who.name.clone();
-        lead.going.entry(*token).or_insert(Going { asked: now, to: to.clone() });
-        lead.taken.insert((duty.clone(), name.clone()), now + holder.lease + self.times.stability);
+        leadership.pending_moves.entry(*token).or_insert(PendingMove { requested_at: now, to: to.clone() });
+        leadership
+            .blocked_until
+            .insert((duty.clone(), name.clone()), now + holder.lease + self.times.stability);
         format!("{name} is told to leave {duty}")
     }
 
     // ---- who has it next ----
 
     /// Grants what is free to those who are best placed.
-    fn fill(&mut self, duty: &str, duties: &Duties, now: f64) {
+    fn grant_free(&mut self, duty: &str, duties: &Duties, now: f64) {
         let log_now = self.log_now(now);
-        while let Some(lead) = &self.lead {
-            let Some(best) = lead.best(duty, None, None, duties, (now, log_now)) else { return };
-            let granting = lead.granting.iter().filter(|one| one.duty == duty).count();
-            if duties.holders(duty).len() + granting >= best.want.max_holders as usize {
+        while let Some(leadership) = &self.leadership {
+            let Some(best) = leadership.best_candidate(duty, None, None, duties, (now, log_now)) else {
+                return;
+            };
+            let pending = leadership.pending_grants.iter().filter(|one| one.duty == duty).count();
+            if duties.holders(duty).len() + pending >= best.want.max_holders as usize {
                 return;
             }
-            let to = self.begin_granting(duty, None, None, duties, now);
+            let to = self.choose_grantee(duty, None, None, duties, now);
             let Some(to) = to else { return };
             self.propose(Command::Grant { duty: duty.into(), to }, now);
         }
     }
 
-    fn begin_granting(
+    fn choose_grantee(
         &mut self,
         duty: &str,
-        but: Option<&ProcessId>,
+        except: Option<&ProcessId>,
         to: Option<&str>,
         duties: &Duties,
         now: f64,
     ) -> Option<Grantee> {
         let log_now = self.log_now(now);
-        let lead = self.lead.as_mut()?;
-        let best = lead.best(duty, but, to, duties, (now, log_now))?;
+        let leadership = self.leadership.as_mut()?;
+        let best = leadership.best_candidate(duty, except, to, duties, (now, log_now))?;
         let (who, number, want) = (best.who.clone(), best.number, &best.want);
         let to = Grantee {
             who: who.clone(),
@@ -353,105 +393,117 @@
             outlives_process: want.outlives_process,
             max_holders: want.max_holders,
         };
-        lead.granting.push(Granting { duty: duty.into(), who, number });
+        leadership.pending_grants.push(PendingGrant { duty: duty.into(), who, number });
         Some(to)
     }
 
     /// Proposes the end of a token, and whoever is best placed after it.
-    fn end(&mut self, duty: &str, token: u64, succeeded: bool, duties: &Duties, now: f64) {
-        let Some(lead) = self.lead.as_mut() else { return };
-        let Some(holder) = duties.holder(duty, token).filter(|_| lead.ending.insert(token)) else { return };
-        let to = lead.going.get(&token).and_then(|going| going.to.clone());
-        let once = |one: &Candidate| one.want.min_interval > 0.0;
+    fn propose_end(&mut self, duty: &str, token: u64, succeeded: bool, duties: &Duties, now: f64) {
+        let Some(leadership) = self.leadership.as_mut() else { return };
+        let Some(holder) = duties.holder(duty, token).filter(|_| leadership.ending_tokens.insert(token))
+        else {
+            return;
+        };
+        let to = leadership.pending_moves.get(&token).and_then(|pending| pending.to.clone());
+        let repeats = |one: &Candidate| one.want.min_interval > 0.0;
         // The run that ends here is not remembered yet: whoever wants it once in a while is asked after it is.
-        let waits = succeeded && lead.candidates.get(duty).is_some_and(|all| all.values().any(once));
-        let next = if waits {
+        let defer = succeeded && leadership.candidates.get(duty).is_some_and(|all| all.values().any(repeats));
+        let next = if defer {
             None
         } else {
-            self.begin_granting(duty, Some(&holder.who), to.as_deref(), duties, now)
+            self.choose_grantee(duty, Some(&holder.who), to.as_deref(), duties, now)
         };
         self.propose(Command::End { duty: duty.into(), token, next, succeeded }, now);
     }
 
     /// A better candidate that has been there for long is to have it.
-    fn move_on(&mut self, duty: &str, duties: &Duties, now: f64) {
-        let (steady, log_now) = (self.times.stability, self.log_now(now));
-        let Some(lead) = self.lead.as_mut() else { return };
+    fn move_to_better(&mut self, duty: &str, duties: &Duties, now: f64) {
+        let (stability, log_now) = (self.times.stability, self.log_now(now));
+        let Some(leadership) = self.leadership.as_mut() else { return };
         let holders = duties.holders(duty);
-        if holders.iter().any(|one| lead.going.contains_key(&one.token) || lead.ending.contains(&one.token)) {
+        if holders.iter().any(|one| {
+            leadership.pending_moves.contains_key(&one.token) || leadership.ending_tokens.contains(&one.token)
+        }) {
             return;
         }
         let rank = |one: &Holder| {
-            let own = lead.candidates.get(duty).and_then(|all| all.get(&one.who.name));
+            let own = leadership.candidates.get(duty).and_then(|all| all.get(&one.who.name));
             own.map(|own| own.want.rank)
         };
-        let held = holders.iter().filter(|one| log_now - one.since >= steady);
+        let held = holders.iter().filter(|one| log_now - one.granted_at >= stability);
         let worst = held.filter_map(|one| rank(one).map(|rank| (rank, one.token))).max();
         let Some((worst, token)) = worst else { return };
-        let Some(best) = lead.best(duty, None, None, duties, (now, log_now)) else { return };
-        if best.want.rank < worst && now - best.since >= steady {
+        let Some(best) = leadership.best_candidate(duty, None, None, duties, (now, log_now)) else { return };
+        if best.want.rank < worst && now - best.steady_since >= stability {
             let to = Some(best.who.name.clone());
-            lead.going.insert(token, Going { asked: now, to });
+            leadership.pending_moves.insert(token, PendingMove { requested_at: now, to });
         }
     }
 
     /// That life of a process is over for certain: what it held and what can't go on without it is free.
     pub fn process_ended(&mut self, who: &ProcessId, duties: &Duties, now: f64) {
-        let Some(lead) = &mut self.lead else { return };
-        lead.forget(who);
-        let mut over = Vec::new();
+        let Some(leadership) = &mut self.leadership else { return };
+        leadership.forget_process(who);
+        let mut freed = Vec::new();
         for (name, duty) in duties.all() {
             let gone = duty.holders.iter().filter(|one| one.who == *who && !one.outlives_process);
-            over.extend(gone.map(|one| (name.clone(), one.token)));
+            freed.extend(gone.map(|one| (name.clone(), one.token)));
         }
-        over.iter().for_each(|(duty, token)| self.end(duty, *token, false, duties, now));
+        freed.iter().for_each(|(duty, token)| self.propose_end(duty, *token, false, duties, now));
     }
 
     // ---- time ----
 
     pub fn due(&self) -> f64 {
-        let Some(lead) = &self.lead else { return f64::INFINITY };
-        let open = lead.until.iter().filter(|(token, _)| !lead.ending.contains(token));
-        open.map(|(_, (_, until))| *until).fold(self.clock.1 + self.times.time_interval, f64::min)
+        let Some(leadership) = &self.leadership else { return f64::INFINITY };
+        let active =
+            leadership.expiries.iter().filter(|(token, _)| !leadership.ending_tokens.contains(token));
+        active
+            .map(|(_, (_, expires_at))| *expires_at)
+            .fold(self.log_clock.1 + self.times.time_interval, f64::min)
     }
 
     pub fn tick(&mut self, duties: &Duties, now: f64) {
-        let Some(lead) = &mut self.lead else { return };
-        let over =
-            lead.until.iter().filter(|(token, (_, until))| *until <= now && !lead.ending.contains(token));
-        let over: Vec<(String, u64)> = over.map(|(token, (duty, _))| (duty.clone(), *token)).collect();
-        lead.taken.retain(|_, until| now < *until);
-        over.iter().for_each(|(duty, token)| self.end(duty, *token, false, duties, now));
-        if now >= self.clock.1 + self.times.time_interval {
-            let remembers = duties.all().any(|(_, duty)| duty.ran.is_some());
+        let Some(leadership) = &mut self.leadership else { return };
+        let expired = leadership.expiries.iter().filter(|(token, (_, expires_at))| {
+            *expires_at <= now && !leadership.ending_tokens.contains(token)
+        });
+        let expired: Vec<(String, u64)> = expired.map(|(token, (duty, _))| (duty.clone(), *token)).collect();
+        leadership.blocked_until.retain(|_, until| now < *until);
+        expired.iter().for_each(|(duty, token)| self.propose_end(duty, *token, false, duties, now));
+        if now >= self.log_clock.1 + self.times.time_interval {
+            let has_last_run = duties.all().any(|(_, duty)| duty.last_run.is_some());
             // Counted from here on in any case: nothing is to be proposed at each call.
             let at = self.log_now(now);
-            if remembers {
+            if has_last_run {
                 self.propose(Command::Time, now);
             }
-            self.clock = (at, now);
+            self.log_clock = (at, now);
         }
     }
 }
 
-impl Lead {
+impl Leadership {
     /// It has been answered for longer than from one ask to the next, and has not said that it heard.
-    fn is_deaf(&self, name: &str, lease: f64, now: f64) -> bool {
-        self.unheard.get(name).is_some_and(|unheard| now - unheard.at > lease / ASKS + DEAF)
+    fn misses_responses(&self, name: &str, lease: f64, now: f64) -> bool {
+        self.unconfirmed.get(name).is_some_and(|unconfirmed| {
+            now - unconfirmed.sent_at > lease / REQUESTS_PER_LEASE + RESPONSE_LOSS_GRACE
+        })
     }
 
     /// What one wants now.
-    fn note(&mut self, request: &LeaseRequest, now: f64) {
+    fn record_request(&mut self, request: &LeaseRequest, now: f64) {
         let name = &request.from.name;
         let wants = request.wants.iter().map(|want| want.lease);
-        let was_deaf = self.is_deaf(name, wants.fold(0.0, f64::max), now);
-        let heard =
-            |unheard: &Unheard| unheard.life != request.from.life || request.answered >= unheard.number;
-        if self.unheard.get(name).is_some_and(heard) {
-            self.unheard.remove(name);
+        let missed_responses = self.misses_responses(name, wants.fold(0.0, f64::max), now);
+        let confirmed = |unconfirmed: &UnconfirmedResponse| {
+            unconfirmed.life != request.from.life || request.last_answered >= unconfirmed.number
+        };
+        if self.unconfirmed.get(name).is_some_and(confirmed) {
+            self.unconfirmed.remove(name);
         }
         let names: Vec<String> = request.wants.iter().map(|want| want.duty.clone()).collect();
-        let before = self.wanted.insert(name.clone(), names.clone()).unwrap_or_default();
+        let before = self.wanted_duties.insert(name.clone(), names.clone()).unwrap_or_default();
         for duty in before.iter().filter(|duty| !names.contains(duty)) {
             if let Some(all) = self.candidates.get_mut(duty) {
                 all.remove(name);
@@ -466,51 +518,58 @@
             if before.is_some_and(|one| one.number > request.number) {
                 continue;
             }
-            let steady = before
-                .filter(|one| !was_deaf && now - one.heard <= one.want.lease)
+            let steady_since = before
+                .filter(|one| !missed_responses && now - one.last_request_at <= one.want.lease)
                 .filter(|one| want.rank <= one.want.rank)
-                .map_or(now, |one| one.since);
-            let waits = before.map_or(now, |one| one.waits.max(steady));
+                .map_or(now, |one| one.steady_since);
+            let waiting_since = before.map_or(now, |one| one.waiting_since.max(steady_since));
             let (who, want, number) = (request.from.clone(), want.clone(), request.number);
-            all.insert(name.clone(), Candidate { who, want, number, heard: now, since: steady, waits });
+            all.insert(
+                name.clone(),
+                Candidate { who, want, number, last_request_at: now, steady_since, waiting_since },
+            );
         }
     }
 
-    fn forget(&mut self, who: &ProcessId) {
-        self.unheard.remove(&who.name);
+    fn forget_process(&mut self, who: &ProcessId) {
+        self.unconfirmed.remove(&who.name);
         self.candidates.values_mut().for_each(|all| all.retain(|_, one| one.who != *who));
         self.candidates.retain(|_, all| !all.is_empty());
     }
 
     /// Those that want it and were heard of lately.
-    fn here(&self, duty: &str, now: f64) -> impl Iterator<Item = &Candidate> {
+    fn active_candidates(&self, duty: &str, now: f64) -> impl Iterator<Item = &Candidate> {
         let all = self.candidates.get(duty).into_iter().flat_map(|all| all.values());
-        all.filter(move |one| now - one.heard <= one.want.lease)
-            .filter(move |one| !self.is_deaf(&one.who.name, one.want.lease, now))
+        all.filter(move |one| now - one.last_request_at <= one.want.lease)
+            .filter(move |one| !self.misses_responses(&one.who.name, one.want.lease, now))
     }
 
     /// Who is best placed of those that could have it: the one named, if it is there, else by standing; of equals the one
     /// that has waited longest, or two of them would give it to each other and nobody else had it.
-    fn best(
+    fn best_candidate(
         &self,
         duty: &str,
-        but: Option<&ProcessId>,
+        except: Option<&ProcessId>,
         to: Option<&str>,
         duties: &Duties,
         (now, log_now): (f64, f64),
     ) -> Option<&Candidate> {
         let has = |who: &ProcessId| duties.holders(duty).iter().any(|holder| holder.who == *who);
-        let gets = |who: &ProcessId| self.granting.iter().any(|one| one.duty == duty && one.who == *who);
-        let taken = |who: &ProcessId| self.taken.contains_key(&(duty.to_string(), who.name.clone()));
-        let ran = duties.get(duty).and_then(|duty| duty.ran.as_ref());
+        let pending =
+            |who: &ProcessId| self.pending_grants.iter().any(|one| one.duty == duty && one.who == *who);
+        let blocked =
+            |who: &ProcessId| self.blocked_until.contains_key(&(duty.to_string(), who.name.clone()));
+        let ran = duties.get(duty).and_then(|duty| duty.last_run.as_ref());
         let due = |want: &Want| ran.is_none_or(|ran| log_now - ran.at >= want.min_interval);
-        let place = |one: &&Candidate| (to != Some(one.who.name.as_str()), one.want.rank);
-        self.here(duty, now)
-            .filter(|one| Some(&one.who) != but && !has(&one.who) && !gets(&one.who) && !taken(&one.who))
+        let order = |one: &&Candidate| (to != Some(one.who.name.as_str()), one.want.rank);
+        self.active_candidates(duty, now)
+            .filter(|one| {
+                Some(&one.who) != except && !has(&one.who) && !pending(&one.who) && !blocked(&one.who)
+            })
             .filter(|one| due(&one.want))
             .min_by(|a, b| {
-                let waited = a.waits.total_cmp(&b.waits);
-                place(a).cmp(&place(b)).then(waited).then_with(|| a.who.name.cmp(&b.who.name))
+                let waited = a.waiting_since.total_cmp(&b.waiting_since);
+                order(a).cmp(&order(b)).then(waited).then_with(|| a.who.name.cmp(&b.who.name))
             })
     }
 }
--- a/crates/pearfront-duties/src/message.rs
+++ b/crates/pearfront-duties/src/message.rs
@@ -49,10 +49,10 @@
     pub from: ProcessId,
     pub number: u64,
     /// Number of the last of its asks whose answer it heard.
-    pub answered: u64,
-    pub holds: Vec<(String, u64)>,
+    pub last_answered: u64,
+    pub held: Vec<(String, u64)>,
     pub wants: Vec<Want>,
-    pub over: Vec<Release>,
+    pub releases: Vec<Release>,
     pub orders: Vec<Order>,
     /// Tell of all duties.
     pub list: bool,
@@ -75,7 +75,7 @@
     pub duty: String,
     pub holders: Vec<HolderInfo>,
     /// Time since the last run that ended well, ms.
-    pub ran_ago: Option<f64>,
+    pub last_run_ago: Option<f64>,
 }
 
 /// Who has it, and until when at the latest if nothing is heard of it any more, ms.
@@ -83,7 +83,7 @@
 pub struct HolderInfo {
     pub name: String,
     pub token: u64,
-    pub left: f64,
+    pub remaining: f64,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -92,8 +92,8 @@
     pub holders: Vec<HolderInfo>,
     /// Who wants it, the best first.
     pub candidates: Vec<String>,
-    pub ran_ago: Option<f64>,
-    pub ran_by: Option<String>,
+    pub last_run_ago: Option<f64>,
+    pub last_run_by: Option<String>,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -101,7 +101,12 @@
     /// Another voter leads, or nobody that this one knows of.
     NotLeader { leader: Option<String> },
     /// How things stand, as seen after the ask came: what the asker holds that is not named here it has no more.
-    Status { held: Vec<HeldLease>, waits: Vec<WaitStatus>, list: Option<Vec<DutyInfo>>, orders: Vec<String> },
+    Status {
+        held: Vec<HeldLease>,
+        waiting: Vec<WaitStatus>,
+        list: Option<Vec<DutyInfo>>,
+        order_results: Vec<String>,
+    },
     /// One duty is the asker's, granted after its ask came.
     Granted(HeldLease),
 }
@@ -115,33 +120,33 @@
     pub body: ResponseBody,
 }
 
-fn named(name: &str) -> bool {
+fn is_name(name: &str) -> bool {
     (1..=MAX_NAME_BYTES).contains(&name.len())
 }
 
 impl Bounded for LeaseRequest {
     fn is_bounded(&self) -> bool {
-        let few = self.wants.len() <= MAX_WANTS
-            && self.holds.len() <= MAX_WANTS
-            && self.over.len() <= MAX_WANTS
+        let lists_fit = self.wants.len() <= MAX_WANTS
+            && self.held.len() <= MAX_WANTS
+            && self.releases.len() <= MAX_WANTS
             && self.orders.len() <= MAX_WANTS;
-        let want = |want: &Want| {
-            named(&want.duty)
+        let valid_want = |want: &Want| {
+            is_name(&want.duty)
                 && (1..=MAX_HOLDERS).contains(&want.max_holders)
                 && (LEASE.0..=LEASE.1).contains(&want.lease)
                 && want.min_interval >= 0.0
         };
-        few && named(&self.from.name) && self.wants.iter().all(want)
+        lists_fit && is_name(&self.from.name) && self.wants.iter().all(valid_want)
     }
 }
 
 impl Bounded for LeaseResponse {
     fn is_bounded(&self) -> bool {
-        let held = |held: &HeldLease| held.lease.is_finite() && held.lease >= 0.0;
+        let valid_lease = |held: &HeldLease| held.lease.is_finite() && held.lease >= 0.0;
         match &self.body {
             ResponseBody::NotLeader { .. } => true,
-            ResponseBody::Status { held: all, .. } => all.iter().all(held),
-            ResponseBody::Granted(one) => held(one),
+            ResponseBody::Status { held, .. } => held.iter().all(valid_lease),
+            ResponseBody::Granted(held) => valid_lease(held),
         }
     }
 }
--- a/crates/pearfront-duties/src/state.rs
+++ b/crates/pearfront-duties/src/state.rs
@@ -62,7 +62,7 @@
     pub lease: f64,
     pub outlives_process: bool,
     /// The log's time when it was granted.
-    pub since: f64,
+    pub granted_at: f64,
 }
 
 /// The last run that ended well.
@@ -75,7 +75,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Duty {
     pub holders: Vec<Holder>,
-    pub ran: Option<LastRun>,
+    pub last_run: Option<LastRun>,
 }
 
 /// What has come of an entry.
@@ -100,7 +100,7 @@
 pub struct Duties {
     at: f64,
     /// The last token that was given, of any duty: one that is forgotten and comes back goes on above its old ones.
-    tokens: u64,
+    last_token: u64,
     duties: BTreeMap<String, Duty>,
 }
 
@@ -111,12 +111,12 @@
     }
 
     pub fn last_token(&self) -> u64 {
-        self.tokens
+        self.last_token
     }
 
     /// Goes on so far above the last token: where others may have been given that nobody here knows of.
     pub fn skip_tokens(&mut self, count: u64) {
-        self.tokens += count;
+        self.last_token += count;
     }
 
     pub fn get(&self, duty: &str) -> Option<&Duty> {
@@ -161,21 +161,21 @@
     fn grant(&mut self, duty: String, to: Grantee) -> Change {
         let known = self.duties.contains_key(&duty);
         let holders = self.holders(&duty);
-        let has = holders.iter().any(|holder| holder.who == to.who);
-        let room = holders.len() < to.max_holders.clamp(1, MAX_HOLDERS) as usize;
-        let named = (1..=MAX_NAME_BYTES).contains(&duty.len());
-        if has || !room || !named || (!known && self.duties.len() >= MAX_DUTIES) {
+        let is_holder = holders.iter().any(|holder| holder.who == to.who);
+        let has_room = holders.len() < to.max_holders.clamp(1, MAX_HOLDERS) as usize;
+        let is_name = (1..=MAX_NAME_BYTES).contains(&duty.len());
+        if is_holder || !has_room || !is_name || (!known && self.duties.len() >= MAX_DUTIES) {
             return Change::Refused { duty, who: to.who };
         }
-        self.tokens += 1;
+        self.last_token += 1;
         let (least, most) = LEASE;
         let lease = if to.lease.is_finite() { to.lease.clamp(least, most) } else { most };
         let holder = Holder {
             who: to.who,
-            token: self.tokens,
+            token: self.last_token,
             lease,
             outlives_process: to.outlives_process,
-            since: self.at,
+            granted_at: self.at,
         };
         self.duties.entry(duty.clone()).or_default().holders.push(holder.clone());
         Change::Granted { duty, holder }
@@ -189,9 +189,9 @@
         };
         let holder = duty.holders.remove(place);
         if succeeded {
-            duty.ran = Some(LastRun { at, by: holder.who.name.clone() });
+            duty.last_run = Some(LastRun { at, by: holder.who.name.clone() });
         }
-        if duty.holders.is_empty() && duty.ran.is_none() {
+        if duty.holders.is_empty() && duty.last_run.is_none() {
             self.duties.remove(name);
         }
         let mut changes = vec![Change::Ended { duty: name.into(), holder }];
--- a/crates/pearfront-duties/src/state/tests.rs
+++ b/crates/pearfront-duties/src/state/tests.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn one_has_it_and_the_next_only_after_it_under_a_higher_token() {
+fn next_holder_gets_a_higher_token_after_the_first_has_ended() {
     let mut duties = Duties::default();
     assert_eq!(grant(&mut duties, "export", grantee("a", 1, 1)), Some(1));
     assert_eq!(grant(&mut duties, "export", grantee("b", 2, 1)), None);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_duty_that_is_forgotten_goes_on_above_its_old_tokens() {
+fn tokens_keep_rising_for_a_duty_that_was_removed() {
     let mut duties = Duties::default();
     grant(&mut duties, "export", grantee("a", 1, 1));
     apply(&mut duties, 1.0, end("export", 1, None, false));
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn so_many_may_hold_a_permit_each_once() {
+fn duty_with_several_holders_grants_each_process_once() {
     let mut duties = Duties::default();
     assert_eq!(grant(&mut duties, "drain/a", grantee("a", 1, 2)), Some(1));
     assert_eq!(grant(&mut duties, "drain/a", grantee("a", 1, 2)), None);
@@ -57,18 +57,18 @@
 }
 
 #[test]
-fn a_run_that_ended_well_is_remembered_with_the_logs_time_which_never_goes_back() {
+fn successful_run_is_recorded_with_the_log_time_which_never_goes_back() {
     let mut duties = Duties::default();
     grant(&mut duties, "export", grantee("a", 1, 1));
     apply(&mut duties, 500.0, Command::Time);
     apply(&mut duties, 100.0, end("export", 1, None, true));
-    assert_eq!(duties.get("export").unwrap().ran, Some(LastRun { at: 500.0, by: "a".into() }));
+    assert_eq!(duties.get("export").unwrap().last_run, Some(LastRun { at: 500.0, by: "a".into() }));
     let back = Duties::decode(&duties.encode());
     assert_eq!(back, Some(duties));
 }
 
 #[test]
-fn what_is_no_entry_changes_nothing() {
+fn invalid_entry_changes_nothing() {
     let mut duties = Duties::default();
     grant(&mut duties, "export", grantee("a", 1, 1));
     let before = duties.clone();
--- a/crates/pearfront-duties/src/times.rs
+++ b/crates/pearfront-duties/src/times.rs
@@ -14,11 +14,11 @@
 /// Bytes of a name.
 pub const MAX_NAME_BYTES: usize = 64;
 /// Asks that a holder remembers; an answer to an older one says too little of now.
-pub const REMEMBERED: usize = 16;
+pub const MAX_SENT_REQUESTS: usize = 16;
 /// Asks in a lease: one that is lost leaves time for two more.
-pub const ASKS: f64 = 4.0;
+pub const REQUESTS_PER_LEASE: f64 = 4.0;
 /// One that is answered and does not say so in its next ask, nor in one repeated after that, hears nothing.
-pub const DEAF: f64 = 500.0;
+pub const RESPONSE_LOSS_GRACE: f64 = 500.0;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Times {
--- a/crates/pearfront-scale/src/measure/duties.rs
+++ b/crates/pearfront-scale/src/measure/duties.rs
@@ -116,7 +116,7 @@
             }
             Word::Ask(ask) => {
                 self.counts.asks += 1;
-                self.counts.renewed += ask.holds.len() as u64;
+                self.counts.renewed += ask.held.len() as u64;
                 self.counts.duty_bytes += encode(ask).len() as u64;
                 return;
             }
