--- a/crates/pearfront-duties/src/agent.rs
+++ b/crates/pearfront-duties/src/agent.rs
@@ -1,5 +1,8 @@
-//! The holder's side: what this process wants, what it holds, and until when it may act. It counts a lease from before it
-//! asked, and of that a part only (`SHARE`), so it has stopped before anyone else may begin, also when it is told nothing.
+//! The holder's side of a duty: what this process wants, what it holds, and until when it may act. Used by
+//! `pearfront-cluster`.
+//!
+//! A lease counts from before the request was sent, and only a share of it is used (`USABLE_LEASE_SHARE`). So
+//! the holder has stopped before anyone else may begin, even if no message reaches it.
 
 use crate::message::{
     DutyInfo, HeldLease, LeaseRequest, LeaseResponse, Order, Release, ResponseBody, WaitStatus, Want,
@@ -8,30 +11,31 @@
 use crate::times::{LEASE, MAX_SENT_REQUESTS, MAX_WANTS, REQUESTS_PER_LEASE, Times, USABLE_LEASE_SHARE};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Why it stopped acting.
+/// Why a holder stopped acting. The variants are printed in log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopReason {
     /// It gave the duty up.
     Given,
-    /// Its lease ran out before a voter renewed it.
+    /// The lease ran out before a voter renewed it.
     Lapsed,
-    /// The log says that it is over.
+    /// The log says that its token has ended.
     Lost,
 }
 
+/// What the caller has to do.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     Send {
         to: String,
         request: LeaseRequest,
     },
-    /// It may act, up to then if nothing renews it.
+    /// It may act until this time, unless the lease is renewed.
     Acquired {
         duty: String,
         token: u64,
         until: f64,
     },
-    /// Another is to have it: whoever acts brings that to an end and calls `give_up`.
+    /// The duty is to move to another process: whoever acts has to finish and call `give_up`.
     Leave {
         duty: String,
         token: u64,
@@ -45,20 +49,21 @@
     OrderResults(Vec<String>),
 }
 
-/// One duty that it holds, or is about to be done with.
+/// A duty that this process holds, or has released without confirmation yet.
 struct LocalLease {
     token: u64,
     duration: f64,
     until: f64,
     acting: bool,
-    /// It is told to leave it.
+    /// The leader has asked for the duty back.
     must_leave: bool,
-    /// It is done with it, and said so: did it end well?
+    /// Released by this process; whether its run succeeded.
     released: Option<bool>,
-    /// Since when nothing comes of its acts.
+    /// Since when its acts have failed without a success.
     failing_since: Option<f64>,
 }
 
+/// A request whose response may still come.
 struct SentRequest {
     number: u64,
     sent_at: f64,
@@ -66,6 +71,7 @@
     orders: usize,
 }
 
+/// The duties of one process, as seen by itself.
 pub struct Agent {
     own_id: ProcessId,
     voters: Vec<String>,
@@ -73,20 +79,20 @@
     wants: BTreeMap<String, Want>,
     leases: BTreeMap<String, LocalLease>,
     wait_statuses: BTreeMap<String, WaitStatus>,
-    /// Tokens that are over, by duty: none of them is ever begun again, whatever message comes late.
+    /// Highest ended token of each duty. Such a token never starts again, however late a message arrives.
     ended_tokens: BTreeMap<String, u64>,
     orders: Vec<Order>,
     list_requested: bool,
-    /// It wants something no more, said in the ask of that number if in any, and no leader has heard it: a candidate that
-    /// is gone must not count as steady.
+    /// Set while a want has been dropped that no leader has confirmed; inside, the number of the first request
+    /// that said so, if any was sent. A candidate that is gone must not count as steady.
     withdrawal: Option<Option<u64>>,
     sent_requests: VecDeque<SentRequest>,
     number: u64,
-    /// Number of the last ask that was answered: what answers an older one is out of date.
+    /// Number of the latest request that was answered; responses to older ones are out of date.
     last_answered: u64,
     leader: Option<String>,
     next_voter: usize,
-    /// Voters in a row that sent it on to another.
+    /// Voters in a row that were not the leader.
     redirects: u32,
     request_at: f64,
     response_deadline: f64,
@@ -95,7 +101,7 @@
 
 impl Agent {
     pub fn new(own_id: ProcessId, voters: &[String], times: Times) -> Self {
-        // Not all begin with the same voter.
+        // Spreads the first requests of several processes over the voters.
         let turn = own_id.life as usize % voters.len().max(1);
         Self {
             own_id,
@@ -120,9 +126,9 @@
         }
     }
 
-    // ---- what its own process says ----
+    // ---- inputs from this process ----
 
-    /// Wants a duty from now on, or wants it otherwise.
+    /// Wants a duty from now on, or changes what it wants.
     pub fn want(&mut self, want: Want, now: f64) {
         let full = self.wants.len() >= MAX_WANTS && !self.wants.contains_key(&want.duty);
         if full || self.wants.get(&want.duty) == Some(&want) {
@@ -132,7 +138,7 @@
         self.request_at = now;
     }
 
-    /// Wants it no more; what it holds of it is given up.
+    /// Withdraws a want; a duty held under it is given up.
     pub fn unwant(&mut self, duty: &str, now: f64) {
         self.wait_statuses.remove(duty);
         if self.wants.remove(duty).is_some() {
@@ -142,7 +148,7 @@
         }
     }
 
-    /// Is done with what it holds: from this call on it does not act.
+    /// Releases a held duty. This process does not act on it after this call.
     pub fn give_up(&mut self, duty: &str, succeeded: bool, now: f64) {
         let Some(lease) = self.leases.get_mut(duty).filter(|lease| lease.released.is_none()) else { return };
         lease.released = Some(succeeded);
@@ -153,13 +159,14 @@
         self.request_at = now;
     }
 
-    /// Something came of an act, or not: a duty that is held and not done goes to another.
+    /// Records whether acts succeed. A holder whose acts fail for `Times::max_failing` gives the duty up.
     pub fn record_outcome(&mut self, duty: &str, done: bool, now: f64) {
         if let Some(lease) = self.leases.get_mut(duty) {
             lease.failing_since = if done { None } else { Some(lease.failing_since.unwrap_or(now)) };
         }
     }
 
+    /// Passes an operator's order on to the leader.
     pub fn order(&mut self, order: Order, now: f64) {
         if self.orders.len() < MAX_WANTS {
             self.orders.push(order);
@@ -167,45 +174,47 @@
         }
     }
 
-    /// Asks for all duties.
+    /// Requests a list of all duties.
     pub fn request_list(&mut self, now: f64) {
         self.list_requested = true;
         self.request_at = now;
     }
 
-    // ---- what may be read ----
+    // ---- state ----
 
-    /// May it act now? Its token, and until when.
+    /// Token and end of the time in which this process may act now, if it may.
     pub fn may_act(&self, duty: &str, now: f64) -> Option<(u64, f64)> {
         let lease = self.leases.get(duty).filter(|lease| lease.acting && now < lease.until)?;
         Some((lease.token, lease.until))
     }
 
-    /// Is it told to leave that duty?
+    /// Has the leader asked for this duty back?
     pub fn must_leave(&self, duty: &str) -> bool {
         self.leases.get(duty).is_some_and(|lease| lease.must_leave)
     }
 
+    /// Does this process want the duty?
     pub fn wants(&self, duty: &str) -> bool {
         self.wants.contains_key(duty)
     }
 
-    /// Duties that it holds, with token and until when it may act; those that it may not act on are not among them.
+    /// Duties that it may act on now, with token and end of that time.
     pub fn held(&self, now: f64) -> Vec<(&str, u64, f64)> {
         let acting = self.leases.iter().filter(|(_, lease)| lease.acting && now < lease.until);
         acting.map(|(duty, lease)| (duty.as_str(), lease.token, lease.until)).collect()
     }
 
-    /// Who has a duty that it waits for, as it was last told.
+    /// Who holds a duty that this process waits for, as of the last response.
     pub fn wait_status(&self, duty: &str) -> Option<&WaitStatus> {
         self.wait_statuses.get(duty)
     }
 
+    /// The voter that answered last as leader.
     pub fn leader(&self) -> Option<&str> {
         self.leader.as_deref()
     }
 
-    /// When it wants to be called at the latest, ms.
+    /// Latest time at which `tick` must be called, ms.
     pub fn due(&self) -> f64 {
         let ends = self.leases.values().filter(|lease| lease.acting).map(|lease| {
             let failing = lease.failing_since.map_or(f64::INFINITY, |since| since + self.times.max_failing);
@@ -214,12 +223,14 @@
         ends.fold(self.request_at.min(self.response_deadline), f64::min)
     }
 
+    /// Takes the actions that are pending.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
     // ---- time ----
 
+    /// Runs the timers that have expired.
     pub fn tick(&mut self, now: f64) {
         for (duty, lease) in &mut self.leases {
             if lease.acting && lease.until <= now {
@@ -273,7 +284,7 @@
             orders: self.orders.clone(),
             list: self.list_requested,
         };
-        // What it says that it is done with is looked for in the answer, too.
+        // Includes released duties, so that the response to this request confirms their end.
         let held = self.leases.iter().map(|(duty, lease)| (duty.clone(), lease.token)).collect();
         let sent = SentRequest { number: self.number, sent_at: now, held, orders: self.orders.len() };
         if self.sent_requests.len() == MAX_SENT_REQUESTS {
@@ -286,8 +297,9 @@
         self.actions.push(Action::Send { to, request });
     }
 
-    // ---- what the voters say ----
+    // ---- inputs from voters ----
 
+    /// Handles a voter's response. Responses to unknown or outdated requests are dropped.
     pub fn receive(&mut self, response: LeaseResponse, now: f64) {
         let known = self.sent_requests.iter().position(|sent| sent.number == response.number);
         let Some(index) =
@@ -338,12 +350,13 @@
         if self.leader.is_none() {
             self.next_voter += 1;
         }
-        // The first hint is followed at once; two that name each other must not be asked in circles.
+        // Only the first redirect is followed at once: two voters that name each other must not be asked in a
+        // tight loop.
         let pause = if self.leader.is_some() && self.redirects == 1 { 0.0 } else { self.times.retry_delay };
         self.request_at = now + pause;
     }
 
-    /// Time between two asks while all goes well.
+    /// Time between two requests while all goes well, ms.
     fn request_interval(&self) -> f64 {
         let leases = self.wants.values().map(|want| want.lease);
         leases.chain(self.leases.values().map(|lease| lease.duration)).fold(LEASE.1, f64::min)
@@ -360,7 +373,7 @@
         }
     }
 
-    /// The log says that this token is over.
+    /// The log says that this token has ended.
     fn on_token_ended(&mut self, duty: &str, token: u64) {
         let Some(lease) = self.leases.get(duty).filter(|lease| lease.token == token) else { return };
         if lease.acting {
@@ -373,7 +386,7 @@
     fn remember_ended_token(&mut self, duty: &str, token: u64) {
         let last_ended = self.ended_tokens.entry(duty.into()).or_default();
         *last_ended = token.max(*last_ended);
-        // The oldest say least: a message from before them was answered long ago.
+        // The oldest entries matter least: messages from before them have been answered long ago.
         if self.ended_tokens.len() > 2 * MAX_WANTS {
             let oldest =
                 self.ended_tokens.iter().min_by_key(|(_, token)| **token).map(|(duty, _)| duty.clone());
@@ -381,7 +394,7 @@
         }
     }
 
-    /// A voter says that it holds this, at a time after `sent`.
+    /// A voter confirms a lease; it counts from `sent_at`, when the request was sent.
     fn on_held_lease(&mut self, held: HeldLease, sent_at: f64, now: f64) {
         let HeldLease { duty, token, lease: duration, renewed, give_up } = held;
         if self.ended_tokens.get(&duty).is_some_and(|last_ended| token <= *last_ended) {
--- a/crates/pearfront-duties/src/lease_manager.rs
+++ b/crates/pearfront-duties/src/lease_manager.rs
@@ -1,6 +1,8 @@
-//! The leader's side: who wants what, whose lease runs how long, and what to propose. Nothing of it is in the log, so a
-//! renewal costs a round among the voters and no write: a new leader counts every lease anew, from after its election,
-//! and so never shorter than any leader before it has promised.
+//! The leader's side: candidates, lease expiry, and what to propose. Used by each voter in `pearfront-cluster`.
+//!
+//! None of this is in the log, so renewing a lease costs a round among the voters but no write. A new leader
+//! starts all leases over, counted from after its election, so they never end before what an earlier leader has
+//! promised.
 
 use crate::message::{
     DutyInfo, HeldLease, HolderInfo, LeaseRequest, LeaseResponse, Order, Rank, Release, ResponseBody,
@@ -10,72 +12,77 @@
 use crate::times::{REQUESTS_PER_LEASE, RESPONSE_LOSS_GRACE, Times};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// What the caller has to do.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Ask the log for a linearizable read of that number; `read` then says what came of it.
+    /// Request a linearizable read with this number from the log; the outcome goes to `read_result`.
     Read(u64),
     Propose(Vec<u8>),
     Respond(LeaseResponse),
 }
 
-/// One that wants a duty.
+/// A process that wants a duty.
 struct Candidate {
     who: ProcessId,
     want: Want,
-    /// Its last ask that came.
+    /// Number of its latest request.
     number: u64,
     last_request_at: f64,
-    /// Since when it has been there without a gap, in this standing or a better one.
+    /// Since when it has been present without a gap, at this rank or a better one.
     steady_since: f64,
-    /// Since when it has been there without having the duty.
+    /// Since when it has been present without holding the duty.
     waiting_since: f64,
 }
 
-/// A grant that was proposed.
+/// A grant that has been proposed and is not committed yet.
 struct PendingGrant {
     duty: String,
     who: ProcessId,
-    /// The asker's ask that had come by then. Its lease counts from that one: a later ask may come while this leader does
-    /// not know yet that another was elected, which counts from its election.
+    /// The grantee's latest request at that time. Its lease counts from that one: a later request may arrive
+    /// when another leader has been elected, unknown to this one, and that leader counts leases from its own
+    /// election.
     number: u64,
 }
 
-/// A holder that is to leave.
+/// A holder that has been asked to hand its duty over.
 struct PendingMove {
     requested_at: f64,
     to: Option<String>,
 }
 
-/// One whose asks come may not hear the answers: it does not act then, and must not keep others from it.
+/// The oldest response that a process has not confirmed. A process whose requests arrive may not receive the
+/// responses; it does not act then, and must not keep the duty from others.
 struct UnconfirmedResponse {
     life: u64,
     number: u64,
     sent_at: f64,
 }
 
+/// State that only exists while this voter leads.
 struct Leadership {
     term: u64,
-    /// When each token's lease is over.
+    /// When the lease of each token expires.
     expiries: BTreeMap<u64, (String, f64)>,
-    /// Tokens whose end is proposed.
+    /// Tokens whose end has been proposed.
     ending_tokens: BTreeSet<u64>,
     pending_grants: Vec<PendingGrant>,
     pending_moves: BTreeMap<u64, PendingMove>,
     candidates: BTreeMap<String, BTreeMap<String, Candidate>>,
-    /// What each process wanted last.
+    /// Duties named in the latest request of each process.
     wanted_duties: BTreeMap<String, Vec<String>>,
-    /// Operators took it from them: not theirs again before then.
+    /// By duty and process: operators have moved the duty away, and it does not return there before this time.
     blocked_until: BTreeMap<(String, String), f64>,
-    /// The first answer to each process that it has not said it heard.
+    /// The first response to each process that it has not confirmed.
     unconfirmed: BTreeMap<String, UnconfirmedResponse>,
     queued_requests: Vec<LeaseRequest>,
     read_in_flight: Option<(u64, Vec<LeaseRequest>)>,
 }
 
+/// Grants and renews leases while this voter leads, and redirects requests otherwise.
 pub struct LeaseManager {
     own_name: String,
     times: Times,
-    /// The log's time, and when that was here.
+    /// The log's time, and the local time that corresponds to it.
     log_clock: (f64, f64),
     last_read_id: u64,
     leadership: Option<Leadership>,
@@ -94,10 +101,12 @@
         }
     }
 
+    /// Takes the actions that are pending.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
+    /// Does this voter lead?
     pub fn is_leading(&self) -> bool {
         self.leadership.is_some()
     }
@@ -106,9 +115,10 @@
         self.log_clock.0 + (now - self.log_clock.1).max(0.0)
     }
 
-    // ---- the log ----
+    // ---- log ----
 
-    /// This voter leads in that term and has applied all that was committed before it, or it does not lead.
+    /// Sets whether this voter leads: the term if it does and has applied everything committed before it, else
+    /// `None`.
     pub fn set_leadership(&mut self, term: Option<u64>, duties: &Duties, now: f64) {
         if self.leadership.as_ref().map(|leadership| leadership.term) == term {
             return;
@@ -137,12 +147,12 @@
         });
     }
 
-    /// A snapshot has taken the place of what was applied.
+    /// A snapshot has replaced the applied state.
     pub fn restored(&mut self, duties: &Duties, now: f64) {
         self.log_clock = (duties.log_time(), now);
     }
 
-    /// An entry was applied, and these came of it.
+    /// An entry has been applied, with these changes.
     pub fn applied(&mut self, changes: Vec<Change>, duties: &Duties, now: f64) {
         if duties.log_time() > self.log_clock.0 {
             self.log_clock = (duties.log_time(), now);
@@ -205,9 +215,9 @@
         self.respond(&request.from, request.number, ResponseBody::NotLeader { leader });
     }
 
-    // ---- asks ----
+    // ---- requests ----
 
-    /// An ask came; `leader` is who leads as far as this voter knows.
+    /// Handles a request; `leader` is the leader known to this voter, for redirects.
     pub fn receive(&mut self, request: LeaseRequest, leader: Option<&str>, now: f64) {
         let Some(leadership) = &mut self.leadership else { return self.respond_not_leader(&request, leader) };
         leadership.record_request(&request, now);
@@ -215,7 +225,7 @@
         self.start_read();
     }
 
-    /// One read for all asks that came while the one before it was under way.
+    /// Starts one read for all requests that arrived while the previous one was in flight.
     fn start_read(&mut self) {
         let Some(leadership) =
             self.leadership.as_mut().filter(|leadership| leadership.read_in_flight.is_none())
@@ -231,7 +241,7 @@
         self.actions.push(Action::Read(self.last_read_id));
     }
 
-    /// That read may be answered, or can't be.
+    /// The read is confirmed, or this voter can't answer it.
     pub fn read_result(&mut self, read: u64, allowed: bool, duties: &Duties, now: f64) {
         let Some(leadership) = &mut self.leadership else { return };
         let Some((_, requests)) = leadership.read_in_flight.take_if(|(number, _)| *number == read) else {
@@ -270,7 +280,7 @@
         );
     }
 
-    /// All that it holds, renewed but for what it has to leave.
+    /// All leases of a process, renewed unless it has to hand the duty over.
     fn renew(&mut self, who: &ProcessId, duties: &Duties, now: f64) -> Vec<HeldLease> {
         let Some(leadership) = &mut self.leadership else { return Vec::new() };
         let mut all = Vec::new();
@@ -279,7 +289,8 @@
             let (token, lease) = (holder.token, holder.lease);
             let pending_move = leadership.pending_moves.get(&token);
             let receives = !leadership.misses_responses(&who.name, lease, now);
-            // One that is told to leave has a lease's time for that, or it would never have to.
+            // A holder that is asked to leave has one lease's time for it. Without a limit it could stay for
+            // ever.
             let stays = pending_move.is_none_or(|pending| now < pending.requested_at + lease);
             let renewed = receives && stays && !leadership.ending_tokens.contains(&token);
             if renewed {
@@ -356,9 +367,9 @@
         format!("{name} is told to leave {duty}")
     }
 
-    // ---- who has it next ----
+    // ---- choice of the next holder ----
 
-    /// Grants what is free to those who are best placed.
+    /// Grants free places to the best candidates.
     fn grant_free(&mut self, duty: &str, duties: &Duties, now: f64) {
         let log_now = self.log_now(now);
         while let Some(leadership) = &self.leadership {
@@ -397,7 +408,7 @@
         Some(to)
     }
 
-    /// Proposes the end of a token, and whoever is best placed after it.
+    /// Proposes the end of a token, with the best candidate as its successor.
     fn propose_end(&mut self, duty: &str, token: u64, succeeded: bool, duties: &Duties, now: f64) {
         let Some(leadership) = self.leadership.as_mut() else { return };
         let Some(holder) = duties.holder(duty, token).filter(|_| leadership.ending_tokens.insert(token))
@@ -406,7 +417,8 @@
         };
         let to = leadership.pending_moves.get(&token).and_then(|pending| pending.to.clone());
         let repeats = |one: &Candidate| one.want.min_interval > 0.0;
-        // The run that ends here is not remembered yet: whoever wants it once in a while is asked after it is.
+        // This run is only recorded when the entry is applied, so candidates with a minimum interval are chosen
+        // after that.
         let defer = succeeded && leadership.candidates.get(duty).is_some_and(|all| all.values().any(repeats));
         let next = if defer {
             None
@@ -416,7 +428,7 @@
         self.propose(Command::End { duty: duty.into(), token, next, succeeded }, now);
     }
 
-    /// A better candidate that has been there for long is to have it.
+    /// Asks a holder to leave if a better candidate has been present for long enough.
     fn move_to_better(&mut self, duty: &str, duties: &Duties, now: f64) {
         let (stability, log_now) = (self.times.stability, self.log_now(now));
         let Some(leadership) = self.leadership.as_mut() else { return };
@@ -440,7 +452,7 @@
         }
     }
 
-    /// That life of a process is over for certain: what it held and what can't go on without it is free.
+    /// That process has ended, by proof. Its duties are freed, apart from those whose work may outlive it.
     pub fn process_ended(&mut self, who: &ProcessId, duties: &Duties, now: f64) {
         let Some(leadership) = &mut self.leadership else { return };
         leadership.forget_process(who);
@@ -454,6 +466,7 @@
 
     // ---- time ----
 
+    /// Latest time at which `tick` must be called, ms.
     pub fn due(&self) -> f64 {
         let Some(leadership) = &self.leadership else { return f64::INFINITY };
         let active =
@@ -463,6 +476,7 @@
             .fold(self.log_clock.1 + self.times.time_interval, f64::min)
     }
 
+    /// Ends leases that have expired, and records the log's time at intervals.
     pub fn tick(&mut self, duties: &Duties, now: f64) {
         let Some(leadership) = &mut self.leadership else { return };
         let expired = leadership.expiries.iter().filter(|(token, (_, expires_at))| {
@@ -473,7 +487,7 @@
         expired.iter().for_each(|(duty, token)| self.propose_end(duty, *token, false, duties, now));
         if now >= self.log_clock.1 + self.times.time_interval {
             let has_last_run = duties.all().any(|(_, duty)| duty.last_run.is_some());
-            // Counted from here on in any case: nothing is to be proposed at each call.
+            // Advanced even without a proposal, or it would be due on every call.
             let at = self.log_now(now);
             if has_last_run {
                 self.propose(Command::Time, now);
@@ -484,14 +498,14 @@
 }
 
 impl Leadership {
-    /// It has been answered for longer than from one ask to the next, and has not said that it heard.
+    /// Has this process been sent responses for longer than a request interval without confirming one?
     fn misses_responses(&self, name: &str, lease: f64, now: f64) -> bool {
         self.unconfirmed.get(name).is_some_and(|unconfirmed| {
             now - unconfirmed.sent_at > lease / REQUESTS_PER_LEASE + RESPONSE_LOSS_GRACE
         })
     }
 
-    /// What one wants now.
+    /// Updates candidates with what a process wants now.
     fn record_request(&mut self, request: &LeaseRequest, now: f64) {
         let name = &request.from.name;
         let wants = request.wants.iter().map(|want| want.lease);
@@ -537,15 +551,16 @@
         self.candidates.retain(|_, all| !all.is_empty());
     }
 
-    /// Those that want it and were heard of lately.
+    /// Candidates that sent a request within their lease and receive the responses.
     fn active_candidates(&self, duty: &str, now: f64) -> impl Iterator<Item = &Candidate> {
         let all = self.candidates.get(duty).into_iter().flat_map(|all| all.values());
         all.filter(move |one| now - one.last_request_at <= one.want.lease)
             .filter(move |one| !self.misses_responses(&one.who.name, one.want.lease, now))
     }
 
-    /// Who is best placed of those that could have it: the one named, if it is there, else by standing; of equals the one
-    /// that has waited longest, or two of them would give it to each other and nobody else had it.
+    /// The best candidate that may get the duty: the one named by `to` if it is present, else by rank. Among
+    /// equal ranks the longest waiting one wins; otherwise two candidates could pass the duty to each other for
+    /// ever.
     fn best_candidate(
         &self,
         duty: &str,
--- a/crates/pearfront-duties/src/lib.rs
+++ b/crates/pearfront-duties/src/lib.rs
@@ -1,9 +1,11 @@
-//! Duties that one process alone may hold, or so many at a time: a state machine on a replicated log (`Duties`), the
-//! leader's side with its leases (`Desk`), and the holder's side, which knows until when it may act (`Agent`). Pure:
-//! messages, entries and times come in; messages and entries to propose go out.
+//! Duties that only one process may hold, or a limited number: a state machine on a replicated log (`Duties`),
+//! the leader's side with its leases (`LeaseManager`), and the holder's side, which knows until when it may act
+//! (`Agent`). Used by `pearfront-cluster` and by the simulations.
 //!
-//! Burrows: The Chubby lock service (OSDI 2006); Gray, Cheriton: Leases (SOSP 1989); Kleppmann on fencing tokens (2016).
-//! Why it is so is in `docs/design/duties.md`.
+//! The crate has no I/O: messages, log entries and times come in; messages and entries to propose go out.
+//!
+//! Burrows: The Chubby lock service (OSDI 2006); Gray, Cheriton: Leases (SOSP 1989); Kleppmann on fencing
+//! tokens (2016). The reasons for this design are in `docs/design/duties.md`.
 
 mod agent;
 mod lease_manager;
--- a/crates/pearfront-duties/src/message.rs
+++ b/crates/pearfront-duties/src/message.rs
@@ -1,33 +1,39 @@
-//! What goes between whoever wants duties and the voters. `decode` is the only way in, and takes nothing on trust.
+//! Messages between processes that want duties and the voters. Incoming bytes pass through `decode`, which also
+//! checks bounds.
 
 use crate::state::ProcessId;
 use crate::times::{LEASE, MAX_HOLDERS, MAX_NAME_BYTES, MAX_WANTS};
 use pearfront_codec::Bounded;
 use serde::{Deserialize, Serialize};
 
-/// How well placed one is for a duty; lower is better, the first difference decides, then the name.
+/// How well suited a process is for a duty. Lower is better; the fields are compared in order, and ties are
+/// broken by waiting time, then by name.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Rank {
-    /// Place of its zone in the duty's order of zones.
+    /// Position of its zone in the duty's order of zones.
     pub zone: u8,
-    /// Tenths of what it can bear that it bears already.
+    /// Load in tenths of the capacity.
     pub load: u8,
-    /// What its own operators wish.
+    /// Preference set by its operators.
     pub preference: u8,
 }
 
+/// A duty that a process wants, and on which terms.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Want {
     pub duty: String,
+    /// How many may hold the duty at a time.
     pub max_holders: u32,
+    /// Lease, ms.
     pub lease: f64,
+    /// Its work may go on after its process has ended.
     pub outlives_process: bool,
-    /// Not again within this time, ms, after a run that ended well; 0 if that does not matter.
+    /// Minimum time between a successful run and the next grant, ms; 0 for none.
     pub min_interval: f64,
     pub rank: Rank,
 }
 
-/// A duty that the sender is done with, or gives up.
+/// A duty that the sender gives up.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Release {
     pub duty: String,
@@ -35,50 +41,52 @@
     pub succeeded: bool,
 }
 
-/// What operators want done.
+/// An order of an operator.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Order {
-    /// Whoever holds it under that token is to give it up, for that one if one is named. The token makes it the same order
-    /// if it is said twice.
+    /// The holder under this token has to give the duty up, to `to` if it is set. The token makes repeated
+    /// orders idempotent.
     Move { duty: String, token: u64, to: Option<String> },
 }
 
-/// Everything that one process wants, holds and is done with: the next one says all of it again, so none is missed.
+/// Everything that one process wants, holds and releases. Each request repeats all of it, so a lost one does no
+/// harm.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LeaseRequest {
     pub from: ProcessId,
     pub number: u64,
-    /// Number of the last of its asks whose answer it heard.
+    /// Number of its latest request whose response it received.
     pub last_answered: u64,
     pub held: Vec<(String, u64)>,
     pub wants: Vec<Want>,
     pub releases: Vec<Release>,
     pub orders: Vec<Order>,
-    /// Tell of all duties.
+    /// Ask for a list of all duties.
     pub list: bool,
 }
 
+/// A lease that the receiver holds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeldLease {
     pub duty: String,
     pub token: u64,
     pub lease: f64,
-    /// Its lease counts from this ask; if not, it runs out.
+    /// The lease counts from this request; if not, it runs out.
     pub renewed: bool,
-    /// It is to be given up.
+    /// The holder has to give the duty up.
     pub give_up: bool,
 }
 
-/// A duty that the asker wants and others have.
+/// A duty that the sender wants and others hold.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WaitStatus {
     pub duty: String,
     pub holders: Vec<HolderInfo>,
-    /// Time since the last run that ended well, ms.
+    /// Time since the last successful run, ms.
     pub last_run_ago: Option<f64>,
 }
 
-/// Who has it, and until when at the latest if nothing is heard of it any more, ms.
+/// A holder; `remaining` is the time until its lease expires if it stays silent, ms.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HolderInfo {
     pub name: String,
@@ -86,32 +94,34 @@
     pub remaining: f64,
 }
 
+/// A duty in the list of all duties.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DutyInfo {
     pub duty: String,
     pub holders: Vec<HolderInfo>,
-    /// Who wants it, the best first.
+    /// Who wants it, best candidate first.
     pub candidates: Vec<String>,
     pub last_run_ago: Option<f64>,
     pub last_run_by: Option<String>,
 }
 
+/// What a response says.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ResponseBody {
-    /// Another voter leads, or nobody that this one knows of.
+    /// Another voter leads, or no leader is known.
     NotLeader { leader: Option<String> },
-    /// How things stand, as seen after the ask came: what the asker holds that is not named here it has no more.
+    /// State after the request arrived. The sender no longer holds what is missing from `held`.
     Status {
         held: Vec<HeldLease>,
         waiting: Vec<WaitStatus>,
         list: Option<Vec<DutyInfo>>,
         order_results: Vec<String>,
     },
-    /// One duty is the asker's, granted after its ask came.
+    /// A duty was granted to the sender after its request arrived.
     Granted(HeldLease),
 }
 
-/// An answer to the ask of that number.
+/// Response to the request with this number.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LeaseResponse {
     pub from: String,
--- a/crates/pearfront-duties/src/state.rs
+++ b/crates/pearfront-duties/src/state.rs
@@ -1,47 +1,50 @@
-//! What the log says of duties. No clock is here: whose lease is over the leader proposes, and the log decides.
+//! The state machine on the log: holders, tokens and the last run of each duty. It has no clock: the leader
+//! proposes the end of an expired lease, and the log decides.
 
 use crate::times::{LEASE, MAX_DUTIES, MAX_HOLDERS, MAX_NAME_BYTES};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// One life of a process: after a restart it is another, and holds nothing of what it held.
+/// One run of a process. After a restart `life` differs, and the process holds nothing that it held before.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ProcessId {
     pub name: String,
     pub life: u64,
 }
 
-/// One that is to have a duty.
+/// A process that is to get a duty.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Grantee {
     pub who: ProcessId,
-    /// How long it may be silent, ms.
+    /// Lease, ms.
     pub lease: f64,
-    /// What it does may go on when its process has ended: its lease has to end, too, before another begins.
+    /// Its work may go on after its process has ended, so its lease has to expire before another may begin.
     pub outlives_process: bool,
-    /// How many may hold this duty with it.
+    /// How many may hold this duty at a time.
     pub max_holders: u32,
 }
 
+/// A change that the leader proposes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Command {
     Grant {
         duty: String,
         to: Grantee,
     },
-    /// Whoever has that token has it no more; another may take its place in the same instant.
+    /// Ends a token; `next` takes its place in the same step.
     End {
         duty: String,
         token: u64,
         next: Option<Grantee>,
-        /// What it did ended well.
+        /// Whether the run succeeded.
         succeeded: bool,
     },
-    /// Nothing but the time.
+    /// Only advances the log's time.
     Time,
 }
 
-/// An entry of the log: a command and the log's time, ms, which never goes back and stands still while nobody leads.
+/// A log entry: a command and the log's time, ms. That time never goes back, and stands still while there is no
+/// leader.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
     pub at: f64,
@@ -54,31 +57,33 @@
     }
 }
 
+/// A process that holds a duty.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Holder {
     pub who: ProcessId,
-    /// Grows over the whole life of the installation.
+    /// Fencing token; rises over the whole life of the installation.
     pub token: u64,
     pub lease: f64,
     pub outlives_process: bool,
-    /// The log's time when it was granted.
+    /// The log's time of the grant.
     pub granted_at: f64,
 }
 
-/// The last run that ended well.
+/// The last successful run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LastRun {
     pub at: f64,
     pub by: String,
 }
 
+/// Holders of a duty, and its last successful run.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Duty {
     pub holders: Vec<Holder>,
     pub last_run: Option<LastRun>,
 }
 
-/// What has come of an entry.
+/// What an entry has changed.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Change {
     Granted {
@@ -89,17 +94,18 @@
         duty: String,
         holder: Holder,
     },
-    /// It could not be granted: others hold it, or there are too many duties.
+    /// Not granted: others hold the duty, or there are too many duties.
     Refused {
         duty: String,
         who: ProcessId,
     },
 }
 
+/// All duties; equal on all voters that have applied the same entries.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Duties {
     at: f64,
-    /// The last token that was given, of any duty: one that is forgotten and comes back goes on above its old ones.
+    /// The last token granted for any duty. A duty that is removed and returns gets higher tokens than before.
     last_token: u64,
     duties: BTreeMap<String, Duty>,
 }
@@ -110,33 +116,37 @@
         self.at
     }
 
+    /// The last token that was granted.
     pub fn last_token(&self) -> u64 {
         self.last_token
     }
 
-    /// Goes on so far above the last token: where others may have been given that nobody here knows of.
+    /// Skips tokens that may have been granted by voters whose state is lost.
     pub fn skip_tokens(&mut self, count: u64) {
         self.last_token += count;
     }
 
+    /// The duty of that name, if it has holders or a recorded run.
     pub fn get(&self, duty: &str) -> Option<&Duty> {
         self.duties.get(duty)
     }
 
+    /// All duties, by name.
     pub fn all(&self) -> impl Iterator<Item = (&String, &Duty)> {
         self.duties.iter()
     }
 
+    /// Holders of a duty; empty if it is unknown.
     pub fn holders(&self, duty: &str) -> &[Holder] {
         self.get(duty).map_or(&[], |duty| &duty.holders)
     }
 
-    /// The holder that has this token.
+    /// The holder with this token.
     pub fn holder(&self, duty: &str, token: u64) -> Option<&Holder> {
         self.holders(duty).iter().find(|holder| holder.token == token)
     }
 
-    /// Takes over a snapshot; none if it is not one.
+    /// Decodes a snapshot; `None` if the bytes are not one.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
     }
@@ -145,7 +155,8 @@
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Applies one committed entry. What is no entry changes nothing: the beginning of a leader's term is none.
+    /// Applies a committed entry. Bytes that are no `Entry`, such as the first entry of a leader's term, change
+    /// nothing.
     pub fn apply(&mut self, bytes: &[u8]) -> Vec<Change> {
         let Ok(entry) = postcard::from_bytes::<Entry>(bytes) else { return Vec::new() };
         if entry.at.is_finite() {
--- a/crates/pearfront-duties/src/state/tests.rs
+++ b/crates/pearfront-duties/src/state/tests.rs
@@ -29,7 +29,7 @@
     let mut duties = Duties::default();
     assert_eq!(grant(&mut duties, "export", grantee("a", 1, 1)), Some(1));
     assert_eq!(grant(&mut duties, "export", grantee("b", 2, 1)), None);
-    // The end of a token that is over takes nothing from whoever has it now.
+    // Ending a token that has ended already does not affect the current holder.
     let changes = apply(&mut duties, 5.0, end("export", 1, Some(grantee("b", 2, 1)), false));
     assert!(
         matches!(&changes[..], [Change::Ended { .. }, Change::Granted { holder, .. }] if holder.token == 2)
--- a/crates/pearfront-duties/src/times.rs
+++ b/crates/pearfront-duties/src/times.rs
@@ -1,38 +1,41 @@
-//! All times and bounds in one place, ms unless said otherwise.
+//! Times and bounds of duties. Times are in ms unless said otherwise.
 
-/// What of a lease its holder counts on: it and whoever grants may have clocks that run unevenly, each by up to a
-/// twentieth: 0.95 / 1.05, less a little.
+/// Share of a lease that its holder uses. The clocks of holder and leader may each run fast or slow by up to a
+/// twentieth: 0.95 / 1.05, less a margin.
 pub const USABLE_LEASE_SHARE: f64 = 0.9;
-/// Shortest and longest lease: shorter ones lapse with a pause that everything else bears.
+/// Shortest and longest lease, ms. A shorter one would expire in pauses that everything else tolerates.
 pub const LEASE: (f64, f64) = (500.0, 600_000.0);
-/// Duties that have a holder, or a run that is remembered.
+/// Most duties with a holder or a recorded run.
 pub const MAX_DUTIES: usize = 4096;
-/// Duties that one process may want.
+/// Most duties that one process may want.
 pub const MAX_WANTS: usize = 256;
-/// Holders that one duty may have.
+/// Most holders of one duty.
 pub const MAX_HOLDERS: u32 = 1024;
-/// Bytes of a name.
+/// Longest name, bytes.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Asks that a holder remembers; an answer to an older one says too little of now.
+/// Requests that a process remembers; a response to an older one is too old to matter.
 pub const MAX_SENT_REQUESTS: usize = 16;
-/// Asks in a lease: one that is lost leaves time for two more.
+/// Requests per lease: after a lost one there is time for two more.
 pub const REQUESTS_PER_LEASE: f64 = 4.0;
-/// One that is answered and does not say so in its next ask, nor in one repeated after that, hears nothing.
+/// Grace, ms, after which a process that confirms no response, neither in its next request nor in a repeated
+/// one, counts as not receiving.
 pub const RESPONSE_LOSS_GRACE: f64 = 500.0;
 
+/// Timing of agents and of the lease manager, ms.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Times {
-    /// A voter that does not answer in this time is left for the next one.
+    /// Time-out for a voter's response; the next voter is asked after it.
     pub response_timeout: f64,
-    /// Pause before the next voter is asked where one could not say who leads.
+    /// Pause before the next voter is asked if one could not name the leader.
     pub retry_delay: f64,
-    /// A better candidate has to have been there for so long, and a holder for so long its holder, before it is moved:
-    /// or one that comes and goes would take the duty with it each time.
+    /// How long a better candidate must have been present, and the holder have held the duty, before it moves.
+    /// Without this, a candidate that comes and goes would take the duty with it each time.
     pub stability: f64,
-    /// A holder whose acts come to nothing for so long gives the duty up: it may be cut off from where they go, and
-    /// another not.
+    /// A holder whose acts fail for this long gives the duty up: it may be cut off from their target while
+    /// another process is not.
     pub max_failing: f64,
-    /// The log's time is written down so often where a run is remembered: what a restart of all can lose of it.
+    /// Interval at which the log's time is recorded if a last run is known; a restart of all voters loses at
+    /// most this much of it.
     pub time_interval: f64,
 }
 
--- a/crates/pearfront-duties/tests/lease_manager.rs
+++ b/crates/pearfront-duties/tests/lease_manager.rs
@@ -1,5 +1,5 @@
-//! Both sides of a duty at one table: a leader whose log takes everything at once, and processes that want duties. What is
-//! said may not arrive.
+//! Both sides of a duty together: a lease manager whose log applies every proposal at once, and agents that
+//! want the duty. Responses may be lost.
 
 use pearfront_duties::{
     Agent, AgentAction, Duties, LeaseManager, ManagerAction, Order, ProcessId, Rank, Times, Want,
@@ -14,9 +14,9 @@
     manager: LeaseManager,
     duties: Duties,
     agents: Vec<Agent>,
-    /// Which of them hear what they are told.
+    /// Whether each agent receives responses.
     receives: Vec<bool>,
-    /// Which of them run.
+    /// Whether each agent runs.
     runs: Vec<bool>,
     now: f64,
     events: Vec<String>,
@@ -53,7 +53,7 @@
         self.deliver_all();
     }
 
-    /// Lets so much time pass.
+    /// Lets time pass.
     fn advance(&mut self, ms: f64) {
         let end = self.now + ms;
         while self.now < end {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Does what the leader wants done; true if it wanted nothing.
+    /// Carries out the manager's actions; true if there were none.
     fn run_manager(&mut self) -> bool {
         let actions = self.manager.take_actions();
         let idle = actions.is_empty();
@@ -134,7 +134,7 @@
     assert_eq!((simulation.holder(), simulation.now), (Some(1), now));
 }
 
-// It would be renewed for ever by asks that come from one that hears nothing.
+// Guards against a lease that is renewed for ever by the requests of a process that receives no responses.
 #[test]
 fn holder_without_responses_loses_the_duty_until_it_receives_again() {
     let mut simulation = Simulation::new(2);
@@ -146,7 +146,7 @@
     assert_eq!(simulation.holder(), Some(1));
     simulation.advance(5.0 * STEADY);
     assert_eq!(simulation.holder(), Some(1));
-    // Better placed, and steady from now on.
+    // Better ranked, and steady only from now on.
     simulation.receives[0] = true;
     simulation.advance(STEADY - LEASE);
     assert_eq!(simulation.holder(), Some(1));
@@ -185,7 +185,7 @@
     simulation.advance(LEASE);
     assert_eq!(simulation.holder(), Some(2));
     assert_eq!(simulation.events, ["n0 1", "n9 does not want export", "n0 is told to leave export", "n2 2"]);
-    // The same order again means a token that is over: nothing is moved.
+    // The repeated order names a token that has ended, so nothing moves.
     simulation.agents[1].order(order("n1"), simulation.now);
     simulation.advance(LEASE);
     assert_eq!(simulation.events.last().map(String::as_str), Some("export is not held under token 1"));
@@ -206,7 +206,7 @@
     assert!(simulation.holder().is_some());
 }
 
-// A process that ended for certain frees it at once; one that says nothing, after its lease.
+// A process that ended by proof frees its duty at once; a silent one frees it after its lease.
 #[test_case(true, 1.0; "proof")]
 #[test_case(false, LEASE + 1.0; "silence")]
 fn next_holder_begins_after(proof: bool, soonest: f64) {
@@ -232,7 +232,7 @@
     simulation.add_want(0, 0, 0.0);
     simulation.advance(1000.0);
     simulation.runs[0] = false;
-    // It leads with what the log has, and knows of no lease.
+    // The new leader has the log, and knows of no lease.
     simulation.manager.set_leadership(Some(2), &simulation.duties, simulation.now);
     simulation.add_want(1, 0, 0.0);
     simulation.advance(LEASE - 10.0);
@@ -253,7 +253,8 @@
     assert_eq!(simulation.holder(), Some(1));
 }
 
-// Each that gives it up wants it again at once: by name alone the first two would have it in turn for ever.
+// Each holder that gives the duty up wants it again at once. Chosen by name alone, the first two would
+// alternate for ever.
 #[test]
 fn longest_waiting_of_equal_candidates_is_next() {
     let mut simulation = Simulation::new(5);
@@ -270,7 +271,7 @@
     assert_eq!(turns, [0, 1, 2, 3, 4, 0, 1, 2, 3, 4]);
 }
 
-// Waiting does not make up for a worse standing.
+// A longer wait does not make up for a worse rank.
 #[test]
 fn better_rank_beats_a_longer_wait() {
     let mut simulation = Simulation::new(4);
