--- a/crates/pearfront-node/src/main.rs
+++ b/crates/pearfront-node/src/main.rs
@@ -10,7 +10,7 @@
 mod client_service;
 mod clock;
 mod config;
-mod confirm;
+mod connection_pool;
 mod counters;
 mod deadline;
 mod dial;
@@ -22,17 +22,17 @@
 mod inherited;
 mod late_answers;
 mod lease;
+mod lease_monitor;
 mod lifecycle;
 mod logger;
 mod message;
 mod probe;
-mod pulse;
 mod read_gate;
-mod send;
+mod runtime_settings;
+mod stall_monitor;
 mod streaming;
 mod system;
 mod tcp_info;
-mod terms;
 #[cfg(test)]
 mod test_support;
 mod tracked_stream;
@@ -46,19 +46,20 @@
 use client_service::ClientService;
 use clock::Clock;
 use config::Config;
-use confirm::Confirmer;
+use connection_pool::ConnectionPool;
 use counters::Counters;
 use discovery::Discovery;
 use dispatcher::{Dispatcher, EventQueue};
 use guard::Guard;
 use handover::Peers;
+use lease_monitor::LeaseMonitor;
 use lifecycle::Lifecycle;
-use logger::{Limited, Seldom};
+use logger::{InfoLimiter, WarnLimiter};
 use pearfront::chance::Chance;
 use pearfront::policy::Balancer;
 use pearfront_cluster::Cluster;
 use probe::Prober;
-use send::Senders;
+use runtime_settings::{RuntimeSettings, SharedSettings};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -66,8 +67,7 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 use std::time::Duration;
-use system::patiently;
-use terms::{InForce, Terms};
+use system::retry_transient;
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::runtime::Builder;
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -103,7 +103,7 @@
 fn run(config: Config) -> Result<(), String> {
     logger::start();
     let build = || Builder::new_current_thread().enable_all().build();
-    let runtime = patiently(build).map_err(|error| format!("runtime: {error}"))?;
+    let runtime = retry_transient(build).map_err(|error| format!("runtime: {error}"))?;
     LocalSet::new().block_on(&runtime, serve(config))
 }
 
@@ -115,7 +115,7 @@
         socket.bind(address)?;
         socket.listen(BACKLOG)
     };
-    patiently(bind).map_err(|error: std::io::Error| format!("{key}: {address}: {error}"))
+    retry_transient(bind).map_err(|error: std::io::Error| format!("{key}: {address}: {error}"))
 }
 
 /// The clients' listener: the platform's, which further processes serve as well, or one of our own.
@@ -129,34 +129,34 @@
 }
 
 async fn serve(mut config: Config) -> Result<(), String> {
-    let told = |kind| patiently(|| signal(kind)).map_err(|error| format!("signals: {error}"));
+    let told = |kind| retry_transient(|| signal(kind)).map_err(|error| format!("signals: {error}"));
     let (mut end, mut interrupt) = (told(SignalKind::terminate())?, told(SignalKind::interrupt())?);
     let (show, again) = (told(SignalKind::user_defined1())?, told(SignalKind::hangup())?);
     // The operators' address first: if it can't be had, no client is accepted.
     let operators = config.admin.map(|address| bind("admin", address)).transpose()?;
     let listener = listen(&config)?;
-    let life = Rc::new(Lifecycle::new());
+    let lifecycle = Rc::new(Lifecycle::new());
     let shared = config.inherited.is_some();
     let (name, address) = (config.name.clone(), config.listen);
     let cluster = config.cluster.take().map(|settings| Cluster::start(settings, &name)).transpose();
     let cluster = cluster.map_err(|problem| format!("config.cluster.{problem}"))?;
     let as_written = config.as_written.clone();
-    let terms = InForce::new(std::mem::take(&mut config.terms));
-    let place = if shared { Peers::place(&name) } else { None };
-    let (take_in, book, discovery) = build(config, &terms, life.clone());
+    let settings = SharedSettings::new(std::mem::take(&mut config.settings));
+    let place = if shared { Peers::socket_path(&name) } else { None };
+    let (take_in, book, discovery) = build(config, &settings, lifecycle.clone());
     log::info!("node {name} listens on {address}");
     if let Some(operators) = operators {
         log::info!(
             "operators call at {}",
             operators.local_addr().map_or_else(|error| error.to_string(), |at| at.to_string())
         );
-        spawn_local(Admin::new(life.clone(), cluster.clone()).serve(operators));
+        spawn_local(Admin::new(lifecycle.clone(), cluster.clone()).serve(operators));
     }
     spawn_local(take_in.clone().close_in_drain());
     let guard = take_in.dispatcher.guard.clone();
-    spawn_local(start(shared, place, life.clone(), guard, discovery.clone()));
+    spawn_local(start(shared, place, lifecycle.clone(), guard, discovery.clone()));
     spawn_local(print_counters(show, book.clone(), take_in.capacity.clone(), cluster.clone()));
-    spawn_local(read_again(again, as_written, terms.clone(), discovery, take_in.clone()));
+    spawn_local(read_again(again, as_written, settings.clone(), discovery, take_in.clone()));
     let (clock, last) = (take_in.dispatcher.clock, Cell::new(f64::INFINITY));
     let ended = async {
         tokio::select! {
@@ -169,23 +169,25 @@
         {
             log::warn!("ends without a permit: {problem}");
         }
-        let longest = terms.now().around.longest_deadline.min(LONGEST_COUNTED) + AFTER_LIMIT;
+        let longest = settings.current().node_settings.longest_deadline.min(LONGEST_COUNTED) + AFTER_LIMIT;
         last.set(clock.now() + longest);
         let answered = last.get() - LAST_ANSWERS;
-        life.end(
-            clock.at(answered - client_service::CLOSING_PERIOD_MS).saturating_duration_since(Instant::now()),
+        lifecycle.end(
+            clock
+                .instant_at(answered - client_service::CLOSING_PERIOD_MS)
+                .saturating_duration_since(Instant::now()),
         );
         take_in.dispatcher.inbox.push(move |balancer| balancer.closing(answered));
         answered
     };
     Acceptor::new(listener, shared, take_in.clone()).run(ended).await;
-    if timeout_at(clock.at(last.get()), take_in.close_all()).await.is_err() {
+    if timeout_at(clock.instant_at(last.get()), take_in.close_all()).await.is_err() {
         // Whatever they still wait for, also where the process stood still beyond its last moment.
         take_in.dispatcher.expire_all();
         if timeout(LAST_WRITES, take_in.close_all()).await.is_err() {
             log::warn!("ended with {} jobs unanswered", take_in.capacity.open_requests());
             take_in.log_unanswered("the process ends");
-            take_in.dispatcher.guard.end(take_in.capacity.unanswered_requests());
+            take_in.dispatcher.guard.record_unanswered(take_in.capacity.unanswered_requests());
         }
     }
     log::info!("{book} {}{}", take_in.capacity, beside(cluster.as_ref()));
@@ -200,16 +202,16 @@
 async fn start(
     shared: bool,
     place: Option<PathBuf>,
-    life: Rc<Lifecycle>,
+    lifecycle: Rc<Lifecycle>,
     guard: Rc<Guard>,
     discovery: Rc<Discovery>,
 ) {
     if shared {
-        discovery.watch();
+        discovery.start_watch();
         wait_beside_others(&place, &discovery).await;
     }
-    guard.start(&life);
-    discovery.peers.ready();
+    guard.mark_ready(&lifecycle);
+    discovery.peers.announce_ready();
     if let Some(place) = place {
         discovery.peers.clone().serve(place, discovery).await;
     }
@@ -220,11 +222,11 @@
 async fn wait_beside_others(place: &Option<PathBuf>, discovery: &Rc<Discovery>) {
     let mut asked = pin!(async {
         match place {
-            Some(place) => discovery.peers.call(place, discovery).await,
+            Some(place) => discovery.peers.connect(place, discovery).await,
             None => true,
         }
     });
-    let (mut heard, mut is_heard) = (pin!(timeout(FIRST_LIST, discovery.heard())), false);
+    let (mut heard, mut is_heard) = (pin!(timeout(FIRST_LIST, discovery.list_received())), false);
     let is_beside = loop {
         tokio::select! {
             biased;
@@ -235,7 +237,7 @@
     if is_beside && !is_heard {
         tokio::select! {
             _ = heard => {}
-            () = discovery.peers.alone() => {}
+            () = discovery.peers.all_gone() => {}
         }
     }
 }
@@ -262,20 +264,20 @@
 async fn read_again(
     mut again: Signal,
     mut as_written: serde_json::Value,
-    terms: Rc<InForce>,
+    settings: Rc<SharedSettings>,
     discovery: Rc<Discovery>,
     take_in: Rc<ClientService>,
 ) {
     while again.recv().await.is_some() {
         match config::read_again(&as_written) {
             Ok(config) => {
-                discovery.move_to(config.discovery);
+                discovery.set_service(config.discovery);
                 take_in.capacity.set_limits(config.sockets, config.memory_mb);
                 let same = config.as_written["settings"] == as_written["settings"];
                 let which = if same { "the same" } else { "new" };
                 log::info!("configuration read again, discovery at {}, {which} settings", config.discovery);
                 if !same {
-                    retune(&terms, config.terms, &take_in);
+                    retune(&settings, config.settings, &take_in);
                 }
                 as_written = config.as_written;
             }
@@ -285,31 +287,31 @@
 }
 
 /// New terms: jobs whose head is read from now on come under them.
-fn retune(in_force: &InForce, terms: Terms, take_in: &ClientService) {
-    let terms = Rc::new(terms);
-    in_force.swap(terms.clone());
-    take_in.dispatcher.inbox.push(move |balancer| balancer.retune(terms.settings.clone()));
+fn retune(in_force: &SharedSettings, settings: RuntimeSettings, take_in: &ClientService) {
+    let settings = Rc::new(settings);
+    in_force.replace(settings.clone());
+    take_in.dispatcher.inbox.push(move |balancer| balancer.retune(settings.policy_settings.clone()));
 }
 
 /// Puts the stages together and starts what runs by itself.
 fn build(
     config: Config,
-    terms: &Rc<InForce>,
-    life: Rc<Lifecycle>,
+    settings: &Rc<SharedSettings>,
+    lifecycle: Rc<Lifecycle>,
 ) -> (Rc<ClientService>, Rc<Counters>, Rc<Discovery>) {
     let clock = Clock::start();
     let book = Rc::new(Counters::default());
-    let settings = terms.now().settings.clone();
+    let policy_settings = settings.current().policy_settings.clone();
     let room = Capacity::new(config.sockets, config.memory_mb);
     let inbox = Rc::new(EventQueue::default());
-    let senders = Senders::new(terms.clone(), room.clone(), book.clone());
-    let peers = Peers::new(room.clone(), life.clone());
+    let pool = ConnectionPool::new(settings.clone(), room.clone(), book.clone());
+    let peers = Peers::new(room.clone(), lifecycle.clone());
     let discovery = Discovery::new(
         config.discovery,
-        discovery::Parts {
+        discovery::Dependencies {
             clock,
-            terms: terms.clone(),
-            senders: senders.clone(),
+            settings: settings.clone(),
+            pool: pool.clone(),
             book: book.clone(),
             inbox: inbox.clone(),
             peers: peers.clone(),
@@ -321,30 +323,32 @@
         chance.0.set_stream(number);
         chance
     };
-    discovery.spread_by(stream(1));
+    discovery.set_jitter(stream(1));
     let guard = Guard::new(discovery.clone(), clock, book.clone());
     let prober = Rc::new(Prober {
-        senders: senders.clone(),
+        pool: pool.clone(),
         inbox: inbox.clone(),
-        terms: terms.clone(),
+        settings: settings.clone(),
         book: book.clone(),
         discovery: discovery.clone(),
         guard,
         clock,
-        unread: Seldom::default(),
-        failures: Limited::new(probe::LOGGED_FAILURES),
-        out: Cell::new(0),
+        invalid_reports: WarnLimiter::default(),
+        failure_log: InfoLimiter::new(probe::LOGGED_FAILURES_PER_S),
+        outstanding: Cell::new(0),
     });
-    let confirmer = Confirmer::new(discovery.clone(), prober.clone(), inbox.clone(), terms.clone(), clock);
-    let route =
-        Dispatcher::new(clock, inbox, senders.clone(), discovery.clone(), prober, book.clone(), peers);
-    discovery.tell(config.known, true);
-    if !settings.listed_on_request {
-        discovery.watch();
+    let lease_monitor =
+        LeaseMonitor::new(discovery.clone(), prober.clone(), inbox.clone(), settings.clone(), clock);
+    let route = Dispatcher::new(clock, inbox, pool.clone(), discovery.clone(), prober, book.clone(), peers);
+    discovery.apply_list(config.known, true);
+    if !policy_settings.listed_on_request {
+        discovery.start_watch();
     }
-    spawn_local(senders.clone().sweep());
-    spawn_local(confirmer.run(stream(2)));
+    spawn_local(pool.clone().sweep());
+    spawn_local(lease_monitor.run(stream(2)));
     spawn_local(room.clone().close_incomplete(book.clone()));
-    spawn_local(route.clone().run_rounds(Balancer::new((*settings).clone(), config.seed), terms.clone()));
-    (ClientService::new(route, room, senders, terms.clone(), book.clone(), life), book, discovery)
+    spawn_local(
+        route.clone().run_rounds(Balancer::new((*policy_settings).clone(), config.seed), settings.clone()),
+    );
+    (ClientService::new(route, room, pool, settings.clone(), book.clone(), lifecycle), book, discovery)
 }
--- a/crates/pearfront-node/src/message/clients.rs
+++ b/crates/pearfront-node/src/message/clients.rs
@@ -3,7 +3,7 @@
 use super::body::{Body, plain};
 use super::request::ClientRequest;
 use super::servers::Reply;
-use crate::terms::Terms;
+use crate::runtime_settings::RuntimeSettings;
 use http_body_util::Either;
 use hyper::header::{self, HeaderMap, HeaderValue};
 use hyper::http::request;
@@ -22,7 +22,7 @@
 /// it: where chunks come as well, hyper drops the length, and the body may hide another request from one of two readers.
 pub fn decode_client_call(
     head: request::Parts,
-    terms: &Rc<Terms>,
+    settings: &Rc<RuntimeSettings>,
     lengths: bool,
 ) -> Result<ClientCall, String> {
     if lengths && is_chunked(&head.headers) {
@@ -31,7 +31,7 @@
     if head.method == Method::GET && head.uri.path() == "/up" {
         return Ok(ClientCall::Up);
     }
-    Ok(ClientCall::Request(Box::new(ClientRequest::decode(head, terms)?)))
+    Ok(ClientCall::Request(Box::new(ClientRequest::decode(head, settings)?)))
 }
 
 fn is_chunked(headers: &HeaderMap) -> bool {
