--- a/crates/pearfront-cluster/src/drive.rs
+++ b/crates/pearfront-cluster/src/cluster.rs
@@ -1,14 +1,14 @@
 //! Drives the core of membership: one task for datagrams and timers, one for who dials in, and the folder.
 
-use crate::board::{Board, Sent};
 use crate::clock::Clock;
-use crate::disk;
-use crate::folder;
-use crate::link::{Event, Greeting, Word};
-use crate::links::{Condition, Links, MOST};
-use crate::seat::Seat;
+use crate::duty_service::{DutyService, Outgoing};
+use crate::incarnation_file;
+use crate::link::{Event, Handshake, LinkMessage};
+use crate::links::{LinkState, Links, MAX_STREAMS};
+use crate::replica::Replica;
 use crate::settings::Settings;
-use crate::view::{CountsView, MemberView, View, state_word};
+use crate::view::{CountsView, MemberView, View, state_name};
+use crate::voter_store;
 use pearfront_consensus::PersistentState;
 use pearfront_duties::ProcessId;
 use pearfront_membership::{
@@ -29,23 +29,23 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 /// Datagrams read in one go before anything else has its turn.
-const IN_ONE_GO: usize = 32;
+const DATAGRAMS_PER_TURN: usize = 32;
 /// Datagrams that are read in a second, and at once: sixteen processes need some 100. Beyond it they wait in the kernel
 /// and are dropped there; a flood costs jobs nothing then.
-const BUDGET: f64 = 2000.0;
-const BUDGET_AT_ONCE: f64 = 400.0;
+const DATAGRAMS_PER_SECOND: f64 = 2000.0;
+const DATAGRAM_BURST: f64 = 400.0;
 /// Pause in reading once the budget is used up.
-const BUDGET_PAUSE: Duration = Duration::from_millis(20);
+const READ_PAUSE: Duration = Duration::from_millis(20);
 /// Time between two looks at all links: beats, dials.
-const LINK_LOOK: Duration = Duration::from_millis(250);
+const LINK_INTERVAL: Duration = Duration::from_millis(250);
 /// Others to which links are kept: everyone up to so many, else the next of them in the order of names.
-const PARTNERS: usize = 32;
+const MAX_PARTNERS: usize = 32;
 /// Words from links that wait for the driver.
-const EVENTS: usize = 256;
+const MAX_QUEUED_EVENTS: usize = 256;
 /// Connections that the kernel holds for this process.
-const BACKLOG: u32 = 256;
+const LISTEN_BACKLOG: u32 = 256;
 /// Descriptors that the cluster may use: two sockets, its streams, a file and its folder.
-const DESCRIPTORS: usize = MOST + 8;
+const MAX_DESCRIPTORS: usize = MAX_STREAMS + 8;
 
 pub struct Cluster {
     pub(crate) settings: Settings,
@@ -55,12 +55,12 @@
     socket: UdpSocket,
     links: Rc<Links>,
     /// The incarnation that the folder should have.
-    keep: watch::Sender<u64>,
+    incarnation: watch::Sender<u64>,
     over_budget: Cell<u64>,
     /// Duties, where there are voters.
-    pub(crate) board: Option<RefCell<Board>>,
+    pub(crate) duty_service: Option<RefCell<DutyService>>,
     /// Something has come of them.
-    pub(crate) news: Notify,
+    pub(crate) duties_changed: Notify,
 }
 
 /// Everything bound and read, before anything is said.
@@ -70,14 +70,15 @@
 }
 
 fn bind(address: SocketAddr) -> Result<Bound, String> {
-    let told = |error: std::io::Error| format!("listen: {address}: {error}");
-    let stream = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }.map_err(told)?;
-    stream.set_reuseaddr(true).map_err(told)?;
-    stream.bind(address).map_err(told)?;
-    let listener = stream.listen(BACKLOG).map_err(told)?;
-    let socket = std::net::UdpSocket::bind(address).map_err(told)?;
-    socket.set_nonblocking(true).map_err(told)?;
-    Ok(Bound { socket: UdpSocket::from_std(socket).map_err(told)?, listener })
+    let describe = |error: std::io::Error| format!("listen: {address}: {error}");
+    let stream =
+        if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }.map_err(describe)?;
+    stream.set_reuseaddr(true).map_err(describe)?;
+    stream.bind(address).map_err(describe)?;
+    let listener = stream.listen(LISTEN_BACKLOG).map_err(describe)?;
+    let socket = std::net::UdpSocket::bind(address).map_err(describe)?;
+    socket.set_nonblocking(true).map_err(describe)?;
+    Ok(Bound { socket: UdpSocket::from_std(socket).map_err(describe)?, listener })
 }
 
 impl Cluster {
@@ -88,44 +89,45 @@
     pub fn start(settings: Settings, node: &str) -> Result<Rc<Self>, String> {
         settings.check()?;
         let name = settings.name.clone().unwrap_or_else(|| node.to_string());
-        let kept = match &settings.folder {
+        let last_incarnation = match &settings.folder {
             Some(folder) => {
                 std::fs::create_dir_all(folder)
                     .map_err(|error| format!("folder: {}: {error}", folder.display()))?;
-                folder::read(folder).map_err(|problem| format!("folder: {problem}"))?
+                incarnation_file::read(folder).map_err(|problem| format!("folder: {problem}"))?
             }
             None => 0,
         };
         // Read before anything is bound: a voter whose folder is damaged must not be there at all.
         let voter = settings.voter_folder(&name)?;
-        let voter = voter.map(|folder| disk::open(&folder).map_err(|problem| format!("folder: {problem}")));
+        let voter =
+            voter.map(|folder| voter_store::open(&folder).map_err(|problem| format!("folder: {problem}")));
         let voter = voter.transpose()?;
         let Bound { socket, listener } = bind(settings.listen)?;
-        let mut chance = rand::rng();
-        let (life, seed) = (chance.next_u64(), chance.next_u64());
+        let mut rng = rand::rng();
+        let (life, seed) = (rng.next_u64(), rng.next_u64());
         let clock = Clock::start();
-        let who = Identity {
+        let identity = Identity {
             installation: settings.installation.clone(),
             name: name.clone(),
             zone: settings.zone.clone(),
-            address: settings.reached_at(),
+            address: settings.advertised_address(),
             life,
-            last_incarnation: kept,
+            last_incarnation,
         };
-        let seeds = settings.asked_first(&name);
-        let core = Membership::new(who, seeds, settings.times.core(), seed, clock.now())
+        let seeds = settings.initial_contacts(&name);
+        let core = Membership::new(identity, seeds, settings.times.membership(), seed, clock.now())
             .map_err(|problem| format!("name: {problem}"))?;
-        let (events, heard) = mpsc::channel(EVENTS);
-        let greeting = Greeting::new(&settings.installation, &name, life);
-        let me = ProcessId { name: name.clone(), life };
-        let board = board(&settings, me, voter, &events, (chance.next_u64(), clock.now()));
-        let links = Links::new(greeting, clock, events);
-        let (keep, wanted) = watch::channel(kept);
+        let (events, received) = mpsc::channel(MAX_QUEUED_EVENTS);
+        let handshake = Handshake::new(&settings.installation, &name, life);
+        let own_id = ProcessId { name: name.clone(), life };
+        let duty_service = duty_service(&settings, own_id, voter, &events, (rng.next_u64(), clock.now()));
+        let links = Links::new(handshake, clock, events);
+        let (incarnation, to_persist) = watch::channel(last_incarnation);
         if let Some(folder) = settings.folder.clone() {
-            spawn_local(keep_incarnation(folder, wanted));
+            spawn_local(persist_incarnations(folder, to_persist));
         }
         log::info!(
-            "cluster: event=start name={name} listen={} life={life:016x} kept={kept}",
+            "cluster: event=start name={name} listen={} life={life:016x} kept={last_incarnation}",
             settings.listen
         );
         let over_budget = Cell::new(0);
@@ -136,64 +138,64 @@
             core: RefCell::new(core),
             socket,
             links,
-            keep,
+            incarnation,
             over_budget,
-            board: board.map(RefCell::new),
-            news: Notify::new(),
+            duty_service: duty_service.map(RefCell::new),
+            duties_changed: Notify::new(),
         });
         spawn_local(cluster.links.clone().accept(listener));
-        spawn_local(cluster.clone().look_at_links());
-        spawn_local(cluster.clone().drive(heard));
+        spawn_local(cluster.clone().maintain_links());
+        spawn_local(cluster.clone().run(received));
         Ok(cluster)
     }
 
     /// Descriptors that it may use, which nothing else may have.
     pub fn max_descriptors() -> usize {
-        DESCRIPTORS
+        MAX_DESCRIPTORS
     }
 
-    async fn drive(self: Rc<Self>, mut events: Receiver<Event>) {
+    async fn run(self: Rc<Self>, mut events: Receiver<Event>) {
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
-        let (mut budget, mut filled) = (BUDGET_AT_ONCE, self.clock.now());
-        let mut reads_from = Instant::now();
-        self.call(|core, now| core.tick(now));
+        let (mut budget, mut refilled_at) = (DATAGRAM_BURST, self.clock.now());
+        let mut read_after = Instant::now();
+        self.with_core(|core, now| core.tick(now));
         loop {
             let due = self.core.borrow().due();
-            let duty = self.board.as_ref().map_or(f64::INFINITY, |board| board.borrow().due());
+            let duties_due = self.duty_service.as_ref().map_or(f64::INFINITY, |duties| duties.borrow().due());
             tokio::select! {
                 event = events.recv() => {
                     let Some(event) = event else { return };
-                    self.event(event);
+                    self.on_event(event);
                 }
-                ready = self.socket.readable(), if Instant::now() >= reads_from => {
+                ready = self.socket.readable(), if Instant::now() >= read_after => {
                     if ready.is_err() {
-                        sleep(BUDGET_PAUSE).await;
+                        sleep(READ_PAUSE).await;
                     }
                     let now = self.clock.now();
-                    budget = (budget + (now - filled).max(0.0) * BUDGET / 1000.0).min(BUDGET_AT_ONCE);
-                    filled = now;
-                    budget -= self.read(&mut buffer, budget) as f64;
+                    budget = (budget + (now - refilled_at).max(0.0) * DATAGRAMS_PER_SECOND / 1000.0).min(DATAGRAM_BURST);
+                    refilled_at = now;
+                    budget -= self.read_datagrams(&mut buffer, budget) as f64;
                     if budget < 1.0 {
                         self.over_budget.set(self.over_budget.get() + 1);
-                        reads_from = Instant::now() + BUDGET_PAUSE;
+                        read_after = Instant::now() + READ_PAUSE;
                     }
                 }
-                () = sleep_until(reads_from), if Instant::now() < reads_from => {}
-                () = sleep_until(self.clock.at(due)) => self.call(|core, now| core.tick(now)),
-                () = sleep_until(self.clock.at(duty)), if duty.is_finite() => {
-                    self.on_board(Board::tick);
+                () = sleep_until(read_after), if Instant::now() < read_after => {}
+                () = sleep_until(self.clock.at(due)) => self.with_core(|core, now| core.tick(now)),
+                () = sleep_until(self.clock.at(duties_due)), if duties_due.is_finite() => {
+                    self.with_duties(DutyService::tick);
                 }
             }
         }
     }
 
     /// Reads what is there, within the budget; how much that was.
-    fn read(self: &Rc<Self>, buffer: &mut [u8], budget: f64) -> usize {
-        let most = IN_ONE_GO.min(budget.max(0.0) as usize);
+    fn read_datagrams(self: &Rc<Self>, buffer: &mut [u8], budget: f64) -> usize {
+        let most = DATAGRAMS_PER_TURN.min(budget.max(0.0) as usize);
         for done in 0..most {
             // Where it came from says nothing: the packet says whom it is from.
             let Ok((length, _)) = self.socket.try_recv_from(buffer) else { return done };
-            self.call(|core, now| {
+            self.with_core(|core, now| {
                 // What is refused is counted there.
                 let _ = core.receive_bytes(&buffer[..length], now);
             });
@@ -202,126 +204,127 @@
     }
 
     /// Calls the core and does what it wants done.
-    fn call<T>(self: &Rc<Self>, call: impl FnOnce(&mut Membership, f64) -> T) -> T {
-        let (value, out) = {
+    fn with_core<T>(self: &Rc<Self>, call: impl FnOnce(&mut Membership, f64) -> T) -> T {
+        let (value, actions) = {
             let mut core = self.core.borrow_mut();
             let value = call(&mut core, self.clock.now());
             (value, core.take_actions())
         };
-        for out in out {
-            self.carry(out);
+        for action in actions {
+            self.execute(action);
         }
         value
     }
 
     /// Calls what has to do with duties, and sends what it wants sent; nothing without voters.
-    pub(crate) fn on_board<T>(&self, call: impl FnOnce(&mut Board, f64) -> T) -> Option<T> {
-        let board = self.board.as_ref()?;
-        let (value, sent, news) = {
-            let mut board = board.borrow_mut();
-            let value = call(&mut board, self.clock.now());
-            (value, board.take_sent(), std::mem::take(&mut board.news))
+    pub(crate) fn with_duties<T>(&self, call: impl FnOnce(&mut DutyService, f64) -> T) -> Option<T> {
+        let duties = self.duty_service.as_ref()?;
+        let (value, outgoing, changed) = {
+            let mut duties = duties.borrow_mut();
+            let value = call(&mut duties, self.clock.now());
+            (value, duties.take_outgoing(), std::mem::take(&mut duties.changed))
         };
         // One that was barred, or was not taken in yet, has no say.
-        let member = *self.core.borrow().state() == State::Member;
-        sent.into_iter().filter(|_| member).for_each(|sent| self.send(sent));
-        if news {
-            self.news.notify_waiters();
+        let is_member = *self.core.borrow().state() == State::Member;
+        outgoing.into_iter().filter(|_| is_member).for_each(|outgoing| self.send(outgoing));
+        if changed {
+            self.duties_changed.notify_waiters();
         }
         Some(value)
     }
 
-    fn send(&self, Sent { to, life, word }: Sent) {
+    fn send(&self, Outgoing { to, life, message }: Outgoing) {
         let core = self.core.borrow();
         if let Some(life) = life.or_else(|| core.member(&to).map(|member| member.card.life)) {
-            self.links.send(life, word);
+            self.links.send(life, message);
         }
     }
 
-    fn carry(self: &Rc<Self>, out: Action) {
-        match out {
+    fn execute(self: &Rc<Self>, action: Action) {
+        match action {
             Action::Datagram { to, bytes } => {
                 // A datagram that the kernel does not take is one that is lost: the core bears that.
-                let _ = self.socket.try_send_to(&bytes, self.reached(&to));
+                let _ = self.socket.try_send_to(&bytes, self.address_of(&to));
             }
-            Action::Frame { to, bytes } => self.links.send_frame(to.life, self.reached(&to), bytes),
-            Action::PersistIncarnation(incarnation) => drop(self.keep.send(incarnation)),
-            Action::Changed(change) => self.told(&change),
+            Action::Frame { to, bytes } => self.links.send_frame(to.life, self.address_of(&to), bytes),
+            Action::PersistIncarnation(incarnation) => drop(self.incarnation.send(incarnation)),
+            Action::Changed(change) => self.log_change(&change),
         }
     }
 
     /// Where this process reaches one: as its own file says, else as that one says.
-    fn reached(&self, to: &Destination) -> SocketAddr {
-        let own = to.name.as_ref().and_then(|name| self.settings.peers.get(name));
-        own.copied().unwrap_or(to.address)
+    fn address_of(&self, to: &Destination) -> SocketAddr {
+        let configured = to.name.as_ref().and_then(|name| self.settings.peers.get(name));
+        configured.copied().unwrap_or(to.address)
     }
 
-    fn event(self: &Rc<Self>, event: Event) {
+    fn on_event(self: &Rc<Self>, event: Event) {
         match event {
-            Event::Heard { from, word } => self.word(&from, word),
-            Event::Down { other } => {
-                log::info!("cluster: event=link-down name={} life={:016x}", other.name, other.life);
+            Event::Received { from, message } => self.on_link_message(&from, message),
+            Event::Down { peer } => {
+                log::info!("cluster: event=link-down name={} life={:016x}", peer.name, peer.life);
                 let core = self.core.borrow();
-                let member = core.member(&other.name).filter(|member| member.card.life == other.life);
+                let member = core.member(&peer.name).filter(|member| member.card.life == peer.life);
                 if let Some(member) = member {
                     let to = Destination {
-                        name: Some(other.name.clone()),
+                        name: Some(peer.name.clone()),
                         life: None,
                         address: member.card.address,
                     };
-                    spawn_local(self.links.clone().verify(other.name, other.life, self.reached(&to)));
+                    spawn_local(self.links.clone().verify(peer.name, peer.life, self.address_of(&to)));
                 }
             }
             Event::Ended { name, life } => {
-                self.call(|core, now| core.process_ended(&name, life, now));
-                self.on_board(|board, now| board.ended(&name, life, now));
+                self.with_core(|core, now| core.process_ended(&name, life, now));
+                self.with_duties(|duties, now| duties.process_ended(&name, life, now));
             }
-            Event::Stored(stored) => {
-                self.on_board(|board, now| board.stored(stored, now));
+            Event::RecordsStored(stored) => {
+                self.with_duties(|duties, now| duties.on_stored(stored, now));
             }
         }
     }
 
-    fn word(self: &Rc<Self>, from: &Greeting, word: Word) {
-        match word {
-            Word::Beat(number) => {
-                self.links.echo(from.life, number);
-                self.call(|core, now| core.link_active(&from.name, from.life, None, now));
+    fn on_link_message(self: &Rc<Self>, from: &Handshake, message: LinkMessage) {
+        match message {
+            LinkMessage::Heartbeat(number) => {
+                self.links.acknowledge(from.life, number);
+                self.with_core(|core, now| core.link_active(&from.name, from.life, None, now));
             }
-            Word::Echo(number) => {
-                let trip = self.links.echoed(from.life, number);
-                self.call(|core, now| core.link_active(&from.name, from.life, trip, now));
+            LinkMessage::HeartbeatAck(number) => {
+                let trip = self.links.on_acknowledged(from.life, number);
+                self.with_core(|core, now| core.link_active(&from.name, from.life, trip, now));
             }
-            Word::Frame(bytes) => {
-                self.links.used(from.life);
-                self.call(|core, now| {
+            LinkMessage::Membership(bytes) => {
+                self.links.mark_used(from.life);
+                self.with_core(|core, now| {
                     let _ = core.receive_bytes(&bytes, now);
                 });
             }
-            word => {
-                self.links.used(from.life);
-                self.on_board(|board, now| board.heard(&from.name, word, now));
+            message => {
+                self.links.mark_used(from.life);
+                self.with_duties(|duties, now| duties.receive(&from.name, message, now));
             }
         }
     }
 
-    async fn look_at_links(self: Rc<Self>) {
+    async fn maintain_links(self: Rc<Self>) {
         loop {
-            sleep(LINK_LOOK).await;
+            sleep(LINK_INTERVAL).await;
             let partners = self.partners();
             let lives: Vec<u64> = partners.iter().map(|(_, life, _)| *life).collect();
             // One of a pair dials, or there were two links.
-            let dials = partners.into_iter().filter(|(name, ..)| self.name < *name || self.asks_only(name));
-            let dials: Vec<_> = dials.collect();
-            self.links.look(&dials, &lives);
+            let to_dial =
+                partners.into_iter().filter(|(name, ..)| self.name < *name || self.only_sends_requests(name));
+            let to_dial: Vec<_> = to_dial.collect();
+            self.links.maintain(&to_dial, &lives);
         }
     }
 
     /// Is that a voter to which this process only turns, and which keeps no link of its own?
-    fn asks_only(&self, name: &str) -> bool {
+    fn only_sends_requests(&self, name: &str) -> bool {
         let voters = &self.settings.voters;
         let is_voter = |name: &str| voters.iter().any(|voter| voter == name);
-        is_voter(name) && !is_voter(&self.name) && self.core.borrow().members().count() > PARTNERS
+        is_voter(name) && !is_voter(&self.name) && self.core.borrow().members().count() > MAX_PARTNERS
     }
 
     /// Those to whom a link is kept.
@@ -330,24 +333,27 @@
         if *core.state() != State::Member {
             return Vec::new();
         }
-        let here: Vec<&Member> = core.members().filter(|member| member.is_present()).collect();
-        let reached = |member: &Member| {
+        let present: Vec<&Member> = core.members().filter(|member| member.is_present()).collect();
+        let address = |member: &Member| {
             let name = Some(member.card.name.clone());
-            self.reached(&Destination { name, life: None, address: member.card.address })
+            self.address_of(&Destination { name, life: None, address: member.card.address })
         };
-        let own = here.partition_point(|member| member.card.name < self.name);
-        let near = |place: usize| {
+        let own_index = present.partition_point(|member| member.card.name < self.name);
+        let is_partner = |index: usize| {
             // Steps from this process to that place and back, in the circle of names with this process in it.
-            let ahead = (place + here.len() - own) % here.len().max(1) + 1;
-            let voter = self.settings.voters.contains(&here[place].card.name);
-            here.len() <= PARTNERS || voter || ahead <= PARTNERS / 2 || ahead > here.len() - PARTNERS / 2
+            let ahead = (index + present.len() - own_index) % present.len().max(1) + 1;
+            let is_voter = self.settings.voters.contains(&present[index].card.name);
+            present.len() <= MAX_PARTNERS
+                || is_voter
+                || ahead <= MAX_PARTNERS / 2
+                || ahead > present.len() - MAX_PARTNERS / 2
         };
-        let near = here.iter().enumerate().filter(|(place, _)| near(*place));
-        near.map(|(_, member)| (member.card.name.clone(), member.card.life, reached(member))).collect()
+        let partners = present.iter().enumerate().filter(|(index, _)| is_partner(*index));
+        partners.map(|(_, member)| (member.card.name.clone(), member.card.life, address(member))).collect()
     }
 
     /// A line in the log for each change, in the notation `event=... key=...`.
-    fn told(&self, change: &Change) {
+    fn log_change(&self, change: &Change) {
         match change {
             Change::Joined => log::info!("cluster: event=joined"),
             Change::Here { name, incarnation } => {
@@ -390,7 +396,7 @@
 
     /// Says goodbye; links end with the process.
     pub fn leave(self: &Rc<Self>) {
-        self.call(|core, now| core.leave(now));
+        self.with_core(|core, now| core.leave(now));
     }
 
     /// All that operators are shown.
@@ -408,10 +414,10 @@
             address: me.address.to_string(),
             incarnation: me.incarnation,
             life: format!("{:016x}", me.life),
-            state: state_word(state),
+            state: state_name(state),
             barred_by,
-            sure: core.is_view_confirmed(),
-            deaf_s: core.isolated_since().map(|since| (now - since) / 1000.0),
+            view_confirmed: core.is_view_confirmed(),
+            isolated_s: core.isolated_since().map(|since| (now - since) / 1000.0),
             health: core.health(),
             sum: format!("{:08x}", core.view_checksum()),
             members: core.members().map(|member| self.member_view(&core, member, now)).collect(),
@@ -430,13 +436,13 @@
             incarnation: member.card.incarnation,
             life: format!("{:016x}", member.card.life),
             round_trip_ms: (member.round_trip > 0.0).then_some(member.round_trip),
-            heard_s: member.heard.is_finite().then(|| (now - member.heard) / 1000.0),
-            told_by: member.told_by.clone(),
+            last_heard_s: member.heard.is_finite().then(|| (now - member.heard) / 1000.0),
+            reported_by: member.told_by.clone(),
             suspected_by: suspected_by.into_iter().map(str::to_string).collect(),
-            link: match self.links.condition(member.card.life) {
-                Condition::None => "none",
-                Condition::Up => "up",
-                Condition::Stalled => "stalled",
+            link: match self.links.state(member.card.life) {
+                LinkState::None => "none",
+                LinkState::Up => "up",
+                LinkState::Stalled => "stalled",
             },
         }
     }
@@ -456,30 +462,30 @@
 }
 
 /// Duties, and this process's own seat among the voters, if its file names any.
-fn board(
+fn duty_service(
     settings: &Settings,
-    me: ProcessId,
+    own_id: ProcessId,
     voter: Option<(Store<Folder>, PersistentState)>,
     events: &Sender<Event>,
     (seed, now): (u64, f64),
-) -> Option<Board> {
+) -> Option<DutyService> {
     if settings.voters.is_empty() {
         return None;
     }
-    let (log, duties) = (settings.times.log(), settings.times.duties());
-    let seat = voter.map(|(store, kept)| {
-        let (groups, wanted) = mpsc::unbounded_channel();
-        spawn_local(disk::keep(store, wanted, events.clone()));
-        Seat::new(&me.name, &settings.voters, kept, (log, duties), groups, seed, now)
+    let (consensus_times, duty_times) = (settings.times.consensus(), settings.times.duties());
+    let replica = voter.map(|(store, kept)| {
+        let (groups, to_persist) = mpsc::unbounded_channel();
+        spawn_local(voter_store::store_groups(store, to_persist, events.clone()));
+        Replica::new(&own_id.name, &settings.voters, kept, (consensus_times, duty_times), groups, seed, now)
     });
-    Some(Board::new(me, &settings.voters, duties, seat))
+    Some(DutyService::new(own_id, &settings.voters, duty_times, replica))
 }
 
 /// Keeps the folder at the last incarnation; a slow disk delays nothing else, and what is not kept the others tell.
-async fn keep_incarnation(folder: PathBuf, mut wanted: watch::Receiver<u64>) {
-    while wanted.changed().await.is_ok() {
-        let (incarnation, folder) = (*wanted.borrow_and_update(), folder.clone());
-        match spawn_blocking(move || folder::write(&folder, incarnation)).await {
+async fn persist_incarnations(folder: PathBuf, mut to_persist: watch::Receiver<u64>) {
+    while to_persist.changed().await.is_ok() {
+        let (incarnation, folder) = (*to_persist.borrow_and_update(), folder.clone());
+        match spawn_blocking(move || incarnation_file::write(&folder, incarnation)).await {
             Ok(Ok(())) => {}
             Ok(Err(problem)) => log::error!("cluster: event=not-kept: {problem}"),
             Err(error) => log::error!("cluster: event=not-kept: {error}"),
--- a/crates/pearfront-cluster/src/duty_view.rs
+++ b/crates/pearfront-cluster/src/duty_view.rs
@@ -12,8 +12,8 @@
 }
 
 impl TakenView {
-    pub(crate) fn new(taken: &HolderInfo) -> Self {
-        Self { name: taken.name.clone(), token: taken.token, left_ms: taken.remaining }
+    pub(crate) fn new(holder: &HolderInfo) -> Self {
+        Self { name: holder.name.clone(), token: holder.token, left_ms: holder.remaining }
     }
 }
 
@@ -29,13 +29,13 @@
 }
 
 impl ListedView {
-    pub(crate) fn new(listed: &DutyInfo) -> Self {
+    pub(crate) fn new(info: &DutyInfo) -> Self {
         Self {
-            duty: listed.duty.clone(),
-            holders: listed.holders.iter().map(TakenView::new).collect(),
-            candidates: listed.candidates.clone(),
-            ran_ms_ago: listed.last_run_ago,
-            ran_by: listed.last_run_by.clone(),
+            duty: info.duty.clone(),
+            holders: info.holders.iter().map(TakenView::new).collect(),
+            candidates: info.candidates.clone(),
+            ran_ms_ago: info.last_run_ago,
+            ran_by: info.last_run_by.clone(),
         }
     }
 }
@@ -69,7 +69,8 @@
     /// If this process is a voter.
     pub voter: Option<VoterView>,
     /// Why it is no voter any more.
-    pub trouble: Option<String>,
+    #[serde(rename = "trouble")]
+    pub failure: Option<String>,
     /// Words of processes whose files name other voters.
     pub foreign: u64,
     /// What this process holds.
@@ -84,7 +85,8 @@
     /// How long it may act, ms; who counts from when it called is on the safe side.
     pub left_ms: f64,
     /// Another is to have it: it is to end what it does.
-    pub leave: bool,
+    #[serde(rename = "leave")]
+    pub must_leave: bool,
 }
 
 /// How things stand for a command that wants a duty.
--- a/crates/pearfront-cluster/src/lib.rs
+++ b/crates/pearfront-cluster/src/lib.rs
@@ -1,22 +1,22 @@
 //! Several processes of one installation that talk to one another: sockets, timers and files for the pure cores. The node
 //! makes one `Cluster` from values, if its file has the key; without it nothing here runs.
 
-mod board;
 mod clock;
-mod disk;
-mod drive;
+mod cluster;
 mod duties;
+mod duty_service;
 mod duty_view;
-mod folder;
+mod incarnation_file;
 mod link;
 mod links;
 mod permit;
+mod replica;
 mod rescue;
-mod seat;
 mod settings;
 mod view;
+mod voter_store;
 
-pub use drive::Cluster;
+pub use cluster::Cluster;
 pub use duties::Hold;
 pub use duty_view::{DutiesView, HoldView, ListedView};
 pub use rescue::{Rescued, rescue};
--- a/crates/pearfront-cluster/src/link.rs
+++ b/crates/pearfront-cluster/src/link.rs
@@ -15,39 +15,39 @@
 /// Version of what goes over a stream.
 const VERSION: u8 = 1;
 /// Longest that a greeting may take: a stalled way must not hold a place for ever.
-const GREETING: Duration = Duration::from_secs(2);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Longest that a write may take before the stream is given up: the other takes nothing.
-const WRITE: Duration = Duration::from_secs(10);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Greeting {
+pub(crate) struct Handshake {
     version: u8,
     installation: String,
     pub name: String,
     pub life: u64,
 }
 
-impl Greeting {
+impl Handshake {
     pub fn new(installation: &str, name: &str, life: u64) -> Self {
         Self { version: VERSION, installation: installation.into(), name: name.into(), life }
     }
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Word {
-    Beat(u64),
-    Echo(u64),
-    Frame(Vec<u8>),
+pub(crate) enum LinkMessage {
+    Heartbeat(u64),
+    HeartbeatAck(u64),
+    Membership(Vec<u8>),
     /// Between voters, to a voter, and from one; in front a sum over who the voters are: of two installations' files that
     /// differ in it none may count the other's votes.
-    Log(u32, Vec<u8>),
-    Ask(u32, Vec<u8>),
-    Told(u32, Vec<u8>),
+    Consensus(u32, Vec<u8>),
+    LeaseRequest(u32, Vec<u8>),
+    LeaseResponse(u32, Vec<u8>),
 }
 
 pub(crate) struct Link {
     stream: Stream,
-    pub other: Greeting,
+    pub peer: Handshake,
 }
 
 impl Link {
@@ -55,45 +55,49 @@
     ///
     /// # Errors
     /// Why there is no link: cut, too slow, or another installation or version.
-    pub async fn greet(stream: TcpStream, own: &Greeting) -> Result<Self, String> {
+    pub async fn handshake(stream: TcpStream, own: &Handshake) -> Result<Self, String> {
         stream.set_nodelay(true).map_err(|error| error.to_string())?;
         let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES + 64).new_codec();
         let mut stream = Framed::new(stream, codec);
-        let greeting = async {
+        let exchange = async {
             let bytes = postcard::to_stdvec(own).map_err(|error| error.to_string())?;
             stream.send(Bytes::from(bytes)).await.map_err(|error| error.to_string())?;
-            let bytes = stream.next().await.ok_or("ended before its greeting")?;
+            let bytes = stream.next().await.ok_or("connection ended before the handshake")?;
             let bytes = bytes.map_err(|error| error.to_string())?;
-            postcard::from_bytes::<Greeting>(&bytes).map_err(|_| "no greeting".to_string())
+            postcard::from_bytes::<Handshake>(&bytes).map_err(|_| "invalid handshake".to_string())
         };
-        let other = timeout(GREETING, greeting).await.map_err(|_| "no greeting in time".to_string())??;
-        if other.version != VERSION || other.installation != own.installation {
-            return Err(format!("greets as {:?}, version {}", other.installation, other.version));
+        let peer =
+            timeout(HANDSHAKE_TIMEOUT, exchange).await.map_err(|_| "handshake timed out".to_string())??;
+        if peer.version != VERSION || peer.installation != own.installation {
+            return Err(format!(
+                "handshake names installation {:?}, version {}",
+                peer.installation, peer.version
+            ));
         }
-        Ok(Self { stream, other })
+        Ok(Self { stream, peer })
     }
 
     /// Carries words both ways until the stream or the sender of words ends. Reading does not wait for writing: one that
     /// takes nothing may still have something to say.
-    pub async fn run(self, words: Receiver<Word>, heard: &Sender<Event>) {
-        let Self { stream, other } = self;
+    pub async fn run(self, messages: Receiver<LinkMessage>, events: &Sender<Event>) {
+        let Self { stream, peer } = self;
         let (sink, stream) = stream.split();
         tokio::select! {
-            () = write(sink, words) => {}
-            () = read(stream, &other, heard) => {}
+            () = write(sink, messages) => {}
+            () = read(stream, &peer, events) => {}
         }
     }
 }
 
 /// What the driver hears of links.
 pub(crate) enum Event {
-    Heard {
-        from: Greeting,
-        word: Word,
+    Received {
+        from: Handshake,
+        message: LinkMessage,
     },
     /// A link that was kept is over.
     Down {
-        other: Greeting,
+        peer: Handshake,
     },
     /// Nothing listens any more where that life did: proof.
     Ended {
@@ -101,24 +105,24 @@
         life: u64,
     },
     /// That group of a voter's records is on disk, or why nothing is any more.
-    Stored(Result<u64, String>),
+    RecordsStored(Result<u64, String>),
 }
 
 type Stream = Framed<TcpStream, LengthDelimitedCodec>;
 
-async fn write(mut sink: SplitSink<Stream, Bytes>, mut words: Receiver<Word>) {
-    while let Some(word) = words.recv().await {
-        let Ok(bytes) = postcard::to_stdvec(&word) else { return };
-        if !matches!(timeout(WRITE, sink.send(Bytes::from(bytes))).await, Ok(Ok(()))) {
+async fn write(mut sink: SplitSink<Stream, Bytes>, mut messages: Receiver<LinkMessage>) {
+    while let Some(message) = messages.recv().await {
+        let Ok(bytes) = postcard::to_stdvec(&message) else { return };
+        if !matches!(timeout(WRITE_TIMEOUT, sink.send(Bytes::from(bytes))).await, Ok(Ok(()))) {
             return;
         }
     }
 }
 
-async fn read(mut stream: SplitStream<Stream>, other: &Greeting, heard: &Sender<Event>) {
+async fn read(mut stream: SplitStream<Stream>, peer: &Handshake, events: &Sender<Event>) {
     while let Some(Ok(bytes)) = stream.next().await {
-        let Ok(word) = postcard::from_bytes::<Word>(&bytes) else { return };
-        if heard.send(Event::Heard { from: other.clone(), word }).await.is_err() {
+        let Ok(message) = postcard::from_bytes::<LinkMessage>(&bytes) else { return };
+        if events.send(Event::Received { from: peer.clone(), message }).await.is_err() {
             return;
         }
     }
--- a/crates/pearfront-cluster/src/permit.rs
+++ b/crates/pearfront-cluster/src/permit.rs
@@ -1,7 +1,7 @@
 //! The permit to be away: so many nodes of a zone at a time may drain or end. It is a duty of the zone's like any other;
 //! one that is drained and loses it takes jobs again before another may go.
 
-use crate::drive::Cluster;
+use crate::cluster::Cluster;
 use crate::settings::PermitSettings;
 use pearfront_duties::{Rank, Want};
 use std::time::Duration;
@@ -33,35 +33,38 @@
             min_interval: 0.0,
             rank: Rank::default(),
         };
-        self.on_board(|board, now| board.want(want, now));
-        let held = || self.on_board(|board, now| board.holds(&duty, now)).unwrap_or(false);
-        let _ = timeout(wait, self.until(|_| held())).await;
+        self.with_duties(|duties, now| duties.want(want, now));
+        let held = || self.with_duties(|duties, now| duties.holds(&duty, now)).unwrap_or(false);
+        let _ = timeout(wait, self.wait_until(|_| held())).await;
         if held() {
             return Ok(());
         }
-        let stands = self.on_board(|board, now| board.rented(&duty, now));
+        let view = self.with_duties(|duties, now| duties.hold_view(&duty, now));
         self.give_up_permit();
-        let holders = stands.map(|stands| stands.holders).unwrap_or_default();
-        let away: Vec<String> = holders
+        let holders = view.map(|view| view.holders).unwrap_or_default();
+        let holders_away: Vec<String> = holders
             .iter()
-            .map(|one| format!("{} for {:.0} s at most", one.name, (one.left_ms / 1000.0).ceil()))
+            .map(|holder| format!("{} for {:.0} s at most", holder.name, (holder.left_ms / 1000.0).ceil()))
             .collect();
-        if away.is_empty() {
+        if holders_away.is_empty() {
             Err("no leader gives a permit".into())
         } else {
-            Err(format!("away: {}", away.join(", ")))
+            Err(format!("away: {}", holders_away.join(", ")))
         }
     }
 
     pub fn give_up_permit(&self) {
         if let Some((duty, _)) = self.permit() {
-            self.on_board(|board, now| board.unwant(&duty, now));
+            self.with_duties(|duties, now| duties.unwant(&duty, now));
         }
     }
 
     /// Completes once the permit is not held, or none is needed.
     pub async fn permit_lost(&self) {
         let Some((duty, _)) = self.permit() else { return };
-        self.until(|cluster| !cluster.on_board(|board, now| board.holds(&duty, now)).unwrap_or(false)).await;
+        self.wait_until(|cluster| {
+            !cluster.with_duties(|duties, now| duties.holds(&duty, now)).unwrap_or(false)
+        })
+        .await;
     }
 }
--- a/crates/pearfront-cluster/src/rescue.rs
+++ b/crates/pearfront-cluster/src/rescue.rs
@@ -1,12 +1,12 @@
 //! The way back where a majority of voters is lost for good: what one of them has becomes the beginning of all.
 
-use crate::disk;
+use crate::voter_store;
 use pearfront_consensus::{PersistentState, Record};
 use pearfront_duties::Duties;
 use std::path::Path;
 
 /// How far index and tokens go ahead of what is known here: further than whatever the lost ones can have given out since.
-const AHEAD: u64 = 1_000_000;
+const SKIPPED: u64 = 1_000_000;
 
 /// What a rescue has found.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -25,11 +25,11 @@
 /// # Errors
 /// A folder that is damaged or held by a process, or one to be made that has something in it.
 pub fn rescue(from: &Path, to: &Path) -> Result<Rescued, String> {
-    let (_held, kept) = disk::open(from)?;
-    let PersistentState { term, snapshot, entries, .. } = kept;
+    let (_held, stored_state) = voter_store::open(from)?;
+    let PersistentState { term, snapshot, entries, .. } = stored_state;
     let mut duties = match &snapshot {
         Some((.., bytes)) => Duties::decode(bytes)
-            .ok_or_else(|| format!("{}: its snapshot is none of duties", from.display()))?,
+            .ok_or_else(|| format!("{}: its snapshot does not hold duties", from.display()))?,
         None => Duties::default(),
     };
     for entry in &entries {
@@ -37,16 +37,16 @@
     }
     let last = entries.last().map(|entry| entry.index).or(snapshot.map(|(index, ..)| index)).unwrap_or(0);
     let last_token = duties.last_token();
-    duties.skip_tokens(AHEAD);
-    let (mut store, there) = disk::open(to)?;
-    if there != PersistentState::default() {
+    duties.skip_tokens(SKIPPED);
+    let (mut store, existing) = voter_store::open(to)?;
+    if existing != PersistentState::default() {
         return Err(format!("{}: is not empty", to.display()));
     }
     // The next term: nobody who follows a leader of the old one goes on with it.
     let term = term + 1;
     let records = [
         Record::Term { term, voted_for: None },
-        Record::Snapshot { index: last + AHEAD, term, bytes: duties.encode() },
+        Record::Snapshot { index: last + SKIPPED, term, bytes: duties.encode() },
     ];
     let bytes = records.map(|record| record.encode());
     let bytes: Vec<&[u8]> = bytes.iter().map(Vec::as_slice).collect();
--- a/crates/pearfront-cluster/src/settings.rs
+++ b/crates/pearfront-cluster/src/settings.rs
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 
 /// Shortest and longest that each time may be, ms.
-const TIME: (f64, f64) = (10.0, 86_400_000.0);
+const TIME_RANGE_MS: (f64, f64) = (10.0, 86_400_000.0);
 
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -78,9 +78,9 @@
 }
 
 /// Shortest and longest lease, ms.
-const LEASE: (f64, f64) = (1000.0, 600_000.0);
+const LEASE_RANGE_MS: (f64, f64) = (1000.0, 600_000.0);
 /// Holders that a duty may have.
-const HOLDERS: (u32, u32) = (1, 1024);
+const HOLDER_RANGE: (u32, u32) = (1, 1024);
 
 /// What a duty may be called: it goes into paths and logs as it is.
 pub(crate) fn is_duty_name(name: &str) -> bool {
@@ -107,8 +107,8 @@
 
 /// Times among voters, ms: real processes share their processors with others, and an election that a busy machine brings
 /// about helps nobody.
-const BEAT: f64 = 100.0;
-const ELECTION: f64 = 500.0;
+const HEARTBEAT_MS: f64 = 100.0;
+const ELECTION_MS: f64 = 500.0;
 
 impl Settings {
     /// # Errors
@@ -123,7 +123,7 @@
             text("name", name, 1, 64)?;
         }
         text("zone", &self.zone, 0, 32)?;
-        if self.reached_at().ip().is_unspecified() {
+        if self.advertised_address().ip().is_unspecified() {
             return Err("advertise is needed where listen names no address of its own".into());
         }
         self.check_duties()?;
@@ -143,7 +143,7 @@
         if voters.is_empty() && !self.duties.is_empty() {
             return Err("duties need voters".into());
         }
-        let (least, most) = LEASE;
+        let (least, most) = LEASE_RANGE_MS;
         if let Some(permit) = &self.drain_permit {
             if voters.is_empty() {
                 return Err("drain_permit needs voters".into());
@@ -154,8 +154,11 @@
                     permit.restart_ms
                 ));
             }
-            if !(HOLDERS.0..=HOLDERS.1).contains(&permit.at_most) {
-                return Err(format!("drain_permit.at_most is {}, not 1 to {}", permit.at_most, HOLDERS.1));
+            if !(HOLDER_RANGE.0..=HOLDER_RANGE.1).contains(&permit.at_most) {
+                return Err(format!(
+                    "drain_permit.at_most is {}, not 1 to {}",
+                    permit.at_most, HOLDER_RANGE.1
+                ));
             }
         }
         for (name, duty) in &self.duties {
@@ -165,8 +168,11 @@
             if !(least..=most).contains(&duty.lease_ms) {
                 return Err(format!("duties.{name}.lease_ms is {}, not {least} to {most}", duty.lease_ms));
             }
-            if !(HOLDERS.0..=HOLDERS.1).contains(&duty.holders) {
-                return Err(format!("duties.{name}.holders is {}, not 1 to {}", duty.holders, HOLDERS.1));
+            if !(HOLDER_RANGE.0..=HOLDER_RANGE.1).contains(&duty.holders) {
+                return Err(format!(
+                    "duties.{name}.holders is {}, not 1 to {}",
+                    duty.holders, HOLDER_RANGE.1
+                ));
             }
         }
         Ok(())
@@ -183,12 +189,12 @@
     }
 
     /// Where others reach this process.
-    pub fn reached_at(&self) -> SocketAddr {
+    pub fn advertised_address(&self) -> SocketAddr {
         self.advertise.unwrap_or(self.listen)
     }
 
     /// Whom to ask at the start.
-    pub(crate) fn asked_first(&self, own: &str) -> Vec<SocketAddr> {
+    pub(crate) fn initial_contacts(&self, own: &str) -> Vec<SocketAddr> {
         let peers = self.peers.iter().filter(|(name, _)| *name != own).map(|(_, address)| *address);
         self.seeds.iter().copied().chain(peers).collect()
     }
@@ -210,44 +216,45 @@
     }
 
     fn check(&self) -> Result<(), String> {
-        let (least, most) = TIME;
+        let (least, most) = TIME_RANGE_MS;
         for (key, value) in self.pairs() {
             if let Some(value) = value.filter(|value| !(least..=most).contains(value)) {
                 return Err(format!("times.{key} is {value}, not {least} to {most}"));
             }
         }
-        let log = self.log();
-        if log.election < 2.0 * log.heartbeat {
+        let consensus = self.consensus();
+        if consensus.election < 2.0 * consensus.heartbeat {
             return Err(
                 "times.election_ms is below two of times.beat_ms: a lost beat would be an election".into()
             );
         }
-        let core = self.core();
-        if core.suspicion < core.probe_period {
+        let membership = self.membership();
+        if membership.suspicion < membership.probe_period {
             return Err("times.suspicion_ms is below times.period_ms: nobody could answer in it".into());
         }
         Ok(())
     }
 
-    pub(crate) fn log(&self) -> pearfront_consensus::Times {
-        let (beat, election) = (self.beat_ms.unwrap_or(BEAT), self.election_ms.unwrap_or(ELECTION));
-        pearfront_consensus::Times { heartbeat: beat, election }
+    pub(crate) fn consensus(&self) -> pearfront_consensus::Times {
+        let (heartbeat, election) =
+            (self.beat_ms.unwrap_or(HEARTBEAT_MS), self.election_ms.unwrap_or(ELECTION_MS));
+        pearfront_consensus::Times { heartbeat: heartbeat, election }
     }
 
     pub(crate) fn duties(&self) -> pearfront_duties::Times {
-        let usual = pearfront_duties::Times::default();
-        pearfront_duties::Times { stability: self.steady_ms.unwrap_or(usual.stability), ..usual }
+        let defaults = pearfront_duties::Times::default();
+        pearfront_duties::Times { stability: self.steady_ms.unwrap_or(defaults.stability), ..defaults }
     }
 
-    pub(crate) fn core(&self) -> pearfront_membership::Times {
-        let usual = pearfront_membership::Times::default();
+    pub(crate) fn membership(&self) -> pearfront_membership::Times {
+        let defaults = pearfront_membership::Times::default();
         pearfront_membership::Times {
-            probe_period: self.period_ms.unwrap_or(usual.probe_period),
-            probe_timeout: self.answer_ms.unwrap_or(usual.probe_timeout),
-            suspicion: self.suspicion_ms.unwrap_or(usual.suspicion),
-            sync_interval: self.compare_ms.unwrap_or(usual.sync_interval),
-            reconnect_interval: self.ask_again_ms.unwrap_or(usual.reconnect_interval),
-            retention: self.remember_ms.unwrap_or(usual.retention),
+            probe_period: self.period_ms.unwrap_or(defaults.probe_period),
+            probe_timeout: self.answer_ms.unwrap_or(defaults.probe_timeout),
+            suspicion: self.suspicion_ms.unwrap_or(defaults.suspicion),
+            sync_interval: self.compare_ms.unwrap_or(defaults.sync_interval),
+            reconnect_interval: self.ask_again_ms.unwrap_or(defaults.reconnect_interval),
+            retention: self.remember_ms.unwrap_or(defaults.retention),
         }
     }
 }
--- a/crates/pearfront-cluster/src/settings/tests.rs
+++ b/crates/pearfront-cluster/src/settings/tests.rs
@@ -2,10 +2,10 @@
 use serde_json::json;
 use test_case::test_case;
 
-fn told(change: serde_json::Value) -> String {
-    let mut all = json!({"installation": "shop", "listen": "127.0.0.1:7000"});
-    all.as_object_mut().unwrap().extend(change.as_object().unwrap().clone());
-    match serde_json::from_value::<Settings>(all) {
+fn error_of(change: serde_json::Value) -> String {
+    let mut settings = json!({"installation": "shop", "listen": "127.0.0.1:7000"});
+    settings.as_object_mut().unwrap().extend(change.as_object().unwrap().clone());
+    match serde_json::from_value::<Settings>(settings) {
         Ok(settings) => settings.check().err().unwrap_or_default(),
         Err(error) => error.to_string(),
     }
@@ -25,6 +25,6 @@
 #[test_case(json!({"voters": ["a", "b", "c"], "duties": {"export": {"lease_ms": 5}}}), "duties.export.lease_ms is 5, not 1000 to 600000"; "no lease")]
 #[test_case(json!({"voters": ["a", "b", "c"], "duties": {"a/b": {}}}), "duties.a/b: a name has 1 to 64 letters, digits and . _ : -"; "no name")]
 #[test_case(json!({"times": {"beat_ms": 300}}), "times.election_ms is below two of times.beat_ms: a lost beat would be an election"; "few beats")]
-fn a_fault_is_told_by_its_key(change: serde_json::Value, wanted: &str) {
-    assert_eq!(told(change), wanted);
+fn errors_name_the_faulty_key(change: serde_json::Value, expected: &str) {
+    assert_eq!(error_of(change), expected);
 }
--- a/crates/pearfront-cluster/src/view.rs
+++ b/crates/pearfront-cluster/src/view.rs
@@ -16,9 +16,11 @@
     /// Smoothed round trip, ms; none if none was measured.
     pub round_trip_ms: Option<f64>,
     /// Seconds since anything fresh was heard from itself; none if never.
-    pub heard_s: Option<f64>,
+    #[serde(rename = "heard_s")]
+    pub last_heard_s: Option<f64>,
     /// Who told that it stands so; none if this process saw it.
-    pub told_by: Option<String>,
+    #[serde(rename = "told_by")]
+    pub reported_by: Option<String>,
     /// Who suspects it.
     pub suspected_by: Vec<String>,
     /// How the link to it is: none, up or stalled.
@@ -38,9 +40,11 @@
     /// Where the process is that has its name, if it is barred.
     pub barred_by: Option<String>,
     /// May it act on what it sees?
-    pub sure: bool,
+    #[serde(rename = "sure")]
+    pub view_confirmed: bool,
     /// Seconds since when it hears nobody, if so.
-    pub deaf_s: Option<f64>,
+    #[serde(rename = "deaf_s")]
+    pub isolated_s: Option<f64>,
     /// Doubt in its own health, 0 to 8.
     pub health: u32,
     /// Sum of who is here: equal at two processes that agree.
@@ -92,7 +96,7 @@
     }
 }
 
-pub(crate) fn state_word(state: &State) -> &'static str {
+pub(crate) fn state_name(state: &State) -> &'static str {
     match state {
         State::Joining => "joining",
         State::Member => "member",
--- a/crates/pearfront-cluster/src/disk.rs
+++ b/crates/pearfront-cluster/src/voter_store.rs
@@ -8,12 +8,12 @@
 use tokio::task::spawn_blocking;
 
 /// Bytes of the log after which everything is put into a snapshot.
-const COMPACT: usize = 4 * 1024 * 1024;
+const COMPACT_AT_BYTES: usize = 4 * 1024 * 1024;
 
-fn put_together(recovered: Recovered) -> PersistentState {
-    let old = recovered.snapshot.into_iter().flat_map(|entry| decode_records(&entry.bytes));
-    let new = recovered.entries.into_iter().filter_map(|entry| decode_record(&entry.bytes));
-    recover(old.chain(new))
+fn replay(recovered: Recovered) -> PersistentState {
+    let from_snapshot = recovered.snapshot.into_iter().flat_map(|entry| decode_records(&entry.bytes));
+    let from_log = recovered.entries.into_iter().filter_map(|entry| decode_record(&entry.bytes));
+    recover(from_snapshot.chain(from_log))
 }
 
 /// Opens a voter's folder; what it had.
@@ -22,23 +22,23 @@
 /// What is wrong with it, file and place named: a voter that can't know what it promised must not begin as if it had
 /// promised nothing.
 pub(crate) fn open(folder: &Path) -> Result<(Store<Folder>, PersistentState), String> {
-    let told = |problem: String| format!("{}: {problem}", folder.display());
-    let disk = Folder::open(folder).map_err(|error| told(error.to_string()))?;
-    let (store, recovered) = Store::open(disk).map_err(|error| told(error.to_string()))?;
+    let describe = |problem: String| format!("{}: {problem}", folder.display());
+    let disk = Folder::open(folder).map_err(|error| describe(error.to_string()))?;
+    let (store, recovered) = Store::open(disk).map_err(|error| describe(error.to_string()))?;
     if recovered.torn_bytes > 0 {
         log::warn!("cluster: event=torn-end bytes={} folder={}", recovered.torn_bytes, folder.display());
     }
-    Ok((store, put_together(recovered)))
+    Ok((store, replay(recovered)))
 }
 
 /// One group of records and its number.
-pub(crate) type Group = (u64, Vec<Record>);
+pub(crate) type RecordGroup = (u64, Vec<Record>);
 
 /// Stores groups in their order; one sync takes along all that came while the one before it was under way. Ends with the
 /// first failure: nothing that was promised on this disk may be relied on any more.
-pub(crate) async fn keep(
+pub(crate) async fn store_groups(
     mut store: Store<Folder>,
-    mut groups: UnboundedReceiver<Group>,
+    mut groups: UnboundedReceiver<RecordGroup>,
     events: Sender<Event>,
 ) {
     while let Some((mut number, mut records)) = groups.recv().await {
@@ -46,22 +46,22 @@
             number = later;
             records.extend(more);
         }
-        let done = spawn_blocking(move || {
-            let done = write(&mut store, &records);
-            (store, done)
+        let task = spawn_blocking(move || {
+            let result = write(&mut store, &records);
+            (store, result)
         });
-        let stored = match done.await {
-            Ok((back, done)) => {
-                store = back;
-                done.map(|()| number)
+        let stored = match task.await {
+            Ok((returned, result)) => {
+                store = returned;
+                result.map(|()| number)
             }
             Err(error) => {
-                let _ = events.send(Event::Stored(Err(error.to_string()))).await;
+                let _ = events.send(Event::RecordsStored(Err(error.to_string()))).await;
                 return;
             }
         };
         let failed = stored.is_err();
-        if events.send(Event::Stored(stored)).await.is_err() || failed {
+        if events.send(Event::RecordsStored(stored)).await.is_err() || failed {
             return;
         }
     }
@@ -71,11 +71,11 @@
     let encoded: Vec<Vec<u8>> = records.iter().map(Record::encode).collect();
     let encoded: Vec<&[u8]> = encoded.iter().map(Vec::as_slice).collect();
     store.append(&encoded).and_then(|_| store.sync()).map_err(|error| error.to_string())?;
-    if store.log_bytes() > COMPACT {
-        let upto = store.synced_index();
-        let found = check(store.disk()).map_err(|error| error.to_string())?;
-        let bytes = encode_records(&put_together(found).into_records());
-        store.snapshot(upto, &bytes).map_err(|error| error.to_string())?;
+    if store.log_bytes() > COMPACT_AT_BYTES {
+        let last_included = store.synced_index();
+        let recovered = check(store.disk()).map_err(|error| error.to_string())?;
+        let bytes = encode_records(&replay(recovered).into_records());
+        store.snapshot(last_included, &bytes).map_err(|error| error.to_string())?;
     }
     Ok(())
 }
