--- a/crates/pearfront-cluster/src/clock.rs
+++ b/crates/pearfront-cluster/src/clock.rs
@@ -1,10 +1,11 @@
-//! Time that goes on while the machine sleeps (CLOCK_BOOTTIME): a process that slept has to see that it did. Never the
-//! time of day.
+//! Monotonic time that also advances while the machine sleeps (CLOCK_BOOTTIME): a process has to notice that it
+//! slept. The time of day is never used.
 
 use rustix::time::{ClockId, clock_gettime};
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// Milliseconds since the start of the cluster.
 #[derive(Clone, Copy)]
 pub(crate) struct Clock {
     start: f64,
@@ -25,7 +26,7 @@
         boot_time() - self.start
     }
 
-    /// When the runtime's timer has to ring for that time; far off if it is never.
+    /// When a timer has to fire for that time. Capped at 60 s, for times that are never reached.
     pub fn at(self, ms: f64) -> Instant {
         let wait = (ms - self.now()).clamp(0.0, 60_000.0);
         Instant::now() + Duration::from_secs_f64(wait / 1e3)
--- a/crates/pearfront-cluster/src/cluster.rs
+++ b/crates/pearfront-cluster/src/cluster.rs
@@ -1,4 +1,5 @@
-//! Drives the core of membership: one task for datagrams and timers, one for who dials in, and the folder.
+//! `Cluster` connects the membership core and the duties to sockets, timers and files. The node and the scale
+//! measurements create one.
 
 use crate::clock::Clock;
 use crate::duty_service::{DutyService, Outgoing};
@@ -28,25 +29,26 @@
 use tokio::task::{spawn_blocking, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Datagrams read in one go before anything else has its turn.
+/// Datagrams read in a row before other events get their turn.
 const DATAGRAMS_PER_TURN: usize = 32;
-/// Datagrams that are read in a second, and at once: sixteen processes need some 100. Beyond it they wait in the kernel
-/// and are dropped there; a flood costs jobs nothing then.
+/// Rate limit and burst for reading datagrams. Sixteen processes need some 100 a second; what exceeds the limit
+/// waits in the kernel and is dropped there, so a flood takes no time from requests.
 const DATAGRAMS_PER_SECOND: f64 = 2000.0;
 const DATAGRAM_BURST: f64 = 400.0;
 /// Pause in reading once the budget is used up.
 const READ_PAUSE: Duration = Duration::from_millis(20);
-/// Time between two looks at all links: beats, dials.
+/// Interval for link maintenance: heartbeats and dialling.
 const LINK_INTERVAL: Duration = Duration::from_millis(250);
-/// Others to which links are kept: everyone up to so many, else the next of them in the order of names.
+/// Links are kept to all others up to this number, else to the nearest ones in the order of names.
 const MAX_PARTNERS: usize = 32;
-/// Words from links that wait for the driver.
+/// Events from links that may wait in the queue.
 const MAX_QUEUED_EVENTS: usize = 256;
-/// Connections that the kernel holds for this process.
+/// Listen backlog of the kernel.
 const LISTEN_BACKLOG: u32 = 256;
-/// Descriptors that the cluster may use: two sockets, its streams, a file and its folder.
+/// File descriptors that the cluster may use: two sockets, its streams, a file and its folder.
 const MAX_DESCRIPTORS: usize = MAX_STREAMS + 8;
 
+/// This process as a member of its installation.
 pub struct Cluster {
     pub(crate) settings: Settings,
     name: String,
@@ -54,16 +56,16 @@
     core: RefCell<Membership>,
     socket: UdpSocket,
     links: Rc<Links>,
-    /// The incarnation that the folder should have.
+    /// The incarnation that the folder should hold.
     incarnation: watch::Sender<u64>,
     over_budget: Cell<u64>,
-    /// Duties, where there are voters.
+    /// Present if there are voters.
     pub(crate) duty_service: Option<RefCell<DutyService>>,
-    /// Something has come of them.
+    /// Notified when the state of duties may have changed.
     pub(crate) duties_changed: Notify,
 }
 
-/// Everything bound and read, before anything is said.
+/// The bound sockets.
 pub struct Bound {
     socket: UdpSocket,
     listener: TcpListener,
@@ -82,10 +84,11 @@
 }
 
 impl Cluster {
-    /// Binds, reads the folder and begins to join; runs as long as the process. Needs a `LocalSet`.
+    /// Binds the sockets, reads the folder and starts to join. It runs as long as the process, and needs a
+    /// `LocalSet`.
     ///
     /// # Errors
-    /// The key that can't be had as it is, and why.
+    /// The faulty key, and why.
     pub fn start(settings: Settings, node: &str) -> Result<Rc<Self>, String> {
         settings.check()?;
         let name = settings.name.clone().unwrap_or_else(|| node.to_string());
@@ -97,7 +100,7 @@
             }
             None => 0,
         };
-        // Read before anything is bound: a voter whose folder is damaged must not be there at all.
+        // Done before binding: a voter whose folder is damaged must not take part at all.
         let voter = settings.voter_folder(&name)?;
         let voter =
             voter.map(|folder| voter_store::open(&folder).map_err(|problem| format!("folder: {problem}")));
@@ -149,7 +152,7 @@
         Ok(cluster)
     }
 
-    /// Descriptors that it may use, which nothing else may have.
+    /// File descriptors to reserve for the cluster.
     pub fn max_descriptors() -> usize {
         MAX_DESCRIPTORS
     }
@@ -189,21 +192,21 @@
         }
     }
 
-    /// Reads what is there, within the budget; how much that was.
+    /// Reads waiting datagrams within the budget; returns how many.
     fn read_datagrams(self: &Rc<Self>, buffer: &mut [u8], budget: f64) -> usize {
         let most = DATAGRAMS_PER_TURN.min(budget.max(0.0) as usize);
         for done in 0..most {
-            // Where it came from says nothing: the packet says whom it is from.
+            // The source address is ignored: the packet names its sender.
             let Ok((length, _)) = self.socket.try_recv_from(buffer) else { return done };
             self.with_core(|core, now| {
-                // What is refused is counted there.
+                // The core counts what it refuses.
                 let _ = core.receive_bytes(&buffer[..length], now);
             });
         }
         most
     }
 
-    /// Calls the core and does what it wants done.
+    /// Calls the membership core and executes the actions that follow.
     fn with_core<T>(self: &Rc<Self>, call: impl FnOnce(&mut Membership, f64) -> T) -> T {
         let (value, actions) = {
             let mut core = self.core.borrow_mut();
@@ -216,7 +219,7 @@
         value
     }
 
-    /// Calls what has to do with duties, and sends what it wants sent; nothing without voters.
+    /// Calls the duty service and sends its messages; `None` without voters.
     pub(crate) fn with_duties<T>(&self, call: impl FnOnce(&mut DutyService, f64) -> T) -> Option<T> {
         let duties = self.duty_service.as_ref()?;
         let (value, outgoing, changed) = {
@@ -224,7 +227,7 @@
             let value = call(&mut duties, self.clock.now());
             (value, duties.take_outgoing(), std::mem::take(&mut duties.changed))
         };
-        // One that was barred, or was not taken in yet, has no say.
+        // A process that is barred or has not joined yet does not take part.
         let is_member = *self.core.borrow().state() == State::Member;
         outgoing.into_iter().filter(|_| is_member).for_each(|outgoing| self.send(outgoing));
         if changed {
@@ -243,7 +246,7 @@
     fn execute(self: &Rc<Self>, action: Action) {
         match action {
             Action::Datagram { to, bytes } => {
-                // A datagram that the kernel does not take is one that is lost: the core bears that.
+                // A datagram that the kernel does not accept counts as lost; the protocol tolerates that.
                 let _ = self.socket.try_send_to(&bytes, self.address_of(&to));
             }
             Action::Frame { to, bytes } => self.links.send_frame(to.life, self.address_of(&to), bytes),
@@ -252,7 +255,7 @@
         }
     }
 
-    /// Where this process reaches one: as its own file says, else as that one says.
+    /// The address of a process: from this node's `peers` setting, else as that process advertises it.
     fn address_of(&self, to: &Destination) -> SocketAddr {
         let configured = to.name.as_ref().and_then(|name| self.settings.peers.get(name));
         configured.copied().unwrap_or(to.address)
@@ -312,7 +315,7 @@
             sleep(LINK_INTERVAL).await;
             let partners = self.partners();
             let lives: Vec<u64> = partners.iter().map(|(_, life, _)| *life).collect();
-            // One of a pair dials, or there were two links.
+            // Only one side of each pair dials, or there would be two links.
             let to_dial =
                 partners.into_iter().filter(|(name, ..)| self.name < *name || self.only_sends_requests(name));
             let to_dial: Vec<_> = to_dial.collect();
@@ -320,14 +323,14 @@
         }
     }
 
-    /// Is that a voter to which this process only turns, and which keeps no link of its own?
+    /// Is that a voter that this process only sends requests to? Such a voter keeps no link of its own.
     fn only_sends_requests(&self, name: &str) -> bool {
         let voters = &self.settings.voters;
         let is_voter = |name: &str| voters.iter().any(|voter| voter == name);
         is_voter(name) && !is_voter(&self.name) && self.core.borrow().members().count() > MAX_PARTNERS
     }
 
-    /// Those to whom a link is kept.
+    /// Members to which a link is kept.
     fn partners(&self) -> Vec<(String, u64, SocketAddr)> {
         let core = self.core.borrow();
         if *core.state() != State::Member {
@@ -340,7 +343,7 @@
         };
         let own_index = present.partition_point(|member| member.card.name < self.name);
         let is_partner = |index: usize| {
-            // Steps from this process to that place and back, in the circle of names with this process in it.
+            // Distance in the ring of names, which includes this process.
             let ahead = (index + present.len() - own_index) % present.len().max(1) + 1;
             let is_voter = self.settings.voters.contains(&present[index].card.name);
             present.len() <= MAX_PARTNERS
@@ -352,7 +355,7 @@
         partners.map(|(_, member)| (member.card.name.clone(), member.card.life, address(member))).collect()
     }
 
-    /// A line in the log for each change, in the notation `event=... key=...`.
+    /// Logs a change as `event=... key=...`; the soak and tests parse these lines.
     fn log_change(&self, change: &Change) {
         match change {
             Change::Joined => log::info!("cluster: event=joined"),
@@ -394,12 +397,12 @@
         }
     }
 
-    /// Says goodbye; links end with the process.
+    /// Announces to the others that this process leaves. Links end with the process.
     pub fn leave(self: &Rc<Self>) {
         self.with_core(|core, now| core.leave(now));
     }
 
-    /// All that operators are shown.
+    /// The answer to `/_members`.
     pub fn view(&self) -> View {
         let (core, now) = (self.core.borrow(), self.clock.now());
         let (me, state) = (core.me(), core.state());
@@ -447,7 +450,7 @@
         }
     }
 
-    /// Figures for the counters' line.
+    /// Figures for the counters line.
     pub fn counters(&self) -> BTreeMap<&'static str, u64> {
         let counts = self.core.borrow().counts();
         BTreeMap::from([
@@ -461,7 +464,7 @@
     }
 }
 
-/// Duties, and this process's own seat among the voters, if its file names any.
+/// Creates the duty service, with a replica if this process is a voter; `None` if there are no voters.
 fn duty_service(
     settings: &Settings,
     own_id: ProcessId,
@@ -481,7 +484,8 @@
     Some(DutyService::new(own_id, &settings.voters, duty_times, replica))
 }
 
-/// Keeps the folder at the last incarnation; a slow disk delays nothing else, and what is not kept the others tell.
+/// Writes new incarnations to the folder. A slow disk delays nothing else, and other members report an
+/// incarnation that was not stored.
 async fn persist_incarnations(folder: PathBuf, mut to_persist: watch::Receiver<u64>) {
     while to_persist.changed().await.is_ok() {
         let (incarnation, folder) = (*to_persist.borrow_and_update(), folder.clone());
--- a/crates/pearfront-cluster/src/duties.rs
+++ b/crates/pearfront-cluster/src/duties.rs
@@ -1,4 +1,4 @@
-//! Calls about duties that take their time: whoever makes one waits for a leader's answer, and no longer than it may.
+//! Operator calls about duties. Each waits a limited time for the answer of a leader.
 
 use crate::cluster::Cluster;
 use crate::duty_view::{DutiesView, HoldView};
@@ -8,26 +8,26 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Longest that a call waits: operators' calls are answered within 2 s, and their callers wait for 1 s.
+/// Longest wait of a call. Operator calls are answered within 2 s, and their clients wait for 1 s.
 const MAX_WAIT: Duration = Duration::from_millis(700);
 
 /// What a command wants to hold.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Hold {
     pub duty: String,
-    /// Tells one command from another at the same process.
+    /// Distinguishes commands that use the same process.
     pub client: String,
-    /// Not again within this time, ms, after a run that ended well; 0 if that does not matter.
+    /// Minimum time between a successful run and the next grant, ms; 0 for none.
     pub once_per_ms: f64,
 }
 
 impl Cluster {
-    /// Does anybody decide about duties here?
+    /// Are there voters that decide about duties?
     pub fn has_duties(&self) -> bool {
         self.duty_service.is_some()
     }
 
-    /// All duties, asked of the leader, and this process's own; what no leader told in time is left out.
+    /// The duties of this process and, if a leader answers in time, all duties.
     pub async fn duties(&self) -> Option<DutiesView> {
         self.request_list().await;
         self.with_duties(|duties, now| duties.view(now))
@@ -39,10 +39,10 @@
             .await;
     }
 
-    /// Waits until something is so.
+    /// Waits until the condition holds.
     pub(crate) async fn wait_until(&self, condition: impl Fn(&Self) -> bool) {
         loop {
-            // Told from here on: what comes between the look and the wait is not missed.
+            // Registered before the check, so that a change between check and wait is not missed.
             let changed = self.duties_changed.notified();
             tokio::pin!(changed);
             changed.as_mut().enable();
@@ -53,15 +53,16 @@
         }
     }
 
-    /// The same, for as long as a call may wait.
+    /// The same, but not longer than a call may take.
     async fn wait_briefly(&self, condition: impl Fn(&Self) -> bool) {
         let _ = timeout(MAX_WAIT, self.wait_until(condition)).await;
     }
 
-    /// A command wants a duty, or wants to go on with it: how things stand, as soon as it holds it or time is up.
+    /// A command wants a duty, or wants to keep it. Returns the state as soon as the duty is held or time is
+    /// up.
     ///
     /// # Errors
-    /// Why it can't: a name that is none, or another command of this process that wants the same.
+    /// The name is invalid, or another command of this process wants the same duty.
     pub async fn hold(self: &Rc<Self>, hold: &Hold) -> Result<HoldView, String> {
         if !is_duty_name(&hold.duty) {
             return Err("a duty's name has 1 to 64 letters, digits and . _ : -".into());
@@ -76,7 +77,7 @@
         let held = |cluster: &Self| {
             cluster.with_duties(|duties, now| duties.hold_view(duty, now).held.is_some()).unwrap_or(true)
         };
-        // One that holds it already only asks how long it may go on.
+        // A command that holds the duty only asks how long it may go on.
         if !already_held {
             self.wait_briefly(held).await;
         }
@@ -92,22 +93,22 @@
             duty: hold.duty.clone(),
             max_holders: settings.holders,
             lease: settings.lease_ms,
-            // A command goes on when the process that it asks has ended.
+            // A command may go on after the process that it calls has ended.
             outlives_process: true,
             min_interval: hold.once_per_ms,
             rank: Rank { zone, load: 0, preference: settings.preference },
         }
     }
 
-    /// A command is done with its duty. False if it does not have it.
+    /// A command releases its duty; false if it does not have it.
     pub fn give_up(&self, duty: &str, client: &str, succeeded: bool) -> bool {
         self.with_duties(|duties, now| duties.give_up(duty, client, succeeded, now)).unwrap_or(false)
     }
 
-    /// Whoever holds a duty is to leave it, for that one if one is named; what came of it.
+    /// Asks the holder of a duty to hand it over, to `to` if it is set. Returns what came of it.
     ///
     /// # Errors
-    /// Nobody holds it, or no leader answered.
+    /// Nobody holds the duty, or no leader answered.
     pub async fn move_duty(&self, duty: &str, to: Option<&str>) -> Result<String, String> {
         self.request_list().await;
         if self.with_duties(|duties, _| duties.list().is_none()).unwrap_or(true) {
--- a/crates/pearfront-cluster/src/duty_service.rs
+++ b/crates/pearfront-cluster/src/duty_service.rs
@@ -1,5 +1,6 @@
-//! Duties in this process: what it wants and holds, for itself and for commands that operators run beside it, and its seat
-//! among the voters if it has one. Pure but for the disk behind the seat: words come in, words go out.
+//! Duties in this process: what it wants and holds, for itself and for commands that operators run beside it,
+//! and its replica if it is a voter. It has no I/O except for the queue to the replica's disk; `Cluster`
+//! carries its messages.
 
 use crate::duty_view::{DutiesView, HeldView, HoldView, ListedView, OwnView, TakenView, VoterView};
 use crate::link::LinkMessage;
@@ -11,41 +12,43 @@
 };
 use std::collections::{BTreeMap, VecDeque};
 
-/// A command that does not call for so long, ms, has ended or can't; what it holds is given up once it must have stopped.
+/// A command that has not called for this long, ms, has ended or can't call. Its duty is given up once it must
+/// have stopped acting.
 const COMMAND_TIMEOUT: f64 = 3000.0;
 
-/// A duty that a command beside this process wants.
+/// A duty wanted by a command beside this process.
 struct CommandLease {
     client: String,
     last_call: f64,
-    /// Until when it was told that it may act.
+    /// End of the time for which the command was told that it may act.
     granted_until: f64,
 }
 
-/// One word, to a process by name, or to one life of it only.
+/// A message to a process by name, or only to one run of it.
 pub(crate) struct Outgoing {
     pub to: String,
     pub life: Option<u64>,
     pub message: LinkMessage,
 }
 
+/// Everything about duties in this process.
 pub(crate) struct DutyService {
     own_id: ProcessId,
     voters: Vec<String>,
     voters_checksum: u32,
     agent: Agent,
     replica: Option<Replica>,
-    /// Why it is no voter any more.
+    /// Why this process stopped being a voter.
     failure: Option<String>,
     command_leases: BTreeMap<String, CommandLease>,
     list: Option<Vec<DutyInfo>>,
     order_results: Option<Vec<String>>,
-    /// Words between two parts of this process.
+    /// Messages from this process to itself.
     local_queue: VecDeque<LinkMessage>,
     outgoing: Vec<Outgoing>,
-    /// Words of processes whose file names other voters.
+    /// Messages of processes that are configured with other voters.
     pub foreign: u64,
-    /// Something was seen that somebody may wait for.
+    /// Set when something may have changed that a call waits for.
     pub changed: bool,
 }
 
@@ -84,12 +87,12 @@
         command_leases.fold(self.agent.due().min(replica), f64::min)
     }
 
-    /// What is to go out.
+    /// Takes the messages to send.
     pub fn take_outgoing(&mut self) -> Vec<Outgoing> {
         std::mem::take(&mut self.outgoing)
     }
 
-    // ---- what comes in ----
+    // ---- inputs ----
 
     pub fn tick(&mut self, now: f64) {
         let expired =
@@ -111,7 +114,7 @@
         self.run(now);
     }
 
-    /// A word of another process, or of this one.
+    /// Handles a message of another process.
     pub fn receive(&mut self, from: &str, message: LinkMessage, now: f64) {
         self.handle(from, message, now);
         self.run(now);
@@ -152,7 +155,7 @@
         }
     }
 
-    /// A group of the voter's records is on disk, or nothing is any more.
+    /// A group of the voter's records is on disk, or the store has stopped.
     pub fn on_stored(&mut self, stored: Result<u64, String>, now: f64) {
         match (stored, &mut self.replica) {
             (Ok(number), Some(replica)) => replica.on_stored(number, now),
@@ -166,7 +169,7 @@
         self.run(now);
     }
 
-    /// That process is over, for certain.
+    /// That process has ended, by proof.
     pub fn process_ended(&mut self, name: &str, life: u64, now: f64) {
         if let Some(replica) = &mut self.replica {
             replica.process_ended(&ProcessId { name: name.into(), life }, now);
@@ -174,7 +177,7 @@
         self.run(now);
     }
 
-    // ---- what goes out ----
+    // ---- outputs ----
 
     fn run(&mut self, now: f64) {
         loop {
@@ -209,7 +212,7 @@
 
     fn send(&mut self, to: String, life: Option<u64>, message: LinkMessage) {
         if to == self.own_id.name {
-            // A former life of this name is told nothing.
+            // Messages to an earlier run of this process are dropped.
             if life.is_none_or(|life| life == self.own_id.life) {
                 self.local_queue.push_back(message);
             }
@@ -230,7 +233,7 @@
             }
             AgentAction::Leave { duty, token } => {
                 log::info!("cluster: event=duty-to-leave duty={duty} token={token}");
-                // What a command does it brings to an end itself.
+                // A command finishes its own work.
                 if !self.command_leases.contains_key(&duty) {
                     self.agent.give_up(&duty, false, now);
                 }
@@ -243,7 +246,7 @@
         }
     }
 
-    // ---- what this process and its operators want ----
+    // ---- wants of this process and its operators ----
 
     pub fn request_list(&mut self, now: f64) {
         self.list = None;
@@ -255,7 +258,7 @@
         self.list.as_ref()
     }
 
-    /// Whoever holds it is to leave it; false if nobody is known to hold it.
+    /// Orders the holder to hand the duty over; false if no holder is known.
     pub fn order_move(&mut self, duty: &str, to: Option<&str>, now: f64) -> bool {
         let held = self.list.iter().flatten().find(|info| info.duty == duty);
         let Some(token) = held.and_then(|info| info.holders.first()).map(|holder| holder.token) else {
@@ -271,7 +274,7 @@
         self.order_results.as_ref()
     }
 
-    /// This process itself wants a duty from now on.
+    /// This process itself wants a duty.
     pub fn want(&mut self, want: Want, now: f64) {
         self.agent.want(want, now);
         self.run(now);
@@ -286,7 +289,7 @@
         self.agent.may_act(duty, now).is_some()
     }
 
-    /// A command wants a duty, and calls so again and again while it does. False if another command here has it.
+    /// A command wants a duty, and repeats the call while it does. False if another command here has it.
     pub fn want_for_command(&mut self, client: &str, want: Want, now: f64) -> bool {
         let duty = want.duty.clone();
         let lease = CommandLease { client: client.into(), last_call: now, granted_until: f64::NEG_INFINITY };
@@ -300,7 +303,7 @@
         true
     }
 
-    /// How a command stands: what it is told here it may rely on.
+    /// State of a command's duty. The command may rely on what it is told here.
     pub fn hold_view(&mut self, duty: &str, now: f64) -> HoldView {
         let held = self.agent.may_act(duty, now);
         if let (Some((_, until)), Some(lease)) = (held, self.command_leases.get_mut(duty)) {
@@ -321,7 +324,7 @@
         }
     }
 
-    /// A command has ended: well, or not. False if it is not the one that had it.
+    /// A command has ended; `succeeded` tells how. False if the duty is not its own.
     pub fn give_up(&mut self, duty: &str, client: &str, succeeded: bool, now: f64) -> bool {
         if self.command_leases.get(duty).is_none_or(|lease| lease.client != client) {
             return false;
@@ -333,7 +336,7 @@
         true
     }
 
-    // ---- what is shown ----
+    // ---- views ----
 
     pub fn view(&self, now: f64) -> DutiesView {
         let voter = self.replica.as_ref().map(|replica| VoterView {
--- a/crates/pearfront-cluster/src/duty_view.rs
+++ b/crates/pearfront-cluster/src/duty_view.rs
@@ -1,13 +1,15 @@
-//! What operators, and commands that hold duties, are shown.
+//! What `/_duties` and its calls answer to operators and to commands that hold duties. Field names are keys of
+//! the JSON answers unless renamed by an attribute.
 
 use pearfront_duties::{DutyInfo, HolderInfo};
 use serde::Serialize;
 
+/// A holder of a duty.
 #[derive(Debug, Clone, Serialize)]
 pub struct TakenView {
     pub name: String,
     pub token: u64,
-    /// How long its lease still runs if nothing is heard of it, ms.
+    /// Time until its lease expires if it stays silent, ms.
     pub left_ms: f64,
 }
 
@@ -17,13 +19,14 @@
     }
 }
 
+/// A duty in the list of all duties.
 #[derive(Debug, Clone, Serialize)]
 pub struct ListedView {
     pub duty: String,
     pub holders: Vec<TakenView>,
-    /// Who wants it, the best first.
+    /// Who wants it, best candidate first.
     pub candidates: Vec<String>,
-    /// Since the last run that ended well, ms, and whose that was.
+    /// Time since the last successful run, ms, and who ran it.
     pub ran_ms_ago: Option<f64>,
     pub ran_by: Option<String>,
 }
@@ -40,56 +43,60 @@
     }
 }
 
+/// This process as a voter.
 #[derive(Debug, Clone, Serialize)]
 pub struct VoterView {
-    /// follower, candidate, leader, or leader that is not settled: it has not committed in its own term yet.
+    /// follower, candidate, leader, or "leader, not settled" until it has committed an entry in its own term.
     pub role: &'static str,
     pub term: u64,
     pub leader: Option<String>,
     pub commit: u64,
     pub last: u64,
-    /// Does it know that it has all that it ever acknowledged?
+    /// Does its log reach as far as those of the others, so that it may become a candidate?
     pub may_stand: bool,
 }
 
+/// A duty held by this process.
 #[derive(Debug, Clone, Serialize)]
 pub struct OwnView {
     pub duty: String,
     pub token: u64,
-    /// How long it may still act if nothing renews it, ms.
+    /// Time for which it may still act without a renewal, ms.
     pub left_ms: f64,
 }
 
+/// The answer to `/_duties`.
 #[derive(Debug, Clone, Serialize)]
 pub struct DutiesView {
     pub name: String,
     pub voters: Vec<String>,
-    /// The voter that answered last.
+    /// The voter that last answered as leader.
     pub leader: Option<String>,
-    /// If this process is a voter.
+    /// Present if this process is a voter.
     pub voter: Option<VoterView>,
-    /// Why it is no voter any more.
+    /// Why this process stopped being a voter.
     #[serde(rename = "trouble")]
     pub failure: Option<String>,
-    /// Words of processes whose files name other voters.
+    /// Messages of processes that are configured with other voters.
     pub foreign: u64,
-    /// What this process holds.
+    /// Duties held by this process.
     pub holds: Vec<OwnView>,
-    /// All duties, as the leader told when it was asked for this; none if no leader answered in time.
+    /// All duties, as reported by the leader for this call; none if no leader answered in time.
     pub duties: Option<Vec<ListedView>>,
 }
 
+/// A duty that the command holds.
 #[derive(Debug, Clone, Serialize)]
 pub struct HeldView {
     pub token: u64,
-    /// How long it may act, ms; who counts from when it called is on the safe side.
+    /// Time for which it may act, ms. A caller that counts from when it sent the call is on the safe side.
     pub left_ms: f64,
-    /// Another is to have it: it is to end what it does.
+    /// The duty is to move: the command has to finish its work.
     #[serde(rename = "leave")]
     pub must_leave: bool,
 }
 
-/// How things stand for a command that wants a duty.
+/// State of a command that wants a duty.
 #[derive(Debug, Clone, Serialize)]
 pub struct HoldView {
     pub held: Option<HeldView>,
--- a/crates/pearfront-cluster/src/incarnation_file.rs
+++ b/crates/pearfront-cluster/src/incarnation_file.rs
@@ -1,4 +1,5 @@
-//! What a process has to know after a restart: the incarnation that it used last. One small file, replaced whole.
+//! The incarnation that a process used last, which it has to know after a restart. A small file that is
+//! replaced as a whole.
 
 use std::fs::{File, rename};
 use std::io::{ErrorKind, Write};
@@ -10,10 +11,10 @@
     folder.join(FILE_NAME)
 }
 
-/// The incarnation kept there; 0 if there is none yet.
+/// Reads the stored incarnation; 0 if there is no file.
 ///
 /// # Errors
-/// The file and what is wrong with it: a folder that can't be read is not one that is empty.
+/// The file and what is wrong with it. An unreadable folder must not pass for an empty one.
 pub(crate) fn read(folder: &Path) -> Result<u64, String> {
     let path = path_in(folder);
     match std::fs::read_to_string(&path) {
@@ -23,7 +24,8 @@
     }
 }
 
-/// Replaces it: written, synced, renamed, folder synced, so that a cut of power leaves the old or the new one.
+/// Replaces the file: write, sync, rename, sync the folder. After a power cut either the old or the new value
+/// is there.
 ///
 /// # Errors
 /// The file and what went wrong.
--- a/crates/pearfront-cluster/src/lib.rs
+++ b/crates/pearfront-cluster/src/lib.rs
@@ -1,5 +1,6 @@
-//! Several processes of one installation that talk to one another: sockets, timers and files for the pure cores. The node
-//! makes one `Cluster` from values, if its file has the key; without it nothing here runs.
+//! Connects the processes of one installation: sockets, timers and files for the cores of membership, consensus
+//! and duties, which have no I/O. The node creates one `Cluster` if its configuration has the key `cluster`;
+//! without it none of this runs.
 
 mod clock;
 mod cluster;
--- a/crates/pearfront-cluster/src/link.rs
+++ b/crates/pearfront-cluster/src/link.rs
@@ -1,5 +1,6 @@
-//! One stream between two processes: a greeting each, then beats, echoes and frames. The other's life is known from its
-//! greeting on, and a stream's end is never mistaken for that life's end: who asks again decides that (`links`).
+//! One TCP stream between two processes: a handshake each, then heartbeats, acknowledgements and messages. The
+//! handshake tells which run of the process is at the other end. The end of a stream does not prove the end of
+//! that process; `links` finds that out by dialling again.
 
 use bytes::Bytes;
 use futures_util::stream::{SplitSink, SplitStream};
@@ -12,13 +13,14 @@
 use tokio::time::timeout;
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-/// Version of what goes over a stream.
+/// Version of the protocol on a stream.
 const VERSION: u8 = 1;
-/// Longest that a greeting may take: a stalled way must not hold a place for ever.
+/// Time-out of the handshake; a stalled stream must not occupy a place for ever.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest that a write may take before the stream is given up: the other takes nothing.
+/// Time-out of a write, after which the link is closed because the peer does not read.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
+/// The first message on a stream, in both directions.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Handshake {
     version: u8,
@@ -33,28 +35,30 @@
     }
 }
 
+/// A message on a stream, after the handshake.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum LinkMessage {
     Heartbeat(u64),
     HeartbeatAck(u64),
     Membership(Vec<u8>),
-    /// Between voters, to a voter, and from one; in front a sum over who the voters are: of two installations' files that
-    /// differ in it none may count the other's votes.
+    /// Between voters, to a voter, and from a voter. The checksum in front covers the names of the voters, so
+    /// that processes configured with different voters don't count each other's votes.
     Consensus(u32, Vec<u8>),
     LeaseRequest(u32, Vec<u8>),
     LeaseResponse(u32, Vec<u8>),
 }
 
+/// A stream after its handshake.
 pub(crate) struct Link {
     stream: Stream,
     pub peer: Handshake,
 }
 
 impl Link {
-    /// Greets and is greeted.
+    /// Sends the handshake and waits for that of the peer.
     ///
     /// # Errors
-    /// Why there is no link: cut, too slow, or another installation or version.
+    /// Why there is no link: it broke, timed out, or belongs to another installation or version.
     pub async fn handshake(stream: TcpStream, own: &Handshake) -> Result<Self, String> {
         stream.set_nodelay(true).map_err(|error| error.to_string())?;
         let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES + 64).new_codec();
@@ -77,8 +81,8 @@
         Ok(Self { stream, peer })
     }
 
-    /// Carries words both ways until the stream or the sender of words ends. Reading does not wait for writing: one that
-    /// takes nothing may still have something to say.
+    /// Carries messages both ways until the stream or the queue ends. Reading does not wait for writing, since
+    /// a peer that does not read may still send.
     pub async fn run(self, messages: Receiver<LinkMessage>, events: &Sender<Event>) {
         let Self { stream, peer } = self;
         let (sink, stream) = stream.split();
@@ -89,22 +93,22 @@
     }
 }
 
-/// What the driver hears of links.
+/// Events for `Cluster::run`.
 pub(crate) enum Event {
     Received {
         from: Handshake,
         message: LinkMessage,
     },
-    /// A link that was kept is over.
+    /// A link in use has ended.
     Down {
         peer: Handshake,
     },
-    /// Nothing listens any more where that life did: proof.
+    /// Proof that a process has ended: nothing listens where it did.
     Ended {
         name: String,
         life: u64,
     },
-    /// That group of a voter's records is on disk, or why nothing is any more.
+    /// A group of a voter's records is on disk, or the reason why the store has stopped.
     RecordsStored(Result<u64, String>),
 }
 
--- a/crates/pearfront-cluster/src/links.rs
+++ b/crates/pearfront-cluster/src/links.rs
@@ -1,6 +1,9 @@
-//! All links of this process: who is dialled, what is kept, and what an end means. A link that ends is no proof: the way
-//! may have been cut, or reset. So the other's address is asked again at once; only a kernel that refuses there, where a
-//! link to that life once stood, or a greeting of another life, proves that it is over.
+//! All links of this process: dialling, keeping and closing them, and proof that a process has ended. Used by
+//! `Cluster`.
+//!
+//! A link that breaks proves nothing, as the network may have failed. The address is therefore dialled again at
+//! once. A process is known to have ended only if its kernel refuses the connection where a link to it once
+//! stood, or if another run of it answers there.
 
 use crate::clock::Clock;
 use crate::link::{Event, Handshake, Link, LinkMessage};
@@ -15,25 +18,27 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{sleep, timeout};
 
-/// Links that are kept and streams that are greeted, together; further ones are closed at once.
+/// Most streams at a time, links and handshakes together; further ones are closed at once.
 pub(crate) const MAX_STREAMS: usize = 96;
-/// Words that wait for one link; a stalled one must not hold memory without end.
+/// Messages queued per link; a stalled link must not use unbounded memory.
 const MAX_QUEUED: usize = 64;
-/// Longest wait for a connection.
+/// Time-out for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Time without an echo, ms, after which a link counts as stalled, and after which it is given up and dialled anew.
+/// Time without an acknowledged heartbeat, ms, after which a link counts as stalled, and after which it is
+/// closed and dialled again.
 const STALLED_MS: f64 = 2000.0;
 const ABANDON_MS: f64 = 10_000.0;
-/// Pause before a dial that failed is tried again, ms.
+/// Pause after a failed dial, ms.
 const REDIAL_MS: f64 = 1000.0;
-/// How often, and at what pause, the other is asked after a link's end, where no answer comes.
+/// How often the address is dialled after a link has ended, and the pause between two tries without an answer.
 const VERIFY_ATTEMPTS: u32 = 4;
 const VERIFY_PAUSE: Duration = Duration::from_millis(150);
-/// Idle time, ms, after which a link that nobody needs is closed.
+/// Idle time after which a link that is not needed is closed, ms.
 const IDLE_MS: f64 = 5000.0;
 /// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
+/// A link in use.
 struct OpenLink {
     name: String,
     number: u64,
@@ -45,7 +50,7 @@
     used_at: f64,
 }
 
-/// How a link is, for those who look.
+/// State of a link, for operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LinkState {
     None,
@@ -53,22 +58,24 @@
     Stalled,
 }
 
+/// All links of this process.
 pub(crate) struct Links {
     handshake: Handshake,
     clock: Clock,
     events: Sender<Event>,
-    /// By the life at the other end.
+    /// By `life` of the process at the other end.
     open: RefCell<BTreeMap<u64, OpenLink>>,
-    /// Lives to which a link stood: a refusal there says something.
+    /// Processes, by `life`, to which there was a link, and since when. Only for these does a refused
+    /// connection prove an end.
     linked_at: RefCell<BTreeMap<u64, f64>>,
-    /// When a name may be dialled again.
+    /// When each name may be dialled again.
     redial_at: RefCell<BTreeMap<String, f64>>,
     streams: Cell<usize>,
     last_number: Cell<u64>,
     pub dropped: Cell<u64>,
 }
 
-/// What asking an address came to.
+/// Result of dialling an address.
 enum DialResult {
     Connected(Box<Link>),
     Refused,
@@ -90,6 +97,7 @@
         })
     }
 
+    /// State of the link to that process.
     pub fn state(&self, life: u64) -> LinkState {
         match self.open.borrow().get(&life) {
             None => LinkState::None,
@@ -98,6 +106,7 @@
         }
     }
 
+    /// Accepts connections of other processes.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
@@ -123,10 +132,11 @@
         }
     }
 
-    /// Keeps a link, if none to that life is kept yet; one more is carried on until its dialler closes it.
+    /// Adds a link unless there is one to that process already. A surplus link is served until its dialler
+    /// closes it.
     fn add(self: &Rc<Self>, link: Link) {
         let (peer, number) = (link.peer.clone(), self.last_number.get() + 1);
-        // A seed may name this process itself.
+        // A seed address may lead back to this process.
         if peer.life == self.handshake.life {
             return;
         }
@@ -164,12 +174,12 @@
         let kept = self.open.borrow().get(&peer.life).is_some_and(|open| open.number == number);
         if kept {
             self.open.borrow_mut().remove(&peer.life);
-            // The driver knows where that one is reached.
+            // The receiver of the event knows the current address.
             let _ = self.events.send(Event::Down { peer }).await;
         }
     }
 
-    /// One frame to a life that is known, or to whoever is at that address.
+    /// Sends a frame on the link to that process, or else on a new link to the address.
     pub fn send_frame(self: &Rc<Self>, life: Option<u64>, address: SocketAddr, bytes: Vec<u8>) {
         if let Some(open) =
             life.and_then(|life| self.open.borrow().get(&life).map(|open| open.sender.clone()))
@@ -192,7 +202,7 @@
         });
     }
 
-    /// One word to a life to which a link stands; without one it is lost, as it may be on any way.
+    /// Sends a message on an existing link. Without one it is lost, which every protocol above tolerates.
     pub fn send(&self, life: u64, message: LinkMessage) {
         let mut open_links = self.open.borrow_mut();
         let sent = open_links.get_mut(&life).is_some_and(|open| {
@@ -204,13 +214,14 @@
         }
     }
 
+    /// Acknowledges a heartbeat.
     pub fn acknowledge(&self, life: u64, number: u64) {
         if let Some(open) = self.open.borrow().get(&life) {
             let _ = open.sender.try_send(LinkMessage::HeartbeatAck(number));
         }
     }
 
-    /// An echo came; the round trip, ms, if it was to the last beat.
+    /// Handles an acknowledgement; returns the round-trip time, ms, if it belongs to the latest heartbeat.
     pub fn on_acknowledged(&self, life: u64, number: u64) -> Option<f64> {
         let now = self.clock.now();
         let mut open_links = self.open.borrow_mut();
@@ -219,14 +230,15 @@
         Some(now - open.heartbeat_at)
     }
 
+    /// Records that a link is in use.
     pub fn mark_used(&self, life: u64) {
         if let Some(open) = self.open.borrow_mut().get_mut(&life) {
             open.used_at = self.clock.now();
         }
     }
 
-    /// Sends beats, gives up links that bring no echo, closes those that nobody needs, and dials those that are wanted:
-    /// a name, its life and where it is reached.
+    /// Sends heartbeats, closes links that are dead or not needed, and dials the wanted processes: name, `life`
+    /// and address.
     pub fn maintain(self: &Rc<Self>, wanted: &[(String, u64, SocketAddr)], partners: &[u64]) {
         let now = self.clock.now();
         let mut closing = Vec::new();
@@ -236,7 +248,7 @@
                 closing.push((*life, open.number));
                 continue;
             }
-            // A beat that is not echoed yet is not overtaken: its echo may be on its way.
+            // No new heartbeat while one is in flight, so that its acknowledgement still counts.
             if open.acked_at >= open.heartbeat_at || now - open.heartbeat_at > STALLED_MS {
                 open.heartbeat += 1;
                 open.heartbeat_at = now;
@@ -277,7 +289,7 @@
         }
     }
 
-    /// A link has ended: is that life over, or was it the way?
+    /// After the end of a link: has the process ended, or did the network fail?
     pub async fn verify(self: Rc<Self>, name: String, life: u64, address: SocketAddr) {
         for _ in 0..VERIFY_ATTEMPTS {
             if self.open.borrow().contains_key(&life) {
@@ -292,7 +304,7 @@
     }
 
     async fn on_connected(self: &Rc<Self>, name: &str, life: u64, link: Link) {
-        // The address is another's now: whoever had it is over.
+        // Another run of the process answers at this address, so the earlier one has ended.
         if link.peer.name == name && link.peer.life != life {
             self.on_refused(name.into(), life).await;
         }
--- a/crates/pearfront-cluster/src/permit.rs
+++ b/crates/pearfront-cluster/src/permit.rs
@@ -1,5 +1,5 @@
-//! The permit to be away: so many nodes of a zone at a time may drain or end. It is a duty of the zone's like any other;
-//! one that is drained and loses it takes jobs again before another may go.
+//! The drain permit: only a limited number of nodes per zone may drain or end at a time. It is an ordinary duty
+//! of the zone. A drained node that loses its permit accepts requests again before another node may drain.
 
 use crate::cluster::Cluster;
 use crate::settings::PermitSettings;
@@ -13,22 +13,23 @@
         Some((format!("drain:{}", self.settings.zone), permit))
     }
 
-    /// Does it need a permit to drain?
+    /// Does this node need a permit to drain?
     pub fn needs_permit(&self) -> bool {
         self.permit().is_some()
     }
 
-    /// Takes the permit, if it needs one; it is kept until `give_up_permit`.
+    /// Takes the permit if one is needed. It is kept until `give_up_permit`.
     ///
     /// # Errors
-    /// Who is away, and for how long at most; or that no leader answers. It is not wanted any more then.
+    /// Which nodes are away and for how long at most, or that no leader answers. The permit is not wanted any
+    /// more then.
     pub async fn take_permit(&self, wait: Duration) -> Result<(), String> {
         let Some((duty, permit)) = self.permit() else { return Ok(()) };
         let want = Want {
             duty: duty.clone(),
             max_holders: permit.at_most,
             lease: permit.restart_ms,
-            // It is away until it is back, not until its process has ended.
+            // The node is away until it is back, so the permit outlives its process.
             outlives_process: true,
             min_interval: 0.0,
             rank: Rank::default(),
@@ -53,13 +54,14 @@
         }
     }
 
+    /// Gives the permit up, or stops waiting for it.
     pub fn give_up_permit(&self) {
         if let Some((duty, _)) = self.permit() {
             self.with_duties(|duties, now| duties.unwant(&duty, now));
         }
     }
 
-    /// Completes once the permit is not held, or none is needed.
+    /// Completes once the permit is lost, or at once if none is needed.
     pub async fn permit_lost(&self) {
         let Some((duty, _)) = self.permit() else { return };
         self.wait_until(|cluster| {
--- a/crates/pearfront-cluster/src/replica.rs
+++ b/crates/pearfront-cluster/src/replica.rs
@@ -1,25 +1,27 @@
-//! One voter of this process: its part of the log, what is decided on it, the leader's side, and its disk.
+//! The voter of this process, if it is one: its part of the replicated log, the state machine on it, the lease
+//! manager, and the queue to its disk. Used by `DutyService`.
 
 use crate::voter_store::RecordGroup;
 use pearfront_consensus::{Action, Message, PersistentState, Times, Voter};
 use pearfront_duties::{Duties, LeaseManager, LeaseRequest, LeaseResponse, ManagerAction, ProcessId};
 use tokio::sync::mpsc::UnboundedSender;
 
-/// Applied entries after which everything decided is put into a snapshot.
+/// Applied entries between two snapshots.
 const SNAPSHOT_INTERVAL: u64 = 1000;
 
-/// What is to go out.
+/// A message to send.
 pub(crate) enum ReplicaMessage {
     Consensus(Message),
     LeaseResponse(LeaseResponse),
 }
 
+/// A voter with its state machine.
 pub(crate) struct Replica {
     pub voter: Voter,
     pub duties: Duties,
     manager: LeaseManager,
-    /// Groups wait here for the disk without a bound: a voter can't take back what it has in its log, and one whose disk
-    /// stands still takes in little, since nothing of it is acknowledged.
+    /// Queue of record groups for the disk. It has no bound, since a voter can't withdraw entries from its log;
+    /// a voter whose disk stalls receives little, as nothing is acknowledged.
     records: UnboundedSender<RecordGroup>,
     snapshot_at: u64,
     outgoing: Vec<ReplicaMessage>,
@@ -76,14 +78,14 @@
         self.settle(now);
     }
 
-    /// That process is over, for certain.
+    /// That process has ended, by proof.
     pub fn process_ended(&mut self, who: &ProcessId, now: f64) {
         self.voter.process_ended(&who.name, now);
         self.manager.process_ended(who, &self.duties, now);
         self.settle(now);
     }
 
-    /// Does what both sides want done, until neither wants anything more.
+    /// Runs voter and lease manager until neither has anything left to do.
     fn settle(&mut self, now: f64) {
         loop {
             self.run_voter(now);
@@ -108,7 +110,7 @@
     fn run_voter(&mut self, now: f64) {
         for action in self.voter.take_actions() {
             match action {
-                // A disk that takes nothing more has said so itself.
+                // If the store has stopped, it has reported that itself.
                 Action::Store { number, records } => drop(self.records.send((number, records))),
                 Action::Send(message) => self.outgoing.push(ReplicaMessage::Consensus(message)),
                 Action::Commit(entry) => {
--- a/crates/pearfront-cluster/src/rescue.rs
+++ b/crates/pearfront-cluster/src/rescue.rs
@@ -1,29 +1,31 @@
-//! The way back where a majority of voters is lost for good: what one of them has becomes the beginning of all.
+//! Recovery after the permanent loss of a majority of voters, for `pearfront store rescue`: the state of one
+//! survivor becomes the new beginning of all.
 
 use crate::voter_store;
 use pearfront_consensus::{PersistentState, Record};
 use pearfront_duties::Duties;
 use std::path::Path;
 
-/// How far index and tokens go ahead of what is known here: further than whatever the lost ones can have given out since.
+/// How far log index and tokens skip ahead: further than anything that the lost voters can have given out
+/// since.
 const SKIPPED: u64 = 1_000_000;
 
-/// What a rescue has found.
+/// Result of a rescue.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Rescued {
     pub last_index: u64,
     pub term: u64,
-    /// The last token known here, and the one above which all goes on.
+    /// The last token known to the survivor, and the first one given out after the rescue.
     pub last_token: u64,
     pub next_token: u64,
     pub duties: usize,
 }
 
-/// Makes the folder of a voter that all voters begin anew from, out of one that a voter has left. What only the lost ones
-/// knew is gone; no token is given again.
+/// Creates, from the folder of a surviving voter, the folder that all voters restart from. State that only the
+/// lost voters had is gone; no token is given out twice.
 ///
 /// # Errors
-/// A folder that is damaged or held by a process, or one to be made that has something in it.
+/// A source folder that is damaged or in use, or a target folder that is not empty.
 pub fn rescue(from: &Path, to: &Path) -> Result<Rescued, String> {
     let (_held, stored_state) = voter_store::open(from)?;
     let PersistentState { term, snapshot, entries, .. } = stored_state;
@@ -42,7 +44,7 @@
     if existing != PersistentState::default() {
         return Err(format!("{}: is not empty", to.display()));
     }
-    // The next term: nobody who follows a leader of the old one goes on with it.
+    // A new term, so that no follower of the old one continues with its leader.
     let term = term + 1;
     let records = [
         Record::Term { term, voted_for: None },
--- a/crates/pearfront-cluster/src/settings.rs
+++ b/crates/pearfront-cluster/src/settings.rs
@@ -1,53 +1,56 @@
-//! What an operator says of the cluster; unknown keys are refused. Checked here, so that a fault is told by its key before
-//! anything is bound.
+//! The `cluster` section of a node's configuration. Unknown keys are refused, and values are checked before
+//! anything is bound, so that errors name the faulty key.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Shortest and longest that each time may be, ms.
+/// Range of each time, ms.
 const TIME_RANGE_MS: (f64, f64) = (10.0, 86_400_000.0);
 
+/// The `cluster` section.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Name of the installation: packets of another one are dropped.
+    /// Name of the installation; packets of other installations are dropped.
     pub installation: String,
-    /// Name of this process among the others, for life; the node's own if absent.
+    /// Permanent name of this process; defaults to the node's name.
     pub name: Option<String>,
     #[serde(default)]
     pub zone: String,
-    /// Where it listens, by UDP and TCP.
+    /// Address to listen on, for UDP and TCP.
     pub listen: SocketAddr,
-    /// Where others reach it; where it listens if absent.
+    /// Address at which others reach it; defaults to `listen`.
     pub advertise: Option<SocketAddr>,
-    /// Some of the others, to begin with; they need not be up.
+    /// Addresses of some other processes, contacted at the start; they need not be up.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Addresses by name where this process reaches others elsewhere than they say; they are asked at the start, too.
+    /// Addresses by name, for processes that are reached at another address than they advertise. They are
+    /// contacted at the start as well.
     #[serde(default)]
     pub peers: BTreeMap<String, SocketAddr>,
-    /// What has to be known after a restart is kept there; without it the others tell.
+    /// Folder for state that has to survive a restart. Without it the other members supply the incarnation.
     pub folder: Option<PathBuf>,
     #[serde(default)]
     pub times: Times,
-    /// Names of the three or five processes that decide together who holds what; the same in every file. Without them there
-    /// are no duties.
+    /// Names of the three or five voters; the same in every file. Without voters there are no duties.
     #[serde(default)]
     pub voters: Vec<String>,
-    /// Duties that are not as any other: one holder, a lease of 10 s.
+    /// Duties that differ from the default of one holder and a lease of 10 s.
     #[serde(default)]
     pub duties: BTreeMap<String, DutySettings>,
-    /// Only so many nodes of a zone drain or end at a time; without it they do as they are told.
+    /// Limits how many nodes of a zone may drain or end at a time; without it there is no limit.
     pub drain_permit: Option<PermitSettings>,
 }
 
+/// The drain permit.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PermitSettings {
+    /// Nodes per zone that may be away at a time.
     pub at_most: u32,
-    /// How long a node may be away before its permit is another's: its restart has to fit in.
+    /// How long a node may be away before its permit passes to another, ms. A restart has to fit in.
     pub restart_ms: f64,
 }
 
@@ -57,16 +60,17 @@
     }
 }
 
+/// Terms of one duty.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct DutySettings {
     /// How many may hold it at a time.
     pub holders: u32,
-    /// How long its holder may be silent, ms.
+    /// Lease, ms.
     pub lease_ms: f64,
-    /// Zones in the order in which they are to have it; those that are not named come after.
+    /// Zones in order of preference; zones that are not named come last.
     pub zones: Vec<String>,
-    /// How gladly this process has it, 0 before 1 and so on.
+    /// Preference of this process for the duty; lower values come first.
     #[serde(rename = "wish")]
     pub preference: u8,
 }
@@ -77,18 +81,18 @@
     }
 }
 
-/// Shortest and longest lease, ms.
+/// Range of a lease, ms.
 const LEASE_RANGE_MS: (f64, f64) = (1000.0, 600_000.0);
-/// Holders that a duty may have.
+/// Range of the number of holders.
 const HOLDER_RANGE: (u32, u32) = (1, 1024);
 
-/// What a duty may be called: it goes into paths and logs as it is.
+/// Duty names appear unescaped in paths and log lines.
 pub(crate) fn is_duty_name(name: &str) -> bool {
     let fits = |letter: char| letter.is_ascii_alphanumeric() || "._:-".contains(letter);
     (1..=64).contains(&name.len()) && name.chars().all(fits)
 }
 
-/// Times in ms; each has the default that the core was measured with.
+/// Times in ms. The default of each is that of its protocol.
 #[derive(Debug, Clone, Copy, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Times {
@@ -98,21 +102,23 @@
     pub compare_ms: Option<f64>,
     pub ask_again_ms: Option<f64>,
     pub remember_ms: Option<f64>,
-    /// Among voters: how often a leader tells that it is there, and after how long without it another stands.
+    /// Among voters: interval of a leader's heartbeats, and the election time-out.
     pub beat_ms: Option<f64>,
     pub election_ms: Option<f64>,
-    /// How long a better candidate, and a holder, have to have been there before a duty is moved.
+    /// How long a better candidate and the current holder must have been stable before a duty moves.
     pub steady_ms: Option<f64>,
 }
 
-/// Times among voters, ms: real processes share their processors with others, and an election that a busy machine brings
-/// about helps nobody.
+/// Defaults among voters, ms. They are longer than those of the protocol: real processes share their
+/// processors, and elections caused by a busy machine help nobody.
 const HEARTBEAT_MS: f64 = 100.0;
 const ELECTION_MS: f64 = 500.0;
 
 impl Settings {
+    /// Checks all values.
+    ///
     /// # Errors
-    /// The first key that can't be as it is, and why.
+    /// The first faulty key, and why.
     pub fn check(&self) -> Result<(), String> {
         let text = |key: &str, value: &str, least: usize, most: usize| {
             let fits = (least..=most).contains(&value.len());
@@ -178,8 +184,10 @@
         Ok(())
     }
 
+    /// The folder for a voter's records; `None` if this process is no voter.
+    ///
     /// # Errors
-    /// A voter has to keep what it promised.
+    /// A voter without a folder, since it has to keep its promises over a restart.
     pub(crate) fn voter_folder(&self, own: &str) -> Result<Option<PathBuf>, String> {
         if !self.voters.iter().any(|name| name == own) {
             return Ok(None);
@@ -188,12 +196,12 @@
         Ok(Some(folder.join("voter")))
     }
 
-    /// Where others reach this process.
+    /// Address at which others reach this process.
     pub fn advertised_address(&self) -> SocketAddr {
         self.advertise.unwrap_or(self.listen)
     }
 
-    /// Whom to ask at the start.
+    /// Addresses to contact at the start.
     pub(crate) fn initial_contacts(&self, own: &str) -> Vec<SocketAddr> {
         let peers = self.peers.iter().filter(|(name, _)| *name != own).map(|(_, address)| *address);
         self.seeds.iter().copied().chain(peers).collect()
--- a/crates/pearfront-cluster/src/view.rs
+++ b/crates/pearfront-cluster/src/view.rs
@@ -1,32 +1,35 @@
-//! What operators are shown: this process, and everyone else as it sees them.
+//! What `/_members` shows: this process, and all others as it sees them. Field names are keys of the JSON
+//! answer unless renamed by an attribute.
 
 use pearfront_membership::{Counts, State};
 use serde::Serialize;
 
+/// Another process, as this one sees it.
 #[derive(Debug, Clone, Serialize)]
 pub struct MemberView {
     pub name: String,
     pub zone: String,
     pub address: String,
     pub state: &'static str,
-    /// Seconds since it came to stand so.
+    /// Seconds since its state last changed.
     pub since_s: f64,
     pub incarnation: u64,
     pub life: String,
-    /// Smoothed round trip, ms; none if none was measured.
+    /// Smoothed round-trip time, ms; none if there is no measurement yet.
     pub round_trip_ms: Option<f64>,
-    /// Seconds since anything fresh was heard from itself; none if never.
+    /// Seconds since the process itself was last heard; none if never.
     #[serde(rename = "heard_s")]
     pub last_heard_s: Option<f64>,
-    /// Who told that it stands so; none if this process saw it.
+    /// Who reported this state; none if this process observed it.
     #[serde(rename = "told_by")]
     pub reported_by: Option<String>,
-    /// Who suspects it.
+    /// Processes that suspect it.
     pub suspected_by: Vec<String>,
-    /// How the link to it is: none, up or stalled.
+    /// State of the link to it: none, up or stalled.
     pub link: &'static str,
 }
 
+/// The answer to `/_members`.
 #[derive(Debug, Clone, Serialize)]
 pub struct View {
     pub installation: String,
@@ -37,22 +40,23 @@
     pub life: String,
     /// joining, member, barred or left.
     pub state: &'static str,
-    /// Where the process is that has its name, if it is barred.
+    /// If barred: address of the process that has its name.
     pub barred_by: Option<String>,
-    /// May it act on what it sees?
+    /// May this process act on its view?
     #[serde(rename = "sure")]
     pub view_confirmed: bool,
-    /// Seconds since when it hears nobody, if so.
+    /// If it hears nobody: for how many seconds.
     #[serde(rename = "deaf_s")]
     pub isolated_s: Option<f64>,
     /// Doubt in its own health, 0 to 8.
     pub health: u32,
-    /// Sum of who is here: equal at two processes that agree.
+    /// Checksum of the members present; equal on two processes that agree.
     pub sum: String,
     pub members: Vec<MemberView>,
     pub counts: CountsView,
 }
 
+/// Counters of membership traffic; all only grow.
 #[derive(Debug, Clone, Serialize)]
 pub struct CountsView {
     pub datagrams_out: u64,
@@ -96,6 +100,7 @@
     }
 }
 
+/// The state as it appears in the answer.
 pub(crate) fn state_name(state: &State) -> &'static str {
     match state {
         State::Joining => "joining",
--- a/crates/pearfront-cluster/src/voter_store.rs
+++ b/crates/pearfront-cluster/src/voter_store.rs
@@ -1,4 +1,5 @@
-//! A voter's records on disk, on a thread of their own: a sync that takes seconds must hold up nothing but promises.
+//! A voter's records on disk. Writes run on a blocking thread: a sync that takes seconds may only delay
+//! messages that wait for it.
 
 use crate::link::Event;
 use pearfront_consensus::{PersistentState, Record, decode_record, decode_records, encode_records, recover};
@@ -7,7 +8,7 @@
 use tokio::sync::mpsc::{Sender, UnboundedReceiver};
 use tokio::task::spawn_blocking;
 
-/// Bytes of the log after which everything is put into a snapshot.
+/// Size of the log, bytes, above which it is compacted into a snapshot.
 const COMPACT_AT_BYTES: usize = 4 * 1024 * 1024;
 
 fn replay(recovered: Recovered) -> PersistentState {
@@ -16,10 +17,10 @@
     recover(from_snapshot.chain(from_log))
 }
 
-/// Opens a voter's folder; what it had.
+/// Opens a voter's folder and returns its stored state.
 ///
 /// # Errors
-/// What is wrong with it, file and place named: a voter that can't know what it promised must not begin as if it had
+/// The file, the place and what is wrong. A voter that can't know what it promised must not start as if it had
 /// promised nothing.
 pub(crate) fn open(folder: &Path) -> Result<(Store<Folder>, PersistentState), String> {
     let describe = |problem: String| format!("{}: {problem}", folder.display());
@@ -31,11 +32,11 @@
     Ok((store, replay(recovered)))
 }
 
-/// One group of records and its number.
+/// Number of a group of records, and the records.
 pub(crate) type RecordGroup = (u64, Vec<Record>);
 
-/// Stores groups in their order; one sync takes along all that came while the one before it was under way. Ends with the
-/// first failure: nothing that was promised on this disk may be relied on any more.
+/// Stores groups in order; one sync covers all that arrived during the previous one. It ends with the first
+/// failure, since promises based on this disk can't be relied on any more.
 pub(crate) async fn store_groups(
     mut store: Store<Folder>,
     mut groups: UnboundedReceiver<RecordGroup>,
