--- a/crates/pearfront-node/src/connection_pool.rs
+++ b/crates/pearfront-node/src/connection_pool.rs
@@ -193,7 +193,7 @@
     /// Neither closed by its server nor idle for so long that it soon will be.
     fn is_fresh(&self, idle: &Idle) -> bool {
         idle.link.is_usable()
-            && idle.since.elapsed() < ms(self.settings.current().node_settings.conn_idle * IDLE_PART)
+            && idle.since.elapsed() < ms(self.settings.current().node_settings.idle_timeout * IDLE_PART)
     }
 
     /// Closes what has been idle for long, or was closed by its server.
--- a/crates/pearfront-node/src/discovery/roster.rs
+++ b/crates/pearfront-node/src/discovery/roster.rs
@@ -1,7 +1,7 @@
 //! The servers that discovery's lists have told of so far.
 
 use crate::message::{ServerEntry, ServerList};
-use pearfront::interface::Standing;
+use pearfront::interface::ServerState;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
@@ -21,7 +21,7 @@
 impl Roster {
     /// The servers that the list has as ready.
     pub(super) fn ready(&self) -> impl Iterator<Item = &ServerEntry> {
-        self.entries.values().filter(|entry| entry.standing == Standing::Ready)
+        self.entries.values().filter(|entry| entry.standing == ServerState::Ready)
     }
 
     /// Where the server at this address stands.
@@ -33,7 +33,7 @@
     /// Does the list have the server as ready?
     pub(super) fn is_ready(&self, server: SocketAddr) -> bool {
         let at_address = |entry: &&ServerEntry| SocketAddr::from(entry.address) == server;
-        self.entries.values().filter(at_address).any(|entry| entry.standing == Standing::Ready)
+        self.entries.values().filter(at_address).any(|entry| entry.standing == ServerState::Ready)
     }
 
     /// Takes in a list. Returns what the module is to be told, and the servers whose connections are stale.
@@ -56,9 +56,9 @@
             let other = self.entries.values().find(same_address).map(|other| other.id.clone());
             // The rest of what is told of a server may come after its successor at that address.
             let stays = match entry.standing {
-                Standing::Ready => true,
-                Standing::Draining => other.is_none(),
-                Standing::Gone => false,
+                ServerState::Ready => true,
+                ServerState::Draining => other.is_none(),
+                ServerState::Gone => false,
             };
             if let Some(old) = before {
                 if !stays || old.address != entry.address {
@@ -74,7 +74,7 @@
             }
         }
         stale.extend(gone.iter().map(|entry| SocketAddr::from(entry.address)));
-        let gone = gone.into_iter().map(|entry| ServerEntry { standing: Standing::Gone, ..entry });
+        let gone = gone.into_iter().map(|entry| ServerEntry { standing: ServerState::Gone, ..entry });
         let now = changed.iter().filter_map(|id| self.entries.get(id).cloned());
         (gone.chain(now).collect(), stale)
     }
--- a/crates/pearfront-node/src/guard.rs
+++ b/crates/pearfront-node/src/guard.rs
@@ -11,7 +11,7 @@
 use crate::lifecycle::Lifecycle;
 use crate::logger::InfoLimiter;
 use crate::tracked_stream::WritePermit;
-use pearfront::interface::{Effect, Group};
+use pearfront::interface::{DedupScope, Effect};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -172,16 +172,17 @@
             Effect::NonIdempotent => Some(Refusal::MayHaveRun),
             Effect::Keyed => {
                 let place = self.guard.discovery.location_of(self.server);
-                let within = match profile.group {
-                    Group::All => true,
-                    Group::Zone => {
+                let within = match profile.dedup_scope {
+                    DedupScope::All => true,
+                    DedupScope::Zone => {
                         place.zip(earlier.location).is_some_and(|(own, first)| own.zone == first.zone)
                     }
-                    Group::Cell => {
+                    DedupScope::Cell => {
                         place.zip(earlier.location).is_some_and(|(own, first)| own.cell == first.cell)
                     }
                 };
-                (!within || now >= earlier.written_at + profile.window).then_some(Refusal::OutsideWindow)
+                (!within || now >= earlier.written_at + profile.dedup_window)
+                    .then_some(Refusal::OutsideWindow)
             }
         }
     }
--- a/crates/pearfront-node/src/lease_monitor.rs
+++ b/crates/pearfront-node/src/lease_monitor.rs
@@ -8,8 +8,8 @@
 use crate::logger::InfoLimiter;
 use crate::probe::Prober;
 use crate::runtime_settings::SharedSettings;
-use pearfront::chance::Chance;
-use pearfront::interface::{Address, Listing, Standing};
+use pearfront::interface::{Address, ListedServer, ServerState};
+use pearfront::rng::SeededRng;
 use rand::seq::SliceRandom;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -65,7 +65,7 @@
     }
 
     /// Looks at the leases as long as the node runs.
-    pub async fn run(self, mut chance: Chance) {
+    pub async fn run(self, mut chance: SeededRng) {
         loop {
             sleep(MIN_CHECK_SPACING).await;
             let pause = (self.discovery.confirmation_lifetime_ms() * CHECK_SHARE)
@@ -80,7 +80,7 @@
     }
 
     /// Looks once; the next look comes after such a pause, ms.
-    fn check(&self, pause: f64, chance: &mut Chance) {
+    fn check(&self, pause: f64, chance: &mut SeededRng) {
         let (now, lifetime_ms) = (self.clock.now(), self.discovery.confirmation_lifetime_ms());
         let ahead = (lifetime_ms * PROBE_AHEAD_SHARE).min(MAX_PROBE_AHEAD_MS);
         let is_old = self.discovery.list_lease_until() <= now + ahead;
@@ -95,47 +95,48 @@
         }
     }
 
-    fn lease_until(&self, entry: &Listing) -> f64 {
-        self.discovery.lease_until(discovery::decode_address(entry.server))
+    fn lease_until(&self, entry: &ListedServer) -> f64 {
+        self.discovery.lease_until(discovery::decode_address(entry.address))
     }
 
     /// Tells the module which servers have no lease to that time, and which have one again.
-    fn suspend(&self, ready: &[Listing], until: f64) {
-        let has_no_lease = |entry: &&Listing| Guard::is_enforced() && self.lease_until(entry) <= until;
-        let suspended: BTreeSet<_> = ready.iter().filter(has_no_lease).map(|entry| entry.server).collect();
+    fn suspend(&self, ready: &[ListedServer], until: f64) {
+        let has_no_lease = |entry: &&ListedServer| Guard::is_enforced() && self.lease_until(entry) <= until;
+        let suspended: BTreeSet<_> = ready.iter().filter(has_no_lease).map(|entry| entry.address).collect();
         let before = self.suspended.replace(suspended.clone());
-        let changed =
-            ready.iter().filter(|entry| suspended.contains(&entry.server) != before.contains(&entry.server));
-        let standing = |entry: &Listing| match suspended.contains(&entry.server) {
-            true => Listing { standing: Standing::Draining, ..*entry },
+        let changed = ready
+            .iter()
+            .filter(|entry| suspended.contains(&entry.address) != before.contains(&entry.address));
+        let standing = |entry: &ListedServer| match suspended.contains(&entry.address) {
+            true => ListedServer { state: ServerState::Draining, ..*entry },
             false => *entry,
         };
-        let entries: Vec<Listing> = changed.map(standing).collect();
+        let entries: Vec<ListedServer> = changed.map(standing).collect();
         if !entries.is_empty() {
             let age = self.clock.now() - self.discovery.list_lease_until();
             let (without, all) = (suspended.len(), ready.len());
             self.change_log.info(|| {
                 format!("{without} of {all} servers without a lease, that of the list ended {age:.0} ms ago")
             });
-            self.inbox.push(move |balancer| balancer.suspended(entries.into_iter()));
+            self.inbox.push(move |balancer| balancer.states_overridden(entries.into_iter()));
         }
     }
 
     /// Probes servers whose lease ends by that time, and that were not probed within the last `again` ms, until enough have one.
-    fn probe(&self, ready: &[Listing], now: f64, until: f64, interval_ms: f64, chance: &mut Chance) {
-        let ends_soon = |entry: &&Listing| self.lease_until(entry) <= until;
-        let mut ending: Vec<&Listing> = ready.iter().filter(ends_soon).collect();
+    fn probe(&self, ready: &[ListedServer], now: f64, until: f64, interval_ms: f64, chance: &mut SeededRng) {
+        let ends_soon = |entry: &&ListedServer| self.lease_until(entry) <= until;
+        let mut ending: Vec<&ListedServer> = ready.iter().filter(ends_soon).collect();
         // Where there is hardly a descriptor left one probe at a time has one.
         let at_once =
             if self.prober.has_room() { MAX_PROBES } else { usize::from(!self.prober.has_outstanding()) };
         let wanted = ENOUGH_SERVERS.saturating_sub(ready.len() - ending.len()).min(at_once);
         let mut last_probes = self.last_probes.borrow_mut();
         last_probes.retain(|_, at| now - *at < interval_ms);
-        ending.retain(|entry| !last_probes.contains_key(&entry.server));
+        ending.retain(|entry| !last_probes.contains_key(&entry.address));
         ending.shuffle(&mut chance.0);
         for entry in ending.into_iter().take(wanted) {
-            last_probes.insert(entry.server, now);
-            spawn_local(self.prober.clone().probe(entry.server, discovery::decode_address(entry.server)));
+            last_probes.insert(entry.address, now);
+            spawn_local(self.prober.clone().probe(entry.address, discovery::decode_address(entry.address)));
         }
     }
 }
