--- a/crates/pearfront-cluster/src/cluster.rs
+++ b/crates/pearfront-cluster/src/cluster.rs
@@ -439,8 +439,8 @@
             incarnation: member.card.incarnation,
             life: format!("{:016x}", member.card.life),
             round_trip_ms: (member.round_trip > 0.0).then_some(member.round_trip),
-            last_heard_s: member.heard.is_finite().then(|| (now - member.heard) / 1000.0),
-            reported_by: member.told_by.clone(),
+            last_heard_s: member.last_heard.is_finite().then(|| (now - member.last_heard) / 1000.0),
+            reported_by: member.reported_by.clone(),
             suspected_by: suspected_by.into_iter().map(str::to_string).collect(),
             link: match self.links.state(member.card.life) {
                 LinkState::None => "none",
--- a/crates/pearfront-membership/src/core/anti_entropy.rs
+++ b/crates/pearfront-membership/src/core/anti_entropy.rs
@@ -7,83 +7,86 @@
 use rand::prelude::Rng;
 
 /// Others that a process which stood still asks at once whether it is still one of them.
-const ASKED_IN_DOUBT: usize = 3;
+const CONFIRMATION_REQUESTS: usize = 3;
 
 impl Membership {
     /// Runs everything that is due for a member.
     pub(super) fn run_due(&mut self, now: f64) {
-        if self.doubt.as_ref().is_some_and(|doubt| now >= doubt.next) {
-            self.ask_for_confirmation(now);
+        if self.confirmation.as_ref().is_some_and(|pending| now >= pending.next_request_at) {
+            self.request_confirmation(now);
         }
-        self.probe_on(now);
-        self.judge(now);
-        if now >= self.next_compare {
-            self.next_compare = now + self.times.sync_interval * (0.75 + 0.5 * self.chance.random::<f64>());
-            self.table.forget(now - self.times.retention);
-            if let Some(card) = self.table.some(&mut self.chance, 1, Member::is_present).pop() {
-                self.compare(&card);
+        self.run_probes(now);
+        self.check_suspicions(now);
+        if now >= self.next_sync {
+            self.next_sync = now + self.times.sync_interval * (0.75 + 0.5 * self.rng.random::<f64>());
+            self.table.forget_absent(now - self.times.retention);
+            if let Some(card) = self.table.sample(&mut self.rng, 1, Member::is_present).pop() {
+                self.sync_with(&card);
             }
-            self.compare_with_seed();
+            self.sync_with_seed();
         }
-        if now >= self.next_ask_again {
-            self.next_ask_again =
-                now + self.times.reconnect_interval * (0.75 + 0.5 * self.chance.random::<f64>());
-            self.ping_one_gone();
+        if now >= self.next_reconnect {
+            self.next_reconnect =
+                now + self.times.reconnect_interval * (0.75 + 0.5 * self.rng.random::<f64>());
+            self.ping_absent_member();
         }
     }
 
     /// Compares with one of the seeds, whoever that is: of several that begin at once, or behind a cut, some may have taken
     /// in one another and know nothing of the rest. Nobody asks those whom nobody knows.
-    fn compare_with_seed(&mut self) {
+    fn sync_with_seed(&mut self) {
         if self.seeds.is_empty() {
             return;
         }
-        let address = self.seeds[self.chance.random_range(0..self.seeds.len())];
-        let (question, sum) = (self.next_question(), self.view_checksum());
-        self.send_frame(&Destination { name: None, life: None, address }, Body::Compare { question, sum });
+        let address = self.seeds[self.rng.random_range(0..self.seeds.len())];
+        let (request_id, sum) = (self.next_request_id(), self.view_checksum());
+        self.send_frame(
+            &Destination { name: None, life: None, address },
+            Body::CompareViews { request_id, sum },
+        );
     }
 
     /// Asks one of those gone: a cut may be over, or a word about it may have been wrong. It hears what is held of it.
     /// Whoever is held silent is asked before those of whom there is proof, or the word.
-    fn ping_one_gone(&mut self) {
+    fn ping_absent_member(&mut self) {
         let silent = |member: &Member| member.status == Status::Silent;
-        let mut card = self.table.some(&mut self.chance, 1, silent).pop();
+        let mut card = self.table.sample(&mut self.rng, 1, silent).pop();
         if card.is_none() {
-            card = self.table.some(&mut self.chance, 1, |member| member.status == Status::Ended).pop();
+            card = self.table.sample(&mut self.rng, 1, |member| member.status == Status::Ended).pop();
         }
         if let Some(card) = card {
-            let question = self.next_question();
-            self.send_about(&Destination::card(&card), Body::Ping { question }, Some(&card.name));
+            let request_id = self.next_request_id();
+            self.send_about(&Destination::card(&card), Body::Ping { request_id }, Some(&card.name));
         }
     }
 
     /// Asks a few others whether the view still holds, after this process stood still.
-    fn ask_for_confirmation(&mut self, now: f64) {
-        for card in self.table.some(&mut self.chance, ASKED_IN_DOUBT, Member::is_present) {
-            self.compare(&card);
+    fn request_confirmation(&mut self, now: f64) {
+        for card in self.table.sample(&mut self.rng, CONFIRMATION_REQUESTS, Member::is_present) {
+            self.sync_with(&card);
         }
-        if let Some(doubt) = &mut self.doubt {
-            doubt.next = now + 2.0 * self.times.probe_period;
+        if let Some(pending) = &mut self.confirmation {
+            pending.next_request_at = now + 2.0 * self.times.probe_period;
         }
     }
 
     /// Another has answered with its view, or agrees with ours: the doubt is over if it was asked after the standstill.
-    pub(super) fn confirmed(&mut self, question: u64) {
-        if self.doubt.as_ref().is_some_and(|doubt| question >= doubt.question) {
-            self.doubt = None;
-            self.out.push(Action::Changed(Change::Sure));
+    pub(super) fn on_confirmed(&mut self, request_id: u64) {
+        if self.confirmation.as_ref().is_some_and(|pending| request_id >= pending.min_request_id) {
+            self.confirmation = None;
+            self.actions.push(Action::Changed(Change::Sure));
         }
     }
 
     /// Asks a member whether its view has the same sum.
-    fn compare(&mut self, card: &Card) {
-        let (question, sum) = (self.next_question(), self.view_checksum());
-        self.send_frame(&Destination::card(card), Body::Compare { question, sum });
+    fn sync_with(&mut self, card: &Card) {
+        let (request_id, sum) = (self.next_request_id(), self.view_checksum());
+        self.send_frame(&Destination::card(card), Body::CompareViews { request_id, sum });
     }
 
     /// The number of the next question; answers carry it.
-    pub(crate) fn next_question(&mut self) -> u64 {
-        self.questions += 1;
-        self.questions
+    pub(crate) fn next_request_id(&mut self) -> u64 {
+        self.last_request_id += 1;
+        self.last_request_id
     }
 }
--- a/crates/pearfront-membership/src/core/receiving.rs
+++ b/crates/pearfront-membership/src/core/receiving.rs
@@ -7,63 +7,63 @@
 impl Membership {
     /// Takes in a packet: counts it, and drops it if the state does not allow its message.
     pub(super) fn receive(&mut self, packet: Packet, now: f64) {
-        let Packet { from, number, body, news, .. } = packet;
+        let Packet { from, sequence, body, updates, .. } = packet;
         // A seed may name this process itself.
-        if self.state == State::Left || (from.name == self.me.name && from.life == self.me.life) {
+        if self.state == State::Left || (from.name == self.own_card.name && from.life == self.own_card.life) {
             return;
         }
         match &body {
             Body::Join { .. }
-            | Body::Taken { .. }
+            | Body::NameTaken { .. }
             | Body::View { .. }
-            | Body::Compare { .. }
-            | Body::Same { .. } => {
+            | Body::CompareViews { .. }
+            | Body::ViewsEqual { .. } => {
                 self.counts.frames_in += 1;
             }
             _ => self.counts.datagrams_in += 1,
         }
         match (&self.state, &body) {
             (State::Joining, Body::Join { .. }) | (State::Member, _) => {}
-            (State::Joining | State::Barred { .. }, Body::Taken { by }) => {
-                return self.stop_as_barred(by.clone(), now);
+            (State::Joining | State::Barred { .. }, Body::NameTaken { by }) => {
+                return self.enter_barred(by.clone(), now);
             }
-            (State::Joining | State::Barred { .. }, Body::View { answers: Some(question), .. })
-                if *question >= self.join_from => {}
+            (State::Joining | State::Barred { .. }, Body::View { answers: Some(request_id), .. })
+                if *request_id >= self.join_min_request => {}
             // Not one of them yet, or no longer: nothing that is said to its name is said to it.
             _ => return,
         }
-        let known = self.note_sender(&from, number, &body, now);
-        for news in news {
-            self.learn(news, Some(&from.name), now);
+        let current = self.record_sender(&from, sequence, &body, now);
+        for update in updates {
+            self.learn(update, Some(&from.name), now);
         }
-        if known {
+        if current {
             self.respond(from, body, now);
         }
     }
 
     /// What the sender's card says of itself; false if it speaks for a life that is over.
-    fn note_sender(&mut self, from: &Card, number: u64, body: &Body, now: f64) -> bool {
-        if matches!(body, Body::Join { .. } | Body::Taken { .. }) {
+    fn record_sender(&mut self, from: &Card, sequence: u64, body: &Body, now: f64) -> bool {
+        if matches!(body, Body::Join { .. } | Body::NameTaken { .. }) {
             return true;
         }
-        if from.name == self.me.name {
-            self.learn_of_self(Update::of(from, Status::Alive), now);
+        if from.name == self.own_card.name {
+            self.learn_about_self(Update::new(from, Status::Alive), now);
             return false;
         }
-        if !matches!(body, Body::Bye) {
-            self.learn(Update::of(from, Status::Alive), None, now);
+        if !matches!(body, Body::Leave) {
+            self.learn(Update::new(from, Status::Alive), None, now);
         }
         let Some(member) = self.table.get_mut(&from.name) else { return true };
-        let held = member.card.clone();
-        if held.life != from.life {
+        let known_card = member.card.clone();
+        if known_card.life != from.life {
             self.counts.outdated += 1;
-            self.send(&Destination::card(from), Body::Claimed { by: held });
+            self.send(&Destination::card(from), Body::NameClaimed { by: known_card });
             return false;
         }
-        if number > member.number {
-            member.number = number;
-            member.heard = now;
-            self.note_heard(now);
+        if sequence > member.last_sequence {
+            member.last_sequence = sequence;
+            member.last_heard = now;
+            self.on_heard(now);
         } else {
             self.counts.outdated += 1;
         }
@@ -71,9 +71,9 @@
     }
 
     /// Something was heard: it is not deaf.
-    pub(crate) fn note_heard(&mut self, now: f64) {
-        if self.deafness.hears(now) {
-            self.out.push(Action::Changed(Change::Hears));
+    pub(crate) fn on_heard(&mut self, now: f64) {
+        if self.isolation.on_heard(now) {
+            self.actions.push(Action::Changed(Change::Hears));
         }
     }
 
@@ -81,27 +81,27 @@
     fn respond(&mut self, from: Card, body: Body, now: f64) {
         let to = Destination::card(&from);
         match body {
-            Body::Ping { question } => self.send_about(&to, Body::Ack { question }, Some(&from.name)),
-            Body::Ack { question } => self.acked(&from, question, now),
-            Body::Ask { question, card } => self.try_for(to, question, card, now),
-            Body::NotYet { question, heard_ago } => self.not_yet(question, heard_ago, now),
-            Body::Join { question } => self.admit(from, question, now),
-            Body::Taken { .. } => {}
-            Body::Claimed { by } => self.learn_of_self(Update::of(&by, Status::Alive), now),
-            Body::Compare { question, sum } if sum == self.view_checksum() => {
-                self.send_frame(&to, Body::Same { question });
+            Body::Ping { request_id } => self.send_about(&to, Body::Ack { request_id }, Some(&from.name)),
+            Body::Ack { request_id } => self.on_ack(&from, request_id, now),
+            Body::PingRequest { request_id, card } => self.on_ping_request(to, request_id, card, now),
+            Body::Nack { request_id, heard_ago } => self.on_nack(request_id, heard_ago, now),
+            Body::Join { request_id } => self.on_join(from, request_id, now),
+            Body::NameTaken { .. } => {}
+            Body::NameClaimed { by } => self.learn_about_self(Update::new(&by, Status::Alive), now),
+            Body::CompareViews { request_id, sum } if sum == self.view_checksum() => {
+                self.send_frame(&to, Body::ViewsEqual { request_id });
             }
-            Body::Compare { question, .. } => self.send_view(&to, Some(question), true),
-            Body::Same { question } => self.confirmed(question),
+            Body::CompareViews { request_id, .. } => self.send_view(&to, Some(request_id), true),
+            Body::ViewsEqual { request_id } => self.on_confirmed(request_id),
             Body::View { answers, back, members } => {
                 if matches!(self.state, State::Barred { .. }) {
                     self.state = State::Joining;
                 }
-                if let Some(question) = answers {
-                    self.confirmed(question);
+                if let Some(request_id) = answers {
+                    self.on_confirmed(request_id);
                 }
-                for news in members {
-                    self.learn(news, Some(&from.name), now);
+                for update in members {
+                    self.learn(update, Some(&from.name), now);
                 }
                 // It may have heard in there that its name is another's.
                 if !matches!(self.state, State::Barred { .. }) {
@@ -111,7 +111,7 @@
                     self.send_view(&to, None, false);
                 }
             }
-            Body::Bye => self.learn(Update::of(&from, Status::Left), None, now),
+            Body::Leave => self.learn(Update::new(&from, Status::Left), None, now),
         }
     }
 }
--- a/crates/pearfront-membership/src/core/sending.rs
+++ b/crates/pearfront-membership/src/core/sending.rs
@@ -2,7 +2,7 @@
 
 use super::{Action, Change, Destination, Membership};
 use crate::member::{Member, Status, Update};
-use crate::message::{Body, MAX_DATAGRAM_BYTES, MAX_FRAME_BYTES, Packet, size};
+use crate::message::{Body, MAX_DATAGRAM_BYTES, MAX_FRAME_BYTES, Packet, encoded_size};
 
 impl Membership {
     /// A datagram with as much news as fits.
@@ -12,10 +12,10 @@
 
     /// The same, first of all with what is held of the receiver, if that is not that it is alive: nobody else needs to
     /// hear it as soon (Lifeguard's buddy).
-    pub(crate) fn send_about(&mut self, to: &Destination, body: Body, name: Option<&str>) {
-        let held = name.and_then(|name| self.table.get(name));
-        let held = held.filter(|member| member.status != Status::Alive).map(Member::news);
-        self.send_with(to, body, held.into_iter().collect(), name);
+    pub(crate) fn send_about(&mut self, to: &Destination, body: Body, receiver: Option<&str>) {
+        let own_view = receiver.and_then(|name| self.table.get(name));
+        let own_view = own_view.filter(|member| member.status != Status::Alive).map(Member::to_update);
+        self.send_with(to, body, own_view.into_iter().collect(), receiver);
     }
 
     /// A datagram with this news first, and as much other news as fits.
@@ -24,26 +24,29 @@
         to: &Destination,
         body: Body,
         mut first: Vec<Update>,
-        name: Option<&str>,
+        receiver: Option<&str>,
     ) {
         let mut packet = self.packet(body);
         let room = MAX_DATAGRAM_BYTES.saturating_sub(packet.encode().len() + 2);
-        let used: usize = first.iter().map(size).sum();
-        let told = first.iter().any(|news| name.is_some_and(|name| news.card.name == name));
-        let more = self.spread.take(room.saturating_sub(used));
-        first.extend(more.into_iter().filter(|news| !told || name.is_none_or(|name| news.card.name != name)));
-        packet.news = first;
+        let used: usize = first.iter().map(encoded_size).sum();
+        let names_receiver = first.iter().any(|update| receiver.is_some_and(|name| update.card.name == name));
+        let more = self.gossip.take(room.saturating_sub(used));
+        first.extend(
+            more.into_iter()
+                .filter(|update| !names_receiver || receiver.is_none_or(|name| update.card.name != name)),
+        );
+        packet.updates = first;
         let bytes = packet.encode();
         self.counts.datagrams_out += 1;
         self.counts.bytes_out += bytes.len() as u64;
-        self.out.push(Action::Datagram { to: to.clone(), bytes });
+        self.actions.push(Action::Datagram { to: to.clone(), bytes });
     }
 
     /// A packet with the next number, without news so far.
     fn packet(&mut self, body: Body) -> Packet {
-        self.number += 1;
-        let (installation, from) = (self.installation.clone(), self.me.clone());
-        Packet { installation, from, number: self.number, body, news: Vec::new() }
+        self.last_sequence += 1;
+        let (installation, from) = (self.installation.clone(), self.own_card.clone());
+        Packet { installation, from, sequence: self.last_sequence, body, updates: Vec::new() }
     }
 
     /// Sends one frame on a stream.
@@ -53,18 +56,18 @@
         if bytes.len() <= MAX_FRAME_BYTES {
             self.counts.frames_out += 1;
             self.counts.bytes_out += bytes.len() as u64;
-            self.out.push(Action::Frame { to: to.clone(), bytes });
+            self.actions.push(Action::Frame { to: to.clone(), bytes });
         }
     }
 
     /// Sends the whole view; `back` asks for the view of the other.
     pub(crate) fn send_view(&mut self, to: &Destination, answers: Option<u64>, back: bool) {
-        let members = self.table.view(&self.me, Status::Alive);
+        let members = self.table.all_updates(&self.own_card, Status::Alive);
         self.send_frame(to, Body::View { answers, back, members });
     }
 
     /// Tells the rest of the program of a change.
-    pub(crate) fn changed(&mut self, change: Change) {
-        self.out.push(Action::Changed(change));
+    pub(crate) fn report(&mut self, change: Change) {
+        self.actions.push(Action::Changed(change));
     }
 }
--- a/crates/pearfront-membership/src/core/view.rs
+++ b/crates/pearfront-membership/src/core/view.rs
@@ -6,132 +6,136 @@
 
 impl Membership {
     /// News about anyone, told by another or seen here (`told_by` is none).
-    pub(crate) fn learn(&mut self, news: Update, told_by: Option<&str>, now: f64) {
-        if news.card.name == self.me.name {
-            return self.learn_of_self(news, now);
+    pub(crate) fn learn(&mut self, update: Update, reported_by: Option<&str>, now: f64) {
+        if update.card.name == self.own_card.name {
+            return self.learn_about_self(update, now);
         }
-        let Some(member) = self.table.get(&news.card.name) else {
-            return self.add_unknown(news, told_by, now);
+        let Some(member) = self.table.get(&update.card.name) else {
+            return self.add_unknown(update, reported_by, now);
         };
-        let same = member.card.life == news.card.life && member.card.incarnation == news.card.incarnation;
-        if same && news.status == Status::Suspect && member.status == Status::Suspect {
-            return self.shared(news);
+        let same_incarnation =
+            member.card.life == update.card.life && member.card.incarnation == update.card.incarnation;
+        if same_incarnation && update.status == Status::Suspect && member.status == Status::Suspect {
+            return self.add_suspector(update);
         }
-        if !news.beats(&member.card, member.status) {
+        if !update.supersedes(&member.card, member.status) {
             return;
         }
         // Others hold it silent, and it was heard here just now: it has to hear of that, and is not given up.
-        let fresh = now - member.heard < self.times.suspicion / 2.0 && member.card.life == news.card.life;
-        if news.status == Status::Silent && told_by.is_some() && fresh {
+        let recently_heard =
+            now - member.last_heard < self.times.suspicion / 2.0 && member.card.life == update.card.life;
+        if update.status == Status::Silent && reported_by.is_some() && recently_heard {
             let (to, name) = (Destination::card(&member.card), member.card.name.clone());
-            let question = self.next_question();
-            return self.send_with(&to, Body::Ping { question }, vec![news], Some(&name));
+            let request_id = self.next_request_id();
+            return self.send_with(&to, Body::Ping { request_id }, vec![update], Some(&name));
         }
-        self.apply(news, told_by, now);
+        self.apply(update, reported_by, now);
     }
 
     /// Somebody who was not known. Of those gone nothing is taken up: whoever forgot them would be told without end.
-    fn add_unknown(&mut self, news: Update, told_by: Option<&str>, now: f64) {
-        if !news.status.is_present() {
+    fn add_unknown(&mut self, update: Update, reported_by: Option<&str>, now: f64) {
+        if !update.status.is_present() {
             return;
         }
-        let mut member = Member::new(news.card.clone(), news.status, now);
-        member.told_by = told_by.map(str::to_string);
+        let mut member = Member::new(update.card.clone(), update.status, now);
+        member.reported_by = reported_by.map(str::to_string);
         if !self.table.add(member) {
             self.counts.no_room += 1;
             return;
         }
-        let (name, incarnation) = (news.card.name.clone(), news.card.incarnation);
-        self.out.push(Action::Changed(Change::Here { name, incarnation }));
-        if news.status == Status::Suspect {
-            self.suspect_told(&news, now);
+        let (name, incarnation) = (update.card.name.clone(), update.card.incarnation);
+        self.actions.push(Action::Changed(Change::Here { name, incarnation }));
+        if update.status == Status::Suspect {
+            self.add_suspicion(&update, now);
         }
-        self.disseminate(news);
+        self.disseminate(update);
     }
 
     /// Takes over what counts more than what was known.
-    pub(crate) fn apply(&mut self, news: Update, told_by: Option<&str>, now: f64) {
-        let name = news.card.name.clone();
+    pub(crate) fn apply(&mut self, update: Update, reported_by: Option<&str>, now: f64) {
+        let name = update.card.name.clone();
         let Some(member) = self.table.get_mut(&name) else { return };
-        let (was, incarnation) = (member.status, news.card.incarnation);
-        let another = member.card.life != news.card.life;
-        if another {
-            *member = Member::new(news.card.clone(), news.status, now);
+        let (was, incarnation) = (member.status, update.card.incarnation);
+        let restarted = member.card.life != update.card.life;
+        if restarted {
+            *member = Member::new(update.card.clone(), update.status, now);
         }
-        if was != news.status {
+        if was != update.status {
             member.since = now;
         }
-        member.card = news.card.clone();
-        member.status = news.status;
-        member.told_by = told_by.map(str::to_string);
+        member.card = update.card.clone();
+        member.status = update.status;
+        member.reported_by = reported_by.map(str::to_string);
         self.suspicions.remove(&name);
-        let told_by = told_by.map(str::to_string);
-        let change = match news.status {
-            Status::Alive if another => Some(Change::Restarted { name, incarnation }),
+        let reported_by = reported_by.map(str::to_string);
+        let change = match update.status {
+            Status::Alive if restarted => Some(Change::Restarted { name, incarnation }),
             Status::Alive if was == Status::Suspect => Some(Change::Cleared { name, incarnation }),
             Status::Alive if was == Status::Alive => None,
             Status::Alive => Some(Change::Here { name, incarnation }),
             Status::Suspect => {
-                self.suspect_told(&news, now);
-                let by = news.by.clone().unwrap_or_default();
+                self.add_suspicion(&update, now);
+                let by = update.suspector.clone().unwrap_or_default();
                 Some(Change::Suspected { name, by })
             }
-            Status::Silent => Some(Change::Silent { name, told_by }),
-            Status::Ended => Some(Change::Ended { name, told_by }),
+            Status::Silent => Some(Change::Silent { name, told_by: reported_by }),
+            Status::Ended => Some(Change::Ended { name, told_by: reported_by }),
             Status::Left => Some(Change::Left { name }),
         };
-        self.out.extend(change.map(Action::Changed));
-        self.disseminate(news);
+        self.actions.extend(change.map(Action::Changed));
+        self.disseminate(update);
     }
 
     /// Passes news on.
-    pub(crate) fn disseminate(&mut self, news: Update) {
-        self.spread.put(news, self.table.size());
+    pub(crate) fn disseminate(&mut self, update: Update) {
+        self.gossip.push(update, self.table.size());
     }
 
     /// What others say about this process, or about another of its name.
-    pub(super) fn learn_of_self(&mut self, news: Update, now: f64) {
-        if news.card.life == self.me.life {
-            if news.status == Status::Alive {
+    pub(super) fn learn_about_self(&mut self, update: Update, now: f64) {
+        if update.card.life == self.own_card.life {
+            if update.status == Status::Alive {
                 // Whoever took it in has put it above what was known of its name.
-                if news.card.incarnation > self.me.incarnation {
-                    self.raise_incarnation(news.card.incarnation);
+                if update.card.incarnation > self.own_card.incarnation {
+                    self.raise_incarnation(update.card.incarnation);
                 }
-            } else if self.doubt.is_some() {
+            } else if self.confirmation.is_some() {
                 // It stood still: its name may be another's by now, which would be stepped over. The view that it has
                 // asked for says so, or says this again.
-            } else if news.card.incarnation >= self.me.incarnation && self.state == State::Member {
-                self.raise_incarnation(news.card.incarnation + 1);
+            } else if update.card.incarnation >= self.own_card.incarnation && self.state == State::Member {
+                self.raise_incarnation(update.card.incarnation + 1);
                 self.counts.refutations += 1;
-                let (was, incarnation) = (news.status, self.me.incarnation);
-                self.out.push(Action::Changed(Change::Refuted { was, incarnation }));
+                let (was, incarnation) = (update.status, self.own_card.incarnation);
+                self.actions.push(Action::Changed(Change::Refuted { was, incarnation }));
                 self.worsen_local_health();
             }
             return;
         }
         // Another life of its name: one that is over, or that can't be, as this one has its address, is stepped over.
-        let over = !news.status.is_present() || news.card.address == self.me.address;
-        if !over && self.doubt.is_some() {
+        let is_stale = !update.status.is_present() || update.card.address == self.own_card.address;
+        if !is_stale && self.confirmation.is_some() {
             // It stood still, and its name is another's: what it last called itself, others may never have heard. Asking
             // to be taken in again tells.
-            return self.stop_as_barred(news.card, now);
+            return self.enter_barred(update.card, now);
         }
-        if news.card.incarnation < self.me.incarnation {
-            if !over {
-                self.note_claim(&news.card);
+        if update.card.incarnation < self.own_card.incarnation {
+            if !is_stale {
+                self.report_claim(&update.card);
             }
-            self.disseminate(Update::of(&self.me, Status::Alive));
-        } else if over || (news.card.incarnation == self.me.incarnation && self.me.life < news.card.life) {
-            self.raise_incarnation(news.card.incarnation + 1);
+            self.disseminate(Update::new(&self.own_card, Status::Alive));
+        } else if is_stale
+            || (update.card.incarnation == self.own_card.incarnation && self.own_card.life < update.card.life)
+        {
+            self.raise_incarnation(update.card.incarnation + 1);
         } else {
-            self.stop_as_barred(news.card, now);
+            self.enter_barred(update.card, now);
         }
     }
 
     /// Uses this incarnation from now on, and says so.
     fn raise_incarnation(&mut self, incarnation: u64) {
-        self.me.incarnation = incarnation;
-        self.out.push(Action::PersistIncarnation(incarnation));
-        self.disseminate(Update::of(&self.me, Status::Alive));
+        self.own_card.incarnation = incarnation;
+        self.actions.push(Action::PersistIncarnation(incarnation));
+        self.disseminate(Update::new(&self.own_card, Status::Alive));
     }
 }
--- a/crates/pearfront-membership/src/lib.rs
+++ b/crates/pearfront-membership/src/lib.rs
@@ -5,11 +5,11 @@
 //! in `docs/design/membership.md`.
 
 mod core;
-mod deafness;
+mod gossip;
+mod isolation;
 mod member;
 mod message;
 mod probe;
-mod spread;
 mod table;
 mod times;
 
--- a/crates/pearfront-membership/src/member.rs
+++ b/crates/pearfront-membership/src/member.rs
@@ -51,18 +51,18 @@
     pub card: Card,
     pub status: Status,
     /// Who suspects it, of a suspicion: several who do are more than one that is repeated.
-    pub by: Option<String>,
+    pub suspector: Option<String>,
 }
 
 impl Update {
-    pub fn of(card: &Card, status: Status) -> Self {
-        Self { card: card.clone(), status, by: None }
+    pub fn new(card: &Card, status: Status) -> Self {
+        Self { card: card.clone(), status, suspector: None }
     }
 
     /// Does it count more than what is known? The higher incarnation does; within one life and incarnation the later
     /// word of the ladder. Two lives of one incarnation (a name that was given twice while a cut lay between) are
     /// decided by the smaller number, so that all choose alike.
-    pub fn beats(&self, known: &Card, status: Status) -> bool {
+    pub fn supersedes(&self, known: &Card, status: Status) -> bool {
         if self.card.incarnation != known.incarnation {
             return self.card.incarnation > known.incarnation;
         }
@@ -81,18 +81,18 @@
     /// When it came to stand so, on this process's clock.
     pub since: f64,
     /// When anything fresh was heard from itself, by datagram or link; negative infinity if never.
-    pub heard: f64,
+    pub last_heard: f64,
     /// When another said to have heard it, less the age of that. Kept apart from `heard` and never passed on: else it
     /// would go round and grow younger by each way it takes.
-    pub vouched: f64,
+    pub last_vouched: f64,
     /// When it last answered a question of ours.
-    pub answered: f64,
+    pub last_answered: f64,
     /// Smoothed round trip, ms; 0 if none was measured yet.
     pub round_trip: f64,
     /// Highest number of its datagrams: a copy or an old one is no sign of life.
-    pub(crate) number: u64,
+    pub(crate) last_sequence: u64,
     /// Who told that it stands so, if it was not seen here.
-    pub told_by: Option<String>,
+    pub reported_by: Option<String>,
 }
 
 impl Member {
@@ -102,12 +102,12 @@
             card,
             status,
             since: now,
-            heard: never,
-            vouched: never,
-            answered: never,
+            last_heard: never,
+            last_vouched: never,
+            last_answered: never,
             round_trip: 0.0,
-            number: 0,
-            told_by: None,
+            last_sequence: 0,
+            reported_by: None,
         }
     }
 
@@ -116,7 +116,7 @@
     }
 
     /// Its news, as it stands.
-    pub fn news(&self) -> Update {
-        Update::of(&self.card, self.status)
+    pub fn to_update(&self) -> Update {
+        Update::new(&self.card, self.status)
     }
 }
--- a/crates/pearfront-membership/src/times.rs
+++ b/crates/pearfront-membership/src/times.rs
@@ -32,29 +32,29 @@
 }
 
 /// Others that are asked to try where a probe stays unanswered (SWIM's k).
-pub const HELPERS: usize = 3;
+pub const INDIRECT_PROBES: usize = 3;
 /// Others that must share a suspicion for its time to be the shortest (Lifeguard's K).
 pub const CONFIRMATIONS: usize = 3;
 /// How much longer a suspicion lasts that nobody shares.
-pub const UNSHARED: f64 = 3.0;
+pub const MAX_SUSPICION_FACTOR: f64 = 3.0;
 /// Highest doubt in one's own health (Lifeguard's S): answers are waited for up to 1 + this times as long.
-pub const HEALTH_WORST: u32 = 8;
+pub const MAX_HEALTH_SCORE: u32 = 8;
 /// Own timers this late, as a share of the period, count against one's own health.
-pub const LATE: f64 = 0.5;
+pub const LATE_TIMER_SHARE: f64 = 0.5;
 /// Timers this late mean that the process stood still: what it believes is old until somebody has confirmed it.
-pub const STOOD_STILL: f64 = 1000.0;
+pub const STALL_MS: f64 = 1000.0;
 /// Own probes in a row without any sign of anyone after which a process takes itself to be deaf.
-pub const DEAF_AFTER: u32 = 4;
+pub const ISOLATED_AFTER_PROBES: u32 = 4;
 /// How many times the shortest suspicion a deaf process puts off its verdicts: then it says what it sees, nobody.
-pub const DEAF_PATIENCE: f64 = 3.0;
+pub const ISOLATION_PATIENCE: f64 = 3.0;
 /// Each piece of news goes out this many times the logarithm (base 2) of the size: all have it with near certainty, and
 /// the comparison of views finds the rest.
-pub const SPREAD: f64 = 3.0;
+pub const GOSSIP_FACTOR: f64 = 3.0;
 /// Pause between two tries to join, and the longest that it grows to.
-pub const JOIN_AGAIN: f64 = 500.0;
-pub const JOIN_SELDOM: f64 = 4000.0;
+pub const JOIN_DELAY_MS: f64 = 500.0;
+pub const MAX_JOIN_DELAY_MS: f64 = 4000.0;
 /// Members, with those gone, that are held at the most; further new ones are refused and counted.
-pub const MOST_MEMBERS: usize = 4096;
+pub const MAX_MEMBERS: usize = 4096;
 /// Texts in a card, bytes: a name and a zone must leave room for news in a datagram.
 pub const MAX_NAME_BYTES: usize = 64;
 pub const MAX_ZONE_BYTES: usize = 32;
--- a/crates/pearfront-membership/tests/wire.rs
+++ b/crates/pearfront-membership/tests/wire.rs
@@ -10,7 +10,7 @@
     SocketAddr::from(([10, 0, 0, number], 7000))
 }
 
-fn core(number: u8, installation: &str, seeds: Vec<SocketAddr>) -> Membership {
+fn new_core(number: u8, installation: &str, seeds: Vec<SocketAddr>) -> Membership {
     let identity = Identity {
         installation: installation.into(),
         name: format!("n{number}"),
@@ -32,7 +32,7 @@
 
 /// Two that know each other, and a datagram from the second.
 fn pair() -> (Membership, Membership, Vec<u8>) {
-    let (mut one, mut other) = (core(1, "shop", vec![]), core(2, "shop", vec![address(1)]));
+    let (mut one, mut other) = (new_core(1, "shop", vec![]), new_core(2, "shop", vec![address(1)]));
     other.tick(0.0);
     for join in bytes(other.take_actions()) {
         one.receive_bytes(&join, 1.0).expect("a join");
@@ -47,30 +47,30 @@
 }
 
 #[test]
-fn a_packet_of_another_installation_is_dropped_and_counted() {
+fn packet_of_another_installation_is_dropped_and_counted() {
     let (mut one, _, ping) = pair();
-    assert_eq!(decode(&ping, "other").err(), Some(DecodeError::Elsewhere));
-    let mut stranger = core(3, "other", vec![address(1)]);
-    stranger.tick(0.0);
-    let join = bytes(stranger.take_actions()).remove(0);
-    assert_eq!(one.receive_bytes(&join, 10.0), Err(DecodeError::Elsewhere));
+    assert_eq!(decode(&ping, "other").err(), Some(DecodeError::OtherInstallation));
+    let mut outsider = new_core(3, "other", vec![address(1)]);
+    outsider.tick(0.0);
+    let join = bytes(outsider.take_actions()).remove(0);
+    assert_eq!(one.receive_bytes(&join, 10.0), Err(DecodeError::OtherInstallation));
     assert_eq!((one.counts().elsewhere, one.members().count()), (1, 1));
 }
 
 #[test]
-fn a_copy_of_a_datagram_is_no_sign_of_life() {
+fn duplicate_datagram_is_no_sign_of_life() {
     let (mut one, _, ping) = pair();
     one.receive_bytes(&ping, 300.0).expect("whole");
-    let heard = one.member("n2").expect("known").heard;
+    let heard = one.member("n2").expect("known").last_heard;
     for again in 1..50 {
         one.receive_bytes(&ping, 300.0 + 100.0 * f64::from(again)).expect("whole");
     }
-    assert_eq!(one.member("n2").expect("known").heard, heard);
+    assert_eq!(one.member("n2").expect("known").last_heard, heard);
     assert!(one.counts().outdated >= 49);
 }
 
 #[test]
-fn a_datagram_of_a_life_that_is_over_brings_nobody_back() {
+fn datagram_of_an_ended_process_does_not_bring_it_back() {
     let (mut one, _, ping) = pair();
     one.process_ended("n2", 102, 400.0);
     assert_eq!(one.member("n2").expect("known").status, Status::Ended);
@@ -84,8 +84,8 @@
 
 // Its own address may be among the seeds, also as another one that leads back to it.
 #[test]
-fn one_that_asks_itself_to_be_taken_in_goes_on_asking() {
-    let mut one = core(1, "shop", vec![address(9)]);
+fn process_that_receives_its_own_join_keeps_joining() {
+    let mut one = new_core(1, "shop", vec![address(9)]);
     one.tick(0.0);
     let join = bytes(one.take_actions()).remove(0);
     one.receive_bytes(&join, 1.0).expect("its own join");
@@ -95,17 +95,17 @@
 
 proptest! {
     #[test]
-    fn no_bytes_bring_the_decoder_down(bytes in proptest::collection::vec(any::<u8>(), 0..1400)) {
-        let mut marked = vec![b'p', b'm', 1];
-        marked.extend(crc32c::crc32c(&bytes).to_le_bytes());
-        marked.extend(&bytes);
+    fn decoder_survives_arbitrary_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..1400)) {
+        let mut framed = vec![b'p', b'm', 1];
+        framed.extend(crc32c::crc32c(&bytes).to_le_bytes());
+        framed.extend(&bytes);
         // With a mark and a sum that fit, too: what is inside is garbage all the same.
-        let _ = decode(&marked, "shop");
+        let _ = decode(&framed, "shop");
         prop_assert!(decode(&bytes, "shop").is_err());
     }
 
     #[test]
-    fn a_changed_or_cut_packet_is_refused(at in 0usize..2000, bit in 0u8..8, cut in any::<bool>()) {
+    fn changed_or_truncated_packet_is_refused(at in 0usize..2000, bit in 0u8..8, cut in any::<bool>()) {
         let (mut one, _, ping) = pair();
         let mut changed = ping.clone();
         if cut {
