--- a/crates/pearfront-membership/src/core.rs
+++ b/crates/pearfront-membership/src/core.rs
@@ -1,5 +1,5 @@
-//! The state machine: its state, what comes in and what may be read. What it does with that is in the modules below, and
-//! in `probe` for probes and suspicions.
+//! `Membership`: state, inputs and queries of one process. The protocol itself is in the modules below, and in
+//! `probe` for probes and suspicions.
 
 mod anti_entropy;
 mod interface;
@@ -24,17 +24,17 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Others that hear a goodbye from itself; the rest hears it from these.
+/// Members that are told directly when this process leaves; the others learn it from these.
 const MAX_LEAVE_MESSAGES: usize = 64;
 
-/// Doubt in the own view, from a standstill until another confirms it.
+/// Set after a stall, until another process confirms the view.
 pub(crate) struct PendingConfirmation {
-    /// Answers to questions from this one on count.
+    /// Responses to requests from this one on count.
     min_request_id: u64,
     next_request_at: f64,
 }
 
-/// The state of one process.
+/// Group membership as seen by one process.
 pub struct Membership {
     installation: String,
     seeds: Vec<SocketAddr>,
@@ -44,10 +44,10 @@
     pub(crate) table: MemberTable,
     pub(crate) gossip: GossipQueue,
     pub(crate) suspicions: BTreeMap<String, Suspicion>,
-    /// By their questions. A probe outlasts the period where answers are slow; the next does not wait for it, or bad
-    /// weather would make all detection slow by as much.
+    /// By request ID. A probe may outlast its period where responses are slow; the next one starts on time, or
+    /// slow responses would slow all detection down.
     pub(crate) probes: BTreeMap<u64, Probe>,
-    /// Names that are still to be probed in this round.
+    /// Members still to be probed in this round.
     pub(crate) probe_round: Vec<String>,
     pub(crate) indirect_probes: BTreeMap<u64, IndirectProbe>,
     pub(crate) next_probe: f64,
@@ -55,31 +55,32 @@
     next_reconnect: f64,
     next_join: f64,
     join_delay: f64,
-    /// Answers to questions from this one on take it in: an older one may lie in a buffer from before its name was
-    /// another's.
+    /// Lowest request ID whose response admits this process. An older response may come from before its name
+    /// was taken.
     join_min_request: u64,
-    /// Another process seen under our name, told once.
+    /// Another process that claims this name; reported once.
     claimed_by: Option<u64>,
     last_sequence: u64,
     last_request_id: u64,
     pub(crate) health: u32,
     pub(crate) isolation: Isolation,
     confirmation: Option<PendingConfirmation>,
-    /// Smoothed round trip and its deviation over all others, ms.
+    /// Smoothed round-trip time over all members and its deviation, ms.
     pub(crate) round_trip: Option<(f64, f64)>,
     pub(crate) rng: ChaCha8Rng,
     actions: Vec<Action>,
     pub(crate) counts: Counts,
-    /// When the next call was due as told last, and when the last came.
+    /// When the next call was due, and when the last one came.
     expected_call: f64,
     last_call: f64,
 }
 
 impl Membership {
-    /// A process that knows nobody yet; `seeds` are addresses to ask, its own among them does no harm.
+    /// Creates a process that knows nobody yet. `seeds` are addresses to contact; its own address among them
+    /// does no harm.
     ///
     /// # Errors
-    /// A name or zone that is empty or too long.
+    /// An empty name, or a name or zone that is too long.
     pub fn new(
         identity: Identity,
         seeds: Vec<SocketAddr>,
@@ -97,7 +98,7 @@
         let own_card = Card { name, zone, address, incarnation: last_incarnation + 1, life };
         let seeds: Vec<SocketAddr> = seeds.into_iter().filter(|seed| *seed != address).collect();
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        // Processes that are started at one time need not ask at one time ever after.
+        // Random first times, so that processes started together don't send in step.
         let mut random_start = |span: f64| now + rng.random::<f64>() * span;
         let (next_probe, next_sync) = (random_start(times.probe_period), random_start(times.sync_interval));
         let next_reconnect = random_start(times.reconnect_interval);
@@ -141,12 +142,12 @@
         &self.own_card
     }
 
-    /// What this process is to the others.
+    /// Its state in the installation.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// Everyone else that is known, in the order of names.
+    /// All other known members, by name.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.table.all()
     }
@@ -156,43 +157,43 @@
         self.table.get(name)
     }
 
-    /// What was sent, heard and dropped so far.
+    /// Counters of traffic and events.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Doubt in its own health, 0 to 8: answers are waited for longer by it.
+    /// Doubt in its own health, 0 to 8; lengthens its time-outs.
     pub fn health(&self) -> u32 {
         self.health
     }
 
-    /// How long it waits for an answer, and the shortest time that a suspicion lasts as things are, ms.
+    /// Current time-out of a probe, and the shortest duration of a suspicion, ms.
     pub fn timeouts(&self) -> (f64, f64) {
         (self.probe_timeout(), self.min_suspicion())
     }
 
-    /// Since when it has heard nobody, if it is deaf.
+    /// Since when it has heard nobody, if it is isolated.
     pub fn isolated_since(&self) -> Option<f64> {
         self.isolation.since()
     }
 
-    /// May it act on its view? Not before it has joined, not after it stood still until another has confirmed its view,
-    /// not while it hears nobody.
+    /// May this process act on its view? Only as a member, not after a stall until another process has
+    /// confirmed the view, and not while isolated.
     pub fn is_view_confirmed(&self) -> bool {
         self.state == State::Member && self.confirmation.is_none() && self.isolation.since().is_none()
     }
 
-    /// The sum of its view: equal at two processes that agree on who is here.
+    /// Checksum of the view; equal on two processes that agree on who is present.
     pub fn view_checksum(&self) -> u32 {
         self.table.checksum(&self.own_card, self.state == State::Member)
     }
 
-    /// Was another process seen under its name?
+    /// Has another process claimed this name?
     pub fn was_claimed(&self) -> bool {
         self.claimed_by.is_some()
     }
 
-    /// When it wants to be called at the latest, ms.
+    /// Latest time at which `tick` must be called, ms.
     pub fn due(&self) -> f64 {
         match self.state {
             State::Left => f64::INFINITY,
@@ -207,14 +208,14 @@
         }
     }
 
-    /// What has to be done outside now.
+    /// Takes the actions that are pending; the caller has to carry them out in this order.
     pub fn take_actions(&mut self) -> Vec<Action> {
-        // What was due before the last call and is not done yet is no later for that: counted once.
+        // An overdue time is not counted as late a second time.
         self.expected_call = self.due().max(self.last_call);
         std::mem::take(&mut self.actions)
     }
 
-    /// The time has come, or some other time has.
+    /// Runs everything that is due.
     pub fn tick(&mut self, now: f64) {
         self.detect_stall(now);
         match self.state {
@@ -228,10 +229,10 @@
         }
     }
 
-    /// A datagram or a frame came.
+    /// Handles a datagram or a frame.
     ///
     /// # Errors
-    /// Why it was dropped; that is counted.
+    /// Why it was dropped; the counters include it.
     pub fn receive_bytes(&mut self, bytes: &[u8], now: f64) -> Result<(), DecodeError> {
         self.detect_stall(now);
         let decoded = decode(bytes, &self.installation);
@@ -252,7 +253,7 @@
         }
     }
 
-    /// The kernel of that life says that nothing listens there any more.
+    /// The kernel of that process says that nothing listens there any more.
     pub fn process_ended(&mut self, name: &str, life: u64, now: f64) {
         self.detect_stall(now);
         let matches = |member: &&Member| member.card.life == life && member.status < Status::Ended;
@@ -264,7 +265,7 @@
         }
     }
 
-    /// A link brought something fresh from that life; with a round trip, ms, if it was an answer to us.
+    /// A link brought a message of that process; with the round-trip time, ms, if it was a response.
     pub fn link_active(&mut self, name: &str, life: u64, round_trip: Option<f64>, now: f64) {
         self.detect_stall(now);
         let Some(member) = self.table.get_mut(name).filter(|member| member.card.life == life) else { return };
@@ -276,7 +277,7 @@
         self.on_heard(now);
     }
 
-    /// Says goodbye; nothing else is said after.
+    /// Announces that this process leaves. Nothing is sent after that.
     pub fn leave(&mut self, now: f64) {
         self.detect_stall(now);
         if self.state == State::Member {
@@ -288,7 +289,8 @@
         self.state = State::Left;
     }
 
-    /// Before anything else: did this process itself stand still? What it waited for meanwhile says nothing of others.
+    /// Runs before every input: if this process itself stalled, what it waited for meanwhile says nothing about
+    /// others.
     fn detect_stall(&mut self, now: f64) {
         let late = now - self.expected_call;
         if late > STALL_MS && self.state == State::Member {
@@ -317,7 +319,7 @@
     }
 }
 
-/// One more figure in a mean that forgets: an eighth counts anew, as TCP has it.
+/// Exponentially weighted mean; a new sample counts for an eighth, as in TCP.
 pub(crate) fn smoothed(mean: f64, sample: f64) -> f64 {
     if mean == 0.0 { sample } else { mean + (sample - mean) / 8.0 }
 }
--- a/crates/pearfront-membership/src/core/anti_entropy.rs
+++ b/crates/pearfront-membership/src/core/anti_entropy.rs
@@ -1,12 +1,12 @@
-//! Anti-entropy: views are compared with members and seeds, and those gone are asked again. It also ends the
-//! doubt of a process that stood still.
+//! Anti-entropy: views are compared with members and seeds, and absent members are probed. It also confirms the
+//! view after a stall.
 
 use super::{Action, Change, Destination, Membership};
 use crate::member::{Card, Member, Status};
 use crate::message::Body;
 use rand::prelude::Rng;
 
-/// Others that a process which stood still asks at once whether it is still one of them.
+/// Members that are asked to confirm the view after a stall.
 const CONFIRMATION_REQUESTS: usize = 3;
 
 impl Membership {
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Compares with one of the seeds, whoever that is: of several that begin at once, or behind a cut, some may have taken
-    /// in one another and know nothing of the rest. Nobody asks those whom nobody knows.
+    /// Compares views with a random seed. Processes that start together, or on one side of a partition, may
+    /// have admitted each other and know nothing of the rest; only a seed connects them.
     fn sync_with_seed(&mut self) {
         if self.seeds.is_empty() {
             return;
@@ -46,8 +46,8 @@
         );
     }
 
-    /// Asks one of those gone: a cut may be over, or a word about it may have been wrong. It hears what is held of it.
-    /// Whoever is held silent is asked before those of whom there is proof, or the word.
+    /// Probes an absent member and tells it what is believed about it: a partition may have ended, or a report
+    /// may have been wrong. Silent members come before those that are known to have ended.
     fn ping_absent_member(&mut self) {
         let silent = |member: &Member| member.status == Status::Silent;
         let mut card = self.table.sample(&mut self.rng, 1, silent).pop();
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Asks a few others whether the view still holds, after this process stood still.
+    /// Asks a few others whether the view still holds after a stall.
     fn request_confirmation(&mut self, now: f64) {
         for card in self.table.sample(&mut self.rng, CONFIRMATION_REQUESTS, Member::is_present) {
             self.sync_with(&card);
@@ -70,7 +70,8 @@
         }
     }
 
-    /// Another has answered with its view, or agrees with ours: the doubt is over if it was asked after the standstill.
+    /// Another process has sent its view or agrees with this one. That ends the doubt if it was asked after the
+    /// stall.
     pub(super) fn on_confirmed(&mut self, request_id: u64) {
         if self.confirmation.as_ref().is_some_and(|pending| request_id >= pending.min_request_id) {
             self.confirmation = None;
@@ -78,13 +79,13 @@
         }
     }
 
-    /// Asks a member whether its view has the same sum.
+    /// Asks a member whether its view has the same checksum.
     fn sync_with(&mut self, card: &Card) {
         let (request_id, sum) = (self.next_request_id(), self.view_checksum());
         self.send_frame(&Destination::card(card), Body::CompareViews { request_id, sum });
     }
 
-    /// The number of the next question; answers carry it.
+    /// The next request ID; responses carry it.
     pub(crate) fn next_request_id(&mut self) -> u64 {
         self.last_request_id += 1;
         self.last_request_id
--- a/crates/pearfront-membership/src/core/interface.rs
+++ b/crates/pearfront-membership/src/core/interface.rs
@@ -1,39 +1,39 @@
-//! What the state machine is given at its start, and what it hands out.
+//! Inputs at the start, and outputs of `Membership`.
 
 use crate::member::{Card, Status};
 use std::net::SocketAddr;
 
-/// Who this process is, from its file and folder.
+/// Identity of this process, from its configuration and folder.
 #[derive(Debug, Clone)]
 pub struct Identity {
     pub installation: String,
     pub name: String,
     pub zone: String,
     pub address: SocketAddr,
-    /// Drawn at this start, from outside: two processes of one name must not draw alike.
+    /// Random ID of this run, drawn by the caller: two processes of one name must not draw the same.
     pub life: u64,
-    /// The highest incarnation that the folder says was used; 0 if there is none.
+    /// Highest incarnation stored in the folder; 0 if there is none.
     pub last_incarnation: u64,
 }
 
-/// What this process is to the others.
+/// State of this process in the installation.
 #[derive(Debug, Clone, PartialEq)]
 pub enum State {
-    /// Nobody has taken it in yet, nor has it taken in anyone.
+    /// Not admitted by anyone yet, and has admitted nobody.
     Joining,
     Member,
-    /// Another process has its name: it takes no part, and asks again now and then.
+    /// Another process holds its name. It takes no part, and retries at intervals.
     Barred {
         by: Card,
     },
     Left,
 }
 
-/// Where something goes. A name may have an address of its own at the sender.
+/// Receiver of a packet. The sender may have an address of its own for a name.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Destination {
     pub name: Option<String>,
-    /// The process that is meant, if it is known: two may claim one name.
+    /// The run of the process that is meant, if it is known; two may claim one name.
     pub life: Option<u64>,
     pub address: SocketAddr,
 }
@@ -44,7 +44,7 @@
     }
 }
 
-/// What is to be done outside, in this order.
+/// What the caller has to do, in this order.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     Datagram {
@@ -56,21 +56,21 @@
         to: Destination,
         bytes: Vec<u8>,
     },
-    /// The incarnation that is used from now on, for the folder.
+    /// The incarnation used from now on, to be stored in the folder.
     PersistIncarnation(u64),
     Changed(Change),
 }
 
-/// What the log, the counters and the rest of the program hear.
+/// Changes for logs, counters and the rest of the program. The variants are printed by `prove --watch`.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Change {
     Joined,
-    /// New, or back: a name that was not held to be there is.
+    /// A member is new, or present again.
     Here {
         name: String,
         incarnation: u64,
     },
-    /// The same name is another process now.
+    /// A process of that name has restarted.
     Restarted {
         name: String,
         incarnation: u64,
@@ -79,7 +79,7 @@
         name: String,
         by: String,
     },
-    /// It had been suspected, and said that it is there.
+    /// A suspected member has refuted the suspicion.
     Cleared {
         name: String,
         incarnation: u64,
@@ -95,30 +95,31 @@
     Left {
         name: String,
     },
-    /// This process was held to be this, and has said otherwise under a higher incarnation.
+    /// Others believed this status of this process; it has refuted that with a higher incarnation.
     Refuted {
         was: Status,
         incarnation: u64,
     },
-    /// It stood still for so long, ms: what it believes is old.
+    /// This process stalled for that long, ms; its view may be outdated.
     Doubts {
         stood: f64,
     },
-    /// Another has confirmed its view since.
+    /// Another process has confirmed the view since.
     Sure,
-    /// It hears nobody.
+    /// This process hears nobody.
     Deaf,
+    /// It hears others again.
     Hears,
     Barred {
         by: Card,
     },
-    /// Another process claims its name, there.
+    /// Another process, with this card, claims the name.
     Claimed {
         by: Card,
     },
 }
 
-/// What was sent, heard and dropped; all only grow.
+/// Counters; they only grow.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
     pub datagrams_out: u64,
@@ -130,7 +131,7 @@
     pub foreign: u64,
     pub garbled: u64,
     pub elsewhere: u64,
-    /// Packets of a life that is over, or copies.
+    /// Duplicates, and packets of an ended run of a process.
     pub outdated: u64,
     pub no_room: u64,
     pub probes_failed: u64,
--- a/crates/pearfront-membership/src/core/joining.rs
+++ b/crates/pearfront-membership/src/core/joining.rs
@@ -1,4 +1,4 @@
-//! Joining by the seeds, admitting others, and names that two processes claim.
+//! Joining through seeds, admitting others, and conflicting claims to a name.
 
 use super::{Action, Change, Destination, Membership, State};
 use crate::member::{Card, Status, Update};
@@ -7,7 +7,7 @@
 use rand::prelude::Rng;
 
 impl Membership {
-    /// Asks all seeds to be taken in, with a growing pause between two rounds.
+    /// Sends join requests to all seeds, with a growing delay between rounds.
     pub(super) fn send_join_requests(&mut self, now: f64) {
         self.next_join = now + self.join_delay * (0.75 + 0.5 * self.rng.random::<f64>());
         self.join_delay = (self.join_delay * 1.5).min(MAX_JOIN_DELAY_MS);
@@ -17,8 +17,8 @@
         }
     }
 
-    /// One that is new asks to be taken in. Its name may be held by a process that is there, as far as is known here: only
-    /// when that one is gone may another have it.
+    /// Handles a join request. If a process believed present holds the name, it is only free once that one is
+    /// gone.
     pub(super) fn on_join(&mut self, card: Card, request_id: u64, now: f64) {
         if card.name == self.own_card.name {
             self.report_claim(&card);
@@ -33,7 +33,7 @@
                 self.send(&Destination::card(holder), Body::NameClaimed { by: card.clone() });
                 return self.send_frame(&Destination::card(&card), Body::NameTaken { by: holder.clone() });
             }
-            // What is over must not count more than what is new: it goes on above it.
+            // The new process must supersede an ended holder of the name, so its incarnation is higher.
             let incarnation = card.incarnation.max(holder.incarnation + 1);
             self.learn(Update::new(&Card { incarnation, ..card.clone() }, Status::Alive), None, now);
         } else {
@@ -43,7 +43,7 @@
         self.send_view(&Destination::card(&card), Some(request_id), false);
     }
 
-    /// Now it is a member, and says so.
+    /// Becomes a member and announces it.
     pub(super) fn become_member(&mut self) {
         if matches!(self.state, State::Joining | State::Barred { .. }) {
             self.state = State::Member;
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Another process holds its name: it takes no part, and asks again later.
+    /// Another process holds the name: takes no part, and tries to join again later.
     pub(super) fn enter_barred(&mut self, by: Card, now: f64) {
         if !matches!(&self.state, State::Barred { by: known } if known.life == by.life) {
             self.actions.push(Action::Changed(Change::Barred { by: by.clone() }));
@@ -65,7 +65,7 @@
         self.next_join = self.next_join.max(now + JOIN_DELAY_MS);
     }
 
-    /// Reports, once for each process, that another claims its name.
+    /// Reports another process that claims this name, once per process.
     pub(super) fn report_claim(&mut self, by: &Card) {
         if self.claimed_by != Some(by.life) {
             self.claimed_by = Some(by.life);
--- a/crates/pearfront-membership/src/core/receiving.rs
+++ b/crates/pearfront-membership/src/core/receiving.rs
@@ -1,14 +1,14 @@
-//! Packets that arrive: what the sender says of itself, the news that they carry, and the response.
+//! Incoming packets: the sender's card, the updates on board, and the response.
 
 use super::{Action, Change, Destination, Membership, State};
 use crate::member::{Card, Status, Update};
 use crate::message::{Body, Packet};
 
 impl Membership {
-    /// Takes in a packet: counts it, and drops it if the state does not allow its message.
+    /// Handles a packet: counts it, and drops it if the state does not allow its message.
     pub(super) fn receive(&mut self, packet: Packet, now: f64) {
         let Packet { from, sequence, body, updates, .. } = packet;
-        // A seed may name this process itself.
+        // A seed address may lead back to this process.
         if self.state == State::Left || (from.name == self.own_card.name && from.life == self.own_card.life) {
             return;
         }
@@ -29,7 +29,7 @@
             }
             (State::Joining | State::Barred { .. }, Body::View { answers: Some(request_id), .. })
                 if *request_id >= self.join_min_request => {}
-            // Not one of them yet, or no longer: nothing that is said to its name is said to it.
+            // Before joining and while barred, packets addressed to the name are not meant for this process.
             _ => return,
         }
         let current = self.record_sender(&from, sequence, &body, now);
@@ -41,7 +41,7 @@
         }
     }
 
-    /// What the sender's card says of itself; false if it speaks for a life that is over.
+    /// Updates the sender's record; false if the packet comes from an ended run of it.
     fn record_sender(&mut self, from: &Card, sequence: u64, body: &Body, now: f64) -> bool {
         if matches!(body, Body::Join { .. } | Body::NameTaken { .. }) {
             return true;
@@ -70,7 +70,7 @@
         true
     }
 
-    /// Something was heard: it is not deaf.
+    /// Something was heard, so this process is not isolated.
     pub(crate) fn on_heard(&mut self, now: f64) {
         if self.isolation.on_heard(now) {
             self.actions.push(Action::Changed(Change::Hears));
@@ -103,7 +103,7 @@
                 for update in members {
                     self.learn(update, Some(&from.name), now);
                 }
-                // It may have heard in there that its name is another's.
+                // The view may have shown that the name belongs to another process.
                 if !matches!(self.state, State::Barred { .. }) {
                     self.become_member();
                 }
--- a/crates/pearfront-membership/src/core/sending.rs
+++ b/crates/pearfront-membership/src/core/sending.rs
@@ -1,24 +1,24 @@
-//! Datagrams with news on them, and frames.
+//! Outgoing datagrams with piggybacked updates, and frames.
 
 use super::{Action, Change, Destination, Membership};
 use crate::member::{Member, Status, Update};
 use crate::message::{Body, MAX_DATAGRAM_BYTES, MAX_FRAME_BYTES, Packet, encoded_size};
 
 impl Membership {
-    /// A datagram with as much news as fits.
+    /// Sends a datagram with as many updates as fit.
     pub(crate) fn send(&mut self, to: &Destination, body: Body) {
         self.send_with(to, body, Vec::new(), None);
     }
 
-    /// The same, first of all with what is held of the receiver, if that is not that it is alive: nobody else needs to
-    /// hear it as soon (Lifeguard's buddy).
+    /// The same, led by what is believed about the receiver unless that is `Alive`. The receiver needs to know
+    /// first, so that it can refute it (Lifeguard's buddy system).
     pub(crate) fn send_about(&mut self, to: &Destination, body: Body, receiver: Option<&str>) {
         let own_view = receiver.and_then(|name| self.table.get(name));
         let own_view = own_view.filter(|member| member.status != Status::Alive).map(Member::to_update);
         self.send_with(to, body, own_view.into_iter().collect(), receiver);
     }
 
-    /// A datagram with this news first, and as much other news as fits.
+    /// Sends a datagram with these updates first and as many others as fit.
     pub(super) fn send_with(
         &mut self,
         to: &Destination,
@@ -42,7 +42,7 @@
         self.actions.push(Action::Datagram { to: to.clone(), bytes });
     }
 
-    /// A packet with the next number, without news so far.
+    /// A packet with the next sequence number and no updates.
     fn packet(&mut self, body: Body) -> Packet {
         self.last_sequence += 1;
         let (installation, from) = (self.installation.clone(), self.own_card.clone());
@@ -52,7 +52,7 @@
     /// Sends one frame on a stream.
     pub(crate) fn send_frame(&mut self, to: &Destination, body: Body) {
         let bytes = self.packet(body).encode();
-        // A view that does not fit is not sent: the bound on members keeps it from being.
+        // The bound on members keeps a view below the frame limit; a larger one would not be sent.
         if bytes.len() <= MAX_FRAME_BYTES {
             self.counts.frames_out += 1;
             self.counts.bytes_out += bytes.len() as u64;
@@ -60,13 +60,13 @@
         }
     }
 
-    /// Sends the whole view; `back` asks for the view of the other.
+    /// Sends the whole view; `back` asks for that of the receiver.
     pub(crate) fn send_view(&mut self, to: &Destination, answers: Option<u64>, back: bool) {
         let members = self.table.all_updates(&self.own_card, Status::Alive);
         self.send_frame(to, Body::View { answers, back, members });
     }
 
-    /// Tells the rest of the program of a change.
+    /// Reports a change to the caller.
     pub(crate) fn report(&mut self, change: Change) {
         self.actions.push(Action::Changed(change));
     }
--- a/crates/pearfront-membership/src/core/view.rs
+++ b/crates/pearfront-membership/src/core/view.rs
@@ -1,11 +1,11 @@
-//! The view: which news is believed, and what this process says of itself.
+//! The view: which updates are accepted, and how this process responds to updates about itself.
 
 use super::{Action, Change, Destination, Membership, State};
 use crate::member::{Member, Status, Update};
 use crate::message::Body;
 
 impl Membership {
-    /// News about anyone, told by another or seen here (`told_by` is none).
+    /// Handles an update; `reported_by` is none if this process observed it itself.
     pub(crate) fn learn(&mut self, update: Update, reported_by: Option<&str>, now: f64) {
         if update.card.name == self.own_card.name {
             return self.learn_about_self(update, now);
@@ -21,7 +21,8 @@
         if !update.supersedes(&member.card, member.status) {
             return;
         }
-        // Others hold it silent, and it was heard here just now: it has to hear of that, and is not given up.
+        // Others consider it silent, but this process has just heard it. It is told so that it can refute that,
+        // and is not given up here.
         let recently_heard =
             now - member.last_heard < self.times.suspicion / 2.0 && member.card.life == update.card.life;
         if update.status == Status::Silent && reported_by.is_some() && recently_heard {
@@ -32,7 +33,8 @@
         self.apply(update, reported_by, now);
     }
 
-    /// Somebody who was not known. Of those gone nothing is taken up: whoever forgot them would be told without end.
+    /// Adds an unknown member. Absent members are not added, or those who have forgotten them would be told
+    /// again without end.
     fn add_unknown(&mut self, update: Update, reported_by: Option<&str>, now: f64) {
         if !update.status.is_present() {
             return;
@@ -51,7 +53,7 @@
         self.disseminate(update);
     }
 
-    /// Takes over what counts more than what was known.
+    /// Applies an update that supersedes what was known.
     pub(crate) fn apply(&mut self, update: Update, reported_by: Option<&str>, now: f64) {
         let name = update.card.name.clone();
         let Some(member) = self.table.get_mut(&name) else { return };
@@ -86,22 +88,22 @@
         self.disseminate(update);
     }
 
-    /// Passes news on.
+    /// Queues an update for dissemination.
     pub(crate) fn disseminate(&mut self, update: Update) {
         self.gossip.push(update, self.table.size());
     }
 
-    /// What others say about this process, or about another of its name.
+    /// Handles updates about this process, or about another one of the same name.
     pub(super) fn learn_about_self(&mut self, update: Update, now: f64) {
         if update.card.life == self.own_card.life {
             if update.status == Status::Alive {
-                // Whoever took it in has put it above what was known of its name.
+                // The admitting process has raised the incarnation above that of an earlier holder of the name.
                 if update.card.incarnation > self.own_card.incarnation {
                     self.raise_incarnation(update.card.incarnation);
                 }
             } else if self.confirmation.is_some() {
-                // It stood still: its name may be another's by now, which would be stepped over. The view that it has
-                // asked for says so, or says this again.
+                // After a stall the name may belong to another process by now, which must not be overridden.
+                // The requested view will tell.
             } else if update.card.incarnation >= self.own_card.incarnation && self.state == State::Member {
                 self.raise_incarnation(update.card.incarnation + 1);
                 self.counts.refutations += 1;
@@ -111,11 +113,12 @@
             }
             return;
         }
-        // Another life of its name: one that is over, or that can't be, as this one has its address, is stepped over.
+        // Another process of the same name that has ended or, as this one has its address, can't exist any
+        // more, is overridden.
         let is_stale = !update.status.is_present() || update.card.address == self.own_card.address;
         if !is_stale && self.confirmation.is_some() {
-            // It stood still, and its name is another's: what it last called itself, others may never have heard. Asking
-            // to be taken in again tells.
+            // After a stall the name belongs to another process. The others may never have seen the last
+            // incarnation of this one; a new join settles it.
             return self.enter_barred(update.card, now);
         }
         if update.card.incarnation < self.own_card.incarnation {
@@ -132,7 +135,7 @@
         }
     }
 
-    /// Uses this incarnation from now on, and says so.
+    /// Uses this incarnation from now on and announces it.
     fn raise_incarnation(&mut self, incarnation: u64) {
         self.own_card.incarnation = incarnation;
         self.actions.push(Action::PersistIncarnation(incarnation));
--- a/crates/pearfront-membership/src/gossip.rs
+++ b/crates/pearfront-membership/src/gossip.rs
@@ -1,11 +1,12 @@
-//! News on their way: what still has to be told, how often it was, and what of it fits a datagram.
+//! Updates that are being disseminated: how often each was sent, and which fit into a datagram. Used by
+//! `Membership`.
 
 use crate::member::Update;
 use crate::message::encoded_size;
 use crate::times::GOSSIP_FACTOR;
 use std::collections::BTreeMap;
 
-/// A piece of news that goes out with what is sent anyway.
+/// An update that is piggybacked on outgoing datagrams.
 struct QueuedUpdate {
     update: Update,
     size: usize,
@@ -14,14 +15,15 @@
     max_sends: u32,
 }
 
-/// At most one piece for each member, and of a suspicion one for each who shares it: one that took the place of another's
-/// would keep it from being counted, and a suspicion that few share lasts three times as long.
+/// At most one update per member, and one per suspector for a suspicion. If one suspector's update replaced
+/// another's, it would not be counted, and a suspicion that few share lasts three times as long.
 #[derive(Default)]
 pub(crate) struct GossipQueue {
     queue: BTreeMap<(String, Option<String>), QueuedUpdate>,
 }
 
 impl GossipQueue {
+    /// Queues an update for dissemination in a group of that size.
     pub fn push(&mut self, update: Update, members: usize) {
         let max_sends = (GOSSIP_FACTOR * (members as f64 + 1.0).log2()).ceil().max(3.0) as u32;
         let size = encoded_size(&update);
@@ -36,12 +38,12 @@
         );
     }
 
-    /// Takes back what was to be told of that member.
+    /// Removes all updates about that member.
     pub fn remove(&mut self, name: &str) {
         self.queue.retain(|(about, _), _| about != name);
     }
 
-    /// What goes along with one packet of so many bytes: the least told first.
+    /// Updates for one datagram with that much room, least sent first.
     pub fn take(&mut self, mut room: usize) -> Vec<Update> {
         let mut order: Vec<_> =
             self.queue.iter().map(|(about, queued)| (queued.sent, about.clone())).collect();
--- a/crates/pearfront-membership/src/lib.rs
+++ b/crates/pearfront-membership/src/lib.rs
@@ -1,8 +1,11 @@
-//! Who is there, as one process among many may know it: a pure core after SWIM and Lifeguard. Datagrams, frames and the
-//! time come in; datagrams, frames and changes go out; no socket, clock or runtime is here. `Membership` is the way in.
+//! Group membership after SWIM and Lifeguard: which processes of an installation are present. Used by
+//! `pearfront-cluster` and by the simulations.
 //!
-//! Das, Gupta, Motivala: SWIM (DSN 2002); Dadgar, Phillips, Currey: Lifeguard (2017). What differs from them, and why, is
-//! in `docs/design/membership.md`.
+//! The crate has no I/O, clock or runtime: datagrams, frames and times come in; datagrams, frames and changes
+//! go out as `Action`s. The entry point is `Membership`.
+//!
+//! Das, Gupta, Motivala: SWIM (DSN 2002); Dadgar, Phillips, Currey: Lifeguard (2017). Differences from them,
+//! with reasons, are in `docs/design/membership.md`.
 
 mod core;
 mod gossip;
--- a/crates/pearfront-membership/src/member.rs
+++ b/crates/pearfront-membership/src/member.rs
@@ -1,28 +1,29 @@
-//! A member as others know it, and which of two pieces of news about it counts.
+//! Members, and which of two updates about one of them takes precedence.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The ladder that the rest of the program builds on, in the order in which news of one incarnation count.
+/// Status of a member. For one incarnation, a later variant supersedes an earlier one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Status {
     Alive,
-    /// It did not answer; nothing is taken from it for that.
+    /// Did not answer probes. This alone has no consequences.
     Suspect,
-    /// Not heard in any way for the stated time, by those who tried: no proof of anything.
+    /// Not heard for the duration of a suspicion by those who tried. This is no proof that it has ended.
     Silent,
-    /// Its kernel said that the process is gone: proof.
+    /// Its kernel reported that the process is gone; that is proof.
     Ended,
-    /// It said so itself.
+    /// It announced that it leaves.
     Left,
 }
 
 impl Status {
-    /// Is it held to be there?
+    /// Is it believed to be present?
     pub fn is_present(self) -> bool {
         matches!(self, Status::Alive | Status::Suspect)
     }
 
+    /// The name in logs and answers.
     pub fn as_str(self) -> &'static str {
         match self {
             Status::Alive => "alive",
@@ -34,23 +35,23 @@
     }
 }
 
-/// Who a process is. `life` is drawn at its start and tells two processes of one name apart.
+/// Identity of a process. `life` is drawn at its start and distinguishes two runs of one name.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Card {
     pub name: String,
     pub zone: String,
-    /// Where others reach it.
+    /// Address at which others reach it.
     pub address: SocketAddr,
     pub incarnation: u64,
     pub life: u64,
 }
 
-/// What is said about a member.
+/// A statement about a member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
     pub card: Card,
     pub status: Status,
-    /// Who suspects it, of a suspicion: several who do are more than one that is repeated.
+    /// Who suspects it, if it is a suspicion. Different suspectors count separately, repetitions don't.
     pub suspector: Option<String>,
 }
 
@@ -59,9 +60,9 @@
         Self { card: card.clone(), status, suspector: None }
     }
 
-    /// Does it count more than what is known? The higher incarnation does; within one life and incarnation the later
-    /// word of the ladder. Two lives of one incarnation (a name that was given twice while a cut lay between) are
-    /// decided by the smaller number, so that all choose alike.
+    /// Does it supersede what is known? A higher incarnation does; within one run and incarnation, a later
+    /// status. Two runs with the same incarnation (a name given out on both sides of a partition) are decided
+    /// by the lower `life`, so that all processes choose alike.
     pub fn supersedes(&self, known: &Card, status: Status) -> bool {
         if self.card.incarnation != known.incarnation {
             return self.card.incarnation > known.incarnation;
@@ -73,25 +74,25 @@
     }
 }
 
-/// A member and what this process has of it.
+/// A member as known to this process.
 #[derive(Debug, Clone)]
 pub struct Member {
     pub card: Card,
     pub status: Status,
-    /// When it came to stand so, on this process's clock.
+    /// When its status last changed, by the local clock.
     pub since: f64,
-    /// When anything fresh was heard from itself, by datagram or link; negative infinity if never.
+    /// When the process itself was last heard, by datagram or link; negative infinity if never.
     pub last_heard: f64,
-    /// When another said to have heard it, less the age of that. Kept apart from `heard` and never passed on: else it
-    /// would go round and grow younger by each way it takes.
+    /// When another process last heard it, by its own account. It is kept apart from `last_heard` and never
+    /// passed on, or it would circulate and appear more recent at each hop.
     pub last_vouched: f64,
-    /// When it last answered a question of ours.
+    /// When it last responded to a request of this process.
     pub last_answered: f64,
-    /// Smoothed round trip, ms; 0 if none was measured yet.
+    /// Smoothed round-trip time, ms; 0 if there is no measurement yet.
     pub round_trip: f64,
-    /// Highest number of its datagrams: a copy or an old one is no sign of life.
+    /// Highest sequence number received; duplicates and older datagrams are no sign of life.
     pub(crate) last_sequence: u64,
-    /// Who told that it stands so, if it was not seen here.
+    /// Who reported its status, if this process did not observe it.
     pub reported_by: Option<String>,
 }
 
@@ -111,11 +112,12 @@
         }
     }
 
+    /// Is it believed to be present?
     pub fn is_present(&self) -> bool {
         self.status.is_present()
     }
 
-    /// Its news, as it stands.
+    /// Its status as an update.
     pub fn to_update(&self) -> Update {
         Update::new(&self.card, self.status)
     }
--- a/crates/pearfront-membership/src/message.rs
+++ b/crates/pearfront-membership/src/message.rs
@@ -1,19 +1,20 @@
-//! The wire: one packet a datagram or frame. `decode` is the only way in, and takes nothing on trust.
+//! The wire format: one packet per datagram or frame. Incoming bytes pass through `decode`, which validates
+//! them.
 
 use crate::member::{Card, Update};
 use crate::times::{MAX_NAME_BYTES, MAX_ZONE_BYTES};
 use serde::{Deserialize, Serialize};
 
-/// Bytes of a datagram at the most: under what every path carries whole.
+/// Largest datagram, bytes; small enough to pass every path without fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
-/// Bytes of a frame on a stream at the most: the whole view of the largest installation, with the longest names.
+/// Largest frame on a stream, bytes; fits the whole view of the largest installation with the longest names.
 pub const MAX_FRAME_BYTES: usize = 1024 * 1024;
-/// In front of each packet: what it is, and the version of its form.
+/// Identifies a packet and the version of its format.
 const MAGIC: [u8; 3] = [b'p', b'm', 1];
-/// Mark, check sum.
+/// Magic bytes and checksum.
 const HEADER_BYTES: usize = MAGIC.len() + 4;
 
-/// What a packet is for. Numbers (`question`) tie an answer to its question; they are never used twice in a life.
+/// Message of a packet. `request_id` ties a response to its request; a process never uses one twice.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Body {
     Ping {
@@ -22,29 +23,30 @@
     Ack {
         request_id: u64,
     },
-    /// Try this one for me.
+    /// Asks the receiver to probe this member on behalf of the sender.
     PingRequest {
         request_id: u64,
         card: Card,
     },
-    /// It did not answer me yet; so many ms ago I heard it, if I did.
+    /// Reply to a ping request, sent at once: no acknowledgement yet. `heard_ago` is the time since the sender
+    /// last heard the target, ms, if ever.
     Nack {
         request_id: u64,
         heard_ago: Option<u32>,
     },
-    /// I am new; a frame.
+    /// Asks to join; sent as a frame.
     Join {
         request_id: u64,
     },
-    /// You are not new: another holds your name, there.
+    /// Refuses a join: the name belongs to this process.
     NameTaken {
         by: Card,
     },
-    /// One has come under your name, with this card.
+    /// Another process has claimed the receiver's name, with this card.
     NameClaimed {
         by: Card,
     },
-    /// Does your view have this sum? A frame.
+    /// Asks whether the receiver's view has this checksum; sent as a frame.
     CompareViews {
         request_id: u64,
         sum: u32,
@@ -52,8 +54,9 @@
     ViewsEqual {
         request_id: u64,
     },
-    /// My whole view, in answer to that question of yours or unasked; `back` asks for the other's. The numbers of two
-    /// processes have nothing to do with each other: an unasked one must not pass for an answer.
+    /// The sender's whole view, in response to that request or unsolicited; `back` asks for the receiver's
+    /// view. Request IDs of different processes are unrelated, so an unsolicited view must not pass for a
+    /// response.
     View {
         answers: Option<u64>,
         back: bool,
@@ -62,11 +65,12 @@
     Leave,
 }
 
+/// What a datagram or frame carries.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Packet {
     pub installation: String,
     pub from: Card,
-    /// Rises with each packet of a life.
+    /// Rises with each packet of a process.
     pub sequence: u64,
     pub body: Body,
     pub updates: Vec<Update>,
@@ -75,20 +79,20 @@
 /// Why bytes were dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DecodeError {
-    /// Not ours, or another version.
+    /// Not of this protocol, or of another version.
     Foreign,
-    /// Cut, changed on the way, or no packet.
+    /// Truncated, changed on the way, or not a valid packet.
     Corrupt,
     /// Of another installation.
     OtherInstallation,
 }
 
-/// A packet that was read; opaque outside.
+/// A decoded packet; opaque to other crates.
 #[derive(Debug)]
 pub struct Decoded(pub(crate) Packet);
 
 impl Packet {
-    /// All cards in it.
+    /// All cards in the packet, for validation.
     fn cards(&self) -> impl Iterator<Item = &Card> {
         let (members, single): (&[Update], Option<&Card>) = match &self.body {
             Body::View { members, .. } => (members, None),
@@ -103,7 +107,7 @@
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = vec![0; HEADER_BYTES];
         bytes[..MAGIC.len()].copy_from_slice(&MAGIC);
-        // A packet is plain data: there is nothing in it that can't be written.
+        // Encoding plain data can't fail.
         bytes.extend(postcard::to_stdvec(self).unwrap_or_default());
         let sum = crc32c::crc32c(&bytes[HEADER_BYTES..]);
         bytes[MAGIC.len()..HEADER_BYTES].copy_from_slice(&sum.to_le_bytes());
@@ -111,15 +115,15 @@
     }
 }
 
-/// Bytes that a piece of news takes in a packet.
+/// Encoded size of an update, bytes.
 pub(crate) fn encoded_size(update: &Update) -> usize {
     postcard::experimental::serialized_size(update).unwrap_or(MAX_DATAGRAM_BYTES)
 }
 
-/// Reads one datagram or frame.
+/// Decodes one datagram or frame.
 ///
 /// # Errors
-/// Why it is dropped; nothing of it counts then.
+/// Why it is dropped. Nothing of a dropped packet is used.
 pub fn decode(bytes: &[u8], installation: &str) -> Result<Decoded, DecodeError> {
     if bytes.len() < HEADER_BYTES || bytes[..MAGIC.len()] != MAGIC {
         return Err(DecodeError::Foreign);
--- a/crates/pearfront-membership/src/probe.rs
+++ b/crates/pearfront-membership/src/probe.rs
@@ -1,8 +1,9 @@
-//! Probes, and what follows from those that fail: suspicion, the last call, silence.
+//! Probes and what follows from failed ones: suspicion, a final probe, and the status `Silent`.
 //!
-//! A process is probed by one other in each period on the mean, whatever the size. A suspicion is a question that many
-//! ask; only those whose own probe failed answer it, and each asks a last time before it does. So a process that stood
-//! still for as long as a suspicion lasts is found out to be there by the last call, not buried by a clock.
+//! On average each process is probed by one other per period, whatever the group size. Many processes may share
+//! a suspicion, but only those whose own probe failed conclude it, each after a final probe of its own. So a
+//! process that stalled for as long as a suspicion lasts is found alive by the final probe instead of being
+//! declared silent by a clock.
 
 use crate::core::{Change, Destination, Membership, State, smoothed};
 use crate::member::{Card, Status, Update};
@@ -11,18 +12,18 @@
 use rand::seq::SliceRandom;
 use std::collections::BTreeSet;
 
-/// How long a question asked for another is remembered, in the longest waits for an answer.
-const INDIRECT_PROBE_TIMEOUTS: f64 = 4.0;
-/// Own probes on their way at a time.
+/// How long an indirect probe is remembered, in probe durations.
+const INDIRECT_PROBE_DURATIONS: f64 = 4.0;
+/// Most own probes in flight.
 const MAX_PROBES: usize = 64;
-/// Questions for others at a time: more are not taken on.
+/// Most indirect probes in flight; further requests are not served.
 const MAX_INDIRECT_PROBES: usize = 512;
 
-/// An own question to one member, and what became of it so far.
+/// A probe of one member, in flight.
 pub(crate) struct Probe {
     name: String,
     started_at: f64,
-    /// When others are asked, and when it has failed.
+    /// When indirect probes start, and when the probe has failed.
     indirect_at: f64,
     deadline: f64,
     helpers_asked: usize,
@@ -35,23 +36,24 @@
     }
 }
 
-/// A question asked for another.
+/// A probe on behalf of another process.
 pub(crate) struct IndirectProbe {
     requester: Destination,
     request_id: u64,
     expires_at: f64,
 }
 
+/// A suspicion of one member.
 pub(crate) struct Suspicion {
-    /// From when its time runs.
+    /// Start of its duration.
     started_at: f64,
     suspectors: BTreeSet<String>,
-    /// Did an own probe fail? Only then is there a verdict from here soon.
+    /// Did an own probe fail? Otherwise this process concludes the suspicion much later.
     own_probe_failed: bool,
     final_probe: Option<FinalProbe>,
 }
 
-/// The last question before a verdict.
+/// The final probe before a suspicion is concluded.
 #[derive(Clone, Copy)]
 struct FinalProbe {
     request_id: u64,
@@ -60,7 +62,7 @@
 }
 
 impl Suspicion {
-    /// This process stood still for so long: none of that time counts.
+    /// Leaves out a stall of this process.
     pub fn postpone(&mut self, by: f64) {
         self.started_at += by;
         self.final_probe = None;
@@ -68,24 +70,24 @@
 }
 
 impl Membership {
-    /// How long an answer is waited for: a usual round trip with room, as TCP has it.
+    /// Time-out of a direct probe: the usual round trip plus a margin, computed as in TCP.
     pub(crate) fn probe_timeout(&self) -> f64 {
         let usual = self.round_trip.map_or(0.0, |(mean, deviation)| mean + 4.0 * deviation);
         self.times.probe_timeout.max(usual)
     }
 
-    /// How long a probe takes at the most.
+    /// Longest duration of a probe, including indirect ones.
     fn probe_duration(&self) -> f64 {
         self.times.probe_period.max(2.5 * self.probe_timeout()) * (1.0 + f64::from(self.health) / 4.0)
     }
 
-    /// The shortest time that a suspicion lasts, by the weather and by own health.
+    /// Shortest duration of a suspicion, adjusted to current latency and own health.
     pub(crate) fn min_suspicion(&self) -> f64 {
         let latency_allowance = 4.0 * (self.probe_timeout() - self.times.probe_timeout);
         self.times.suspicion * (1.0 + f64::from(self.health) / 8.0) + latency_allowance
     }
 
-    /// How long this one lasts: the shortest time if enough others share it, else longer.
+    /// Duration of this suspicion: shortest if enough others share it.
     fn suspicion_duration(&self, suspicion: &Suspicion) -> f64 {
         let shortest = self.min_suspicion();
         let most = CONFIRMATIONS.min(self.table.size().saturating_sub(3)) as f64;
@@ -95,7 +97,7 @@
         if suspicion.own_probe_failed { duration } else { duration * MAX_SUSPICION_FACTOR }
     }
 
-    /// Who suspects it, and from when on its time runs and how long, ms; none if nobody does.
+    /// The suspectors, the start of the suspicion and its duration, ms; none if there is no suspicion.
     pub fn suspicion(&self, name: &str) -> Option<(Vec<&str>, f64, f64)> {
         let suspicion = self.suspicions.get(name)?;
         let suspectors = suspicion.suspectors.iter().map(String::as_str).collect();
@@ -131,7 +133,8 @@
         }
     }
 
-    /// In rounds of random order: each is asked once a round, so the longest wait is bounded.
+    /// Probes in rounds of random order: each member is probed once per round, which bounds the time until a
+    /// failure is noticed.
     fn next_target(&mut self) -> Option<Card> {
         for _ in 0..2 {
             while let Some(name) = self.probe_round.pop() {
@@ -164,7 +167,7 @@
         let Some(name) = self.probes.get(&request_id).map(|probe| probe.name.clone()) else { return };
         let asked = self.send_ping_requests(&name, request_id);
         if let Some(probe) = self.probes.get_mut(&request_id) {
-            // Nobody to ask counts as asked, too.
+            // Marks the step as done even if there was nobody to ask.
             probe.helpers_asked = asked.max(1);
         }
     }
@@ -181,12 +184,12 @@
 
     fn on_probe_failed(&mut self, request_id: u64, now: f64) {
         let Some(probe) = self.probes.remove(&request_id) else { return };
-        // A link may have brought its answer where datagrams don't pass, or another probe.
+        // The response may have arrived over a link where datagrams fail, or to another probe.
         if self.table.get(&probe.name).is_some_and(|member| member.last_answered >= probe.started_at) {
             return;
         }
         self.counts.probes_failed += 1;
-        // Helpers that did not even say "not yet" were not heard: that speaks against this process.
+        // Helpers that did not even send a nack were not heard either, which speaks against this process.
         if probe.nacks < probe.helpers_asked.max(1) {
             self.worsen_local_health();
         }
@@ -223,7 +226,7 @@
         self.round_trip = Some((smoothed(mean, trip), deviation + (off - deviation) / 4.0));
     }
 
-    /// Tries one for another, and says at once that it was asked and when it last heard that one.
+    /// Probes a member for another process. The nack, sent at once, says when the member was last heard.
     pub(crate) fn on_ping_request(&mut self, requester: Destination, request_id: u64, card: Card, now: f64) {
         let heard = self.table.get(&card.name).map_or(f64::NEG_INFINITY, |member| member.last_heard);
         let ago = (now - heard).clamp(0.0, f64::from(u32::MAX));
@@ -234,7 +237,7 @@
             return;
         }
         let own_request_id = self.next_request_id();
-        let expires_at = now + INDIRECT_PROBE_TIMEOUTS * self.probe_duration();
+        let expires_at = now + INDIRECT_PROBE_DURATIONS * self.probe_duration();
         self.indirect_probes.insert(own_request_id, IndirectProbe { requester, request_id, expires_at });
         self.send_about(
             &Destination::card(&card),
@@ -243,7 +246,7 @@
         );
     }
 
-    /// A helper heard us. If it heard the other a moment ago, so much is known of that one: it can't be silent.
+    /// A helper responded. If it heard the member recently, the member can't be silent.
     pub(crate) fn on_nack(&mut self, request_id: u64, heard_ago: Option<u32>, now: f64) {
         let mut name = self.final_probe_target(request_id);
         if let Some(probe) = self.probes.get_mut(&request_id) {
@@ -258,7 +261,7 @@
 
     // ---- suspicion ----
 
-    /// An own probe of it failed. A process that hears nobody accuses nobody.
+    /// An own probe has failed. An isolated process suspects nobody.
     fn suspect(&mut self, name: &str, now: f64) {
         if self.isolation.since().is_some() {
             return;
@@ -286,7 +289,7 @@
         self.suspicions.insert(update.card.name.clone(), suspicion);
     }
 
-    /// One more who suspects it; passed on, as far as that shortens anything.
+    /// Adds a suspector, and passes that on as long as it shortens the suspicion.
     pub(crate) fn add_suspector(&mut self, update: Update) {
         let (Some(suspector), Some(suspicion)) =
             (&update.suspector, self.suspicions.get_mut(&update.card.name))
@@ -298,7 +301,7 @@
         }
     }
 
-    /// Looks at all suspicions whose time is over.
+    /// Advances all suspicions whose time is over.
     pub(crate) fn check_suspicions(&mut self, now: f64) {
         if self.state != State::Member || self.suspicions.is_empty() {
             return;
@@ -322,7 +325,7 @@
         }
     }
 
-    /// Whose last call that question is.
+    /// The member whose final probe has this request ID.
     fn final_probe_target(&self, request_id: u64) -> Option<String> {
         let matches = |suspicion: &Suspicion| {
             suspicion.final_probe.as_ref().is_some_and(|final_probe| final_probe.request_id == request_id)
@@ -330,7 +333,7 @@
         self.suspicions.iter().find(|(_, suspicion)| matches(suspicion)).map(|(name, _)| name.clone())
     }
 
-    /// Asks a last time, by all ways that there are; it hears what is held of it.
+    /// Probes a last time, directly and indirectly, and sends the view so that the member can refute it.
     fn start_final_probe(&mut self, name: &str, now: f64) {
         let Some(card) = self.table.get(name).map(|member| member.card.clone()) else { return };
         let (request_id, deadline) = (self.next_request_id(), now + self.probe_duration());
@@ -342,7 +345,8 @@
         self.send_ping_requests(name, request_id);
     }
 
-    /// Silent, if nothing at all was heard of it; else all begins anew from when it was.
+    /// Declares the member silent if nothing was heard of it; otherwise the suspicion starts over from when it
+    /// was last heard.
     fn conclude_suspicion(&mut self, name: &str, probed_at: f64, now: f64) {
         let Some(member) = self.table.get(name) else { return };
         let heard = member.last_heard.max(member.last_answered).max(member.last_vouched);
@@ -356,7 +360,7 @@
         }
         self.apply(Update::new(&card, Status::Silent), None, now);
         if self.isolation.since().is_some() {
-            // What a deaf process takes from the silence is its own affair.
+            // An isolated process keeps its conclusions to itself.
             self.gossip.remove(name);
         }
     }
--- a/crates/pearfront-membership/src/table.rs
+++ b/crates/pearfront-membership/src/table.rs
@@ -1,4 +1,4 @@
-//! Everyone else that this process knows of, in the order of names, bounded.
+//! All other members known to this process, by name, with an upper bound. Used by `Membership`.
 
 use crate::member::{Card, Member, Status, Update};
 use crate::times::MAX_MEMBERS;
@@ -6,6 +6,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 
+/// The known members.
 #[derive(Default)]
 pub(crate) struct MemberTable {
     members: BTreeMap<String, Member>,
@@ -24,16 +25,18 @@
         self.members.values()
     }
 
+    /// Members believed present.
     pub fn present(&self) -> impl Iterator<Item = &Member> {
         self.all().filter(|member| member.is_present())
     }
 
-    /// How many are held to be there, and this process.
+    /// Group size: present members and this process.
     pub fn size(&self) -> usize {
         1 + self.present().count()
     }
 
-    /// Is there room for one more? Whoever has been gone the longest makes it.
+    /// Makes room for one more member by removing the one that has been absent the longest; false if there is
+    /// none.
     fn make_room(&mut self) -> bool {
         if self.members.len() < MAX_MEMBERS {
             return true;
@@ -43,7 +46,7 @@
         oldest.is_some_and(|name| self.members.remove(&name).is_some())
     }
 
-    /// Takes in a member that was not known; false if there is no room.
+    /// Adds a new member; false if there is no room.
     pub fn add(&mut self, member: Member) -> bool {
         let has_room = self.make_room();
         if has_room {
@@ -52,12 +55,12 @@
         has_room
     }
 
-    /// Forgets those that have been gone for so long.
+    /// Forgets members that have been absent since before that time.
     pub fn forget_absent(&mut self, before: f64) {
         self.members.retain(|_, member| member.is_present() || member.since > before);
     }
 
-    /// Some of those that fit, at random.
+    /// A random sample of matching members.
     pub fn sample(&self, rng: &mut ChaCha8Rng, count: usize, fits: impl Fn(&Member) -> bool) -> Vec<Card> {
         let all = self.all().filter(|member| fits(member));
         let mut cards: Vec<Card> =
@@ -66,8 +69,8 @@
         cards
     }
 
-    /// The sum of what two processes have to agree on: who is here, under which incarnation. Those gone are left out:
-    /// each forgets them at its own time.
+    /// Checksum over who is present, with incarnations. Absent members are left out, since each process forgets
+    /// them at its own time.
     pub fn checksum(&self, own_card: &Card, include_self: bool) -> u32 {
         let add = |sum: u32, card: &Card| {
             let sum = crc32c::crc32c_append(sum, card.name.as_bytes());
@@ -82,7 +85,7 @@
         cards.into_iter().fold(0, add)
     }
 
-    /// All there is to say, with those gone: the other may still hold them to be there.
+    /// The whole view, including absent members, which the receiver may still believe present.
     pub fn all_updates(&self, own_card: &Card, status: Status) -> Vec<Update> {
         let own = Update::new(own_card, status);
         std::iter::once(own).chain(self.all().map(Member::to_update)).collect()
--- a/crates/pearfront-membership/src/times.rs
+++ b/crates/pearfront-membership/src/times.rs
@@ -1,20 +1,23 @@
-//! All times and sizes of the core in one place, ms unless said otherwise.
+//! Times and limits of the protocol. Times are in ms unless said otherwise.
 
-/// Times that an operator may set; `Default` is what the figures in `docs/design/membership.md` are measured with.
+/// Times that operators may set. The figures in `docs/design/membership.md` are measured with the defaults.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Times {
-    /// Each process probes one other in this time: 5 probes and 5 answers a second bear the cost at any size.
+    /// Each process probes one other per period. At the default, 5 probes and 5 responses a second per process
+    /// are affordable at any size.
     pub probe_period: f64,
-    /// Shortest wait for an answer before others are asked to try: far above a round trip inside a site.
+    /// Shortest time-out of a direct probe, after which indirect probes start; far above a round trip inside a
+    /// site.
     pub probe_timeout: f64,
-    /// Shortest time from suspicion to the last call, where enough others agree: a pause of 3 s is borne, less the
-    /// period in which the first probe failed.
+    /// Shortest time from a suspicion to its final probe, if enough others share it. With the default a pause
+    /// of 3 s is tolerated; the period in which the first probe failed is subtracted.
     pub suspicion: f64,
-    /// Time between two comparisons of the whole view with another process: what news missed is found so.
+    /// Interval between comparisons of the whole view with another process, which find what gossip missed.
     pub sync_interval: f64,
-    /// Time between two questions to one that is held to be gone: heals a cut in some of these.
+    /// Interval between probes of absent members; partitions heal within a few of these.
     pub reconnect_interval: f64,
-    /// How long those that are gone are remembered, so that old news can't bring them back: an hour.
+    /// How long absent members are remembered, so that outdated updates can't bring them back; an hour by
+    /// default.
     pub retention: f64,
 }
 
@@ -31,30 +34,31 @@
     }
 }
 
-/// Others that are asked to try where a probe stays unanswered (SWIM's k).
+/// Members asked for an indirect probe (SWIM's k).
 pub const INDIRECT_PROBES: usize = 3;
-/// Others that must share a suspicion for its time to be the shortest (Lifeguard's K).
+/// Other suspectors needed for the shortest suspicion (Lifeguard's K).
 pub const CONFIRMATIONS: usize = 3;
-/// How much longer a suspicion lasts that nobody shares.
+/// How many times longer a suspicion lasts that nobody shares.
 pub const MAX_SUSPICION_FACTOR: f64 = 3.0;
-/// Highest doubt in one's own health (Lifeguard's S): answers are waited for up to 1 + this times as long.
+/// Highest doubt in the own health (Lifeguard's S); it lengthens the own time-outs.
 pub const MAX_HEALTH_SCORE: u32 = 8;
-/// Own timers this late, as a share of the period, count against one's own health.
+/// Own timers this late, as a share of the probe period, count against the own health.
 pub const LATE_TIMER_SHARE: f64 = 0.5;
-/// Timers this late mean that the process stood still: what it believes is old until somebody has confirmed it.
+/// Timers this late, ms, mean that the process stalled: its view is outdated until another process confirms it.
 pub const STALL_MS: f64 = 1000.0;
-/// Own probes in a row without any sign of anyone after which a process takes itself to be deaf.
+/// Own probes that fail in a row, without a message from anyone, before a process considers itself isolated.
 pub const ISOLATED_AFTER_PROBES: u32 = 4;
-/// How many times the shortest suspicion a deaf process puts off its verdicts: then it says what it sees, nobody.
+/// How long an isolated process suspends verdicts on others, in multiples of the shortest suspicion. After that
+/// it reports what it sees: nobody.
 pub const ISOLATION_PATIENCE: f64 = 3.0;
-/// Each piece of news goes out this many times the logarithm (base 2) of the size: all have it with near certainty, and
-/// the comparison of views finds the rest.
+/// Each update is sent this many times log2 of the group size. All members get it with near certainty, and view
+/// comparison finds the rest.
 pub const GOSSIP_FACTOR: f64 = 3.0;
-/// Pause between two tries to join, and the longest that it grows to.
+/// Delay between two join attempts, and the longest that it grows to.
 pub const JOIN_DELAY_MS: f64 = 500.0;
 pub const MAX_JOIN_DELAY_MS: f64 = 4000.0;
-/// Members, with those gone, that are held at the most; further new ones are refused and counted.
+/// Most members kept, including absent ones; further ones are refused and counted.
 pub const MAX_MEMBERS: usize = 4096;
-/// Texts in a card, bytes: a name and a zone must leave room for news in a datagram.
+/// Longest name and zone, bytes; they must leave room for updates in a datagram.
 pub const MAX_NAME_BYTES: usize = 64;
 pub const MAX_ZONE_BYTES: usize = 32;
--- a/crates/pearfront-membership/tests/wire.rs
+++ b/crates/pearfront-membership/tests/wire.rs
@@ -1,4 +1,4 @@
-//! What comes by the wire is taken on trust by nobody: cut, changed, foreign, old and doubled packets.
+//! The decoder and the handling of truncated, changed, foreign, outdated and duplicate packets.
 
 use pearfront_membership::{
     Action, DecodeError, Identity, MAX_DATAGRAM_BYTES, Membership, State, Status, Times, decode,
@@ -30,7 +30,7 @@
     out.into_iter().filter_map(sent).collect()
 }
 
-/// Two that know each other, and a datagram from the second.
+/// Two members that know each other, and a datagram of the second.
 fn pair() -> (Membership, Membership, Vec<u8>) {
     let (mut one, mut other) = (new_core(1, "shop", vec![]), new_core(2, "shop", vec![address(1)]));
     other.tick(0.0);
@@ -76,13 +76,13 @@
     assert_eq!(one.member("n2").expect("known").status, Status::Ended);
     one.receive_bytes(&ping, 500.0).expect("whole");
     assert_eq!(one.member("n2").expect("known").status, Status::Ended);
-    // Nor does proof of another life end this one.
+    // Proof of the end of another run does not end this one.
     let (mut one, ..) = pair();
     one.process_ended("n2", 999, 400.0);
     assert_eq!(one.member("n2").expect("known").status, Status::Alive);
 }
 
-// Its own address may be among the seeds, also as another one that leads back to it.
+// The seeds may include the process's own address, also in a form that leads back to it.
 #[test]
 fn process_that_receives_its_own_join_keeps_joining() {
     let mut one = new_core(1, "shop", vec![address(9)]);
@@ -99,7 +99,7 @@
         let mut framed = vec![b'p', b'm', 1];
         framed.extend(crc32c::crc32c(&bytes).to_le_bytes());
         framed.extend(&bytes);
-        // With a mark and a sum that fit, too: what is inside is garbage all the same.
+        // Arbitrary content also behind a correct header and checksum.
         let _ = decode(&framed, "shop");
         prop_assert!(decode(&bytes, "shop").is_err());
     }
