--- a/crates/pearfront-store/src/disk.rs
+++ b/crates/pearfront-store/src/disk.rs
@@ -44,12 +44,12 @@
 pub struct Folder {
     path: PathBuf,
     /// The last file that was appended to stays open.
-    open: Option<(String, File)>,
+    open_file: Option<(String, File)>,
     /// Held as long as this is; none to look only.
     _lock: Option<File>,
 }
 
-const LOCK: &str = "lock";
+const LOCK_FILE: &str = "lock";
 
 impl Folder {
     /// Opens it, and makes it if it is not there.
@@ -58,9 +58,9 @@
     /// It can't be had, or another process holds it.
     pub fn open(path: &Path) -> Result<Self> {
         std::fs::create_dir_all(path)?;
-        let lock = OpenOptions::new().create(true).append(true).open(path.join(LOCK))?;
+        let lock = OpenOptions::new().create(true).append(true).open(path.join(LOCK_FILE))?;
         match lock.try_lock() {
-            Ok(()) => Ok(Self { path: path.into(), open: None, _lock: Some(lock) }),
+            Ok(()) => Ok(Self { path: path.into(), open_file: None, _lock: Some(lock) }),
             Err(std::fs::TryLockError::WouldBlock) => {
                 Err(Error::new(ErrorKind::ResourceBusy, "another process holds this folder"))
             }
@@ -70,16 +70,16 @@
 
     /// To look at what is there, also while a process holds it.
     pub fn open_read_only(path: &Path) -> Self {
-        Self { path: path.into(), open: None, _lock: None }
+        Self { path: path.into(), open_file: None, _lock: None }
     }
 
-    fn appended(&mut self, name: &str) -> Result<&mut File> {
-        if self.open.as_ref().is_none_or(|(open, _)| open != name) {
+    fn append_handle(&mut self, name: &str) -> Result<&mut File> {
+        if self.open_file.as_ref().is_none_or(|(open, _)| open != name) {
             let file = OpenOptions::new().create(true).append(true).open(self.path.join(name))?;
-            self.open = Some((name.into(), file));
+            self.open_file = Some((name.into(), file));
         }
-        let open = self.open.as_mut().map(|(_, file)| file);
-        open.ok_or_else(|| Error::other("no file is open"))
+        let file = self.open_file.as_mut().map(|(_, file)| file);
+        file.ok_or_else(|| Error::other("no file is open"))
     }
 }
 
@@ -93,27 +93,27 @@
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> Result<()> {
-        self.appended(name)?.write_all(bytes)
+        self.append_handle(name)?.write_all(bytes)
     }
 
     fn truncate(&mut self, name: &str, length: usize) -> Result<()> {
-        self.appended(name)?.set_len(length as u64)
+        self.append_handle(name)?.set_len(length as u64)
     }
 
     fn replace(&mut self, name: &str, bytes: &[u8]) -> Result<()> {
-        self.open = None;
+        self.open_file = None;
         let mut file = File::create(self.path.join(name))?;
         file.write_all(bytes)?;
-        self.open = Some((name.into(), file));
+        self.open_file = Some((name.into(), file));
         Ok(())
     }
 
     fn sync(&mut self, name: &str) -> Result<()> {
-        self.appended(name)?.sync_all()
+        self.append_handle(name)?.sync_all()
     }
 
     fn rename(&mut self, from: &str, to: &str) -> Result<()> {
-        self.open = None;
+        self.open_file = None;
         std::fs::rename(self.path.join(from), self.path.join(to))
     }
 
--- a/crates/pearfront-store/src/log.rs
+++ b/crates/pearfront-store/src/log.rs
@@ -6,9 +6,9 @@
 /// Bytes of one record at the most.
 pub const MAX_RECORD_BYTES: usize = 1024 * 1024;
 /// In front of each record.
-const MARK: [u8; 4] = *b"pfr1";
+const MAGIC: [u8; 4] = *b"pfr1";
 /// Mark, length, index, synced, own sum, chain.
-const HEAD: usize = 4 + 4 + 8 + 8 + 4 + 4;
+const HEADER_BYTES: usize = 4 + 4 + 8 + 8 + 4 + 4;
 
 /// One record; indices rise by one.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -25,85 +25,95 @@
     /// What follows was being written when everything stopped: nobody was told that it stands.
     Torn { at: usize },
     /// What follows is spoilt, and a record after it was written when it was synced already.
-    Damaged { at: usize, index: u64, what: &'static str },
+    Damaged { at: usize, index: u64, reason: &'static str },
 }
 
-fn own_sum(index: u64, synced: u64, bytes: &[u8]) -> u32 {
-    let sum = crc32c::crc32c_append(crc32c::crc32c(&index.to_le_bytes()), &synced.to_le_bytes());
+fn record_checksum(index: u64, synced_index: u64, bytes: &[u8]) -> u32 {
+    let sum = crc32c::crc32c_append(crc32c::crc32c(&index.to_le_bytes()), &synced_index.to_le_bytes());
     crc32c::crc32c_append(sum, bytes)
 }
 
-fn chained(before: u32, own: u32) -> u32 {
-    crc32c::crc32c_append(before, &own.to_le_bytes())
+fn next_chain(previous: u32, checksum: u32) -> u32 {
+    crc32c::crc32c_append(previous, &checksum.to_le_bytes())
 }
 
 /// Writes a record behind others, whose chain value is `chain`, with all up to `synced` synced; the new chain value.
-pub(crate) fn write(to: &mut Vec<u8>, (index, synced): (u64, u64), bytes: &[u8], chain: u32) -> u32 {
-    let own = own_sum(index, synced, bytes);
-    let chain = chained(chain, own);
-    to.extend(MARK);
-    to.extend((bytes.len() as u32).to_le_bytes());
-    to.extend(index.to_le_bytes());
-    to.extend(synced.to_le_bytes());
-    to.extend(own.to_le_bytes());
-    to.extend(chain.to_le_bytes());
-    to.extend(bytes);
+pub(crate) fn write(
+    output: &mut Vec<u8>,
+    (index, synced_index): (u64, u64),
+    bytes: &[u8],
+    chain: u32,
+) -> u32 {
+    let checksum = record_checksum(index, synced_index, bytes);
+    let chain = next_chain(chain, checksum);
+    output.extend(MAGIC);
+    output.extend((bytes.len() as u32).to_le_bytes());
+    output.extend(index.to_le_bytes());
+    output.extend(synced_index.to_le_bytes());
+    output.extend(checksum.to_le_bytes());
+    output.extend(chain.to_le_bytes());
+    output.extend(bytes);
     chain
 }
 
-struct Head {
+struct Header {
     length: usize,
     index: u64,
-    synced: u64,
-    own: u32,
+    synced_index: u64,
+    checksum: u32,
     chain: u32,
 }
 
-fn number<const N: usize>(text: &[u8], at: usize) -> Option<[u8; N]> {
-    text.get(at..at + N)?.try_into().ok()
+fn field<const N: usize>(log: &[u8], at: usize) -> Option<[u8; N]> {
+    log.get(at..at + N)?.try_into().ok()
 }
 
 /// The record at that place, if its own sum is right.
-fn whole_at(text: &[u8], at: usize) -> Option<(Head, &[u8])> {
-    if number::<4>(text, at)? != MARK {
+fn intact_record_at(log: &[u8], at: usize) -> Option<(Header, &[u8])> {
+    if field::<4>(log, at)? != MAGIC {
         return None;
     }
-    let head = Head {
-        length: u32::from_le_bytes(number(text, at + 4)?) as usize,
-        index: u64::from_le_bytes(number(text, at + 8)?),
-        synced: u64::from_le_bytes(number(text, at + 16)?),
-        own: u32::from_le_bytes(number(text, at + 24)?),
-        chain: u32::from_le_bytes(number(text, at + 28)?),
+    let header = Header {
+        length: u32::from_le_bytes(field(log, at + 4)?) as usize,
+        index: u64::from_le_bytes(field(log, at + 8)?),
+        synced_index: u64::from_le_bytes(field(log, at + 16)?),
+        checksum: u32::from_le_bytes(field(log, at + 24)?),
+        chain: u32::from_le_bytes(field(log, at + 28)?),
     };
-    let bytes = text.get(at + HEAD..at + HEAD + head.length).filter(|_| head.length <= MAX_RECORD_BYTES)?;
-    (own_sum(head.index, head.synced, bytes) == head.own).then_some((head, bytes))
+    let bytes = log
+        .get(at + HEADER_BYTES..at + HEADER_BYTES + header.length)
+        .filter(|_| header.length <= MAX_RECORD_BYTES)?;
+    (record_checksum(header.index, header.synced_index, bytes) == header.checksum).then_some((header, bytes))
 }
 
 /// The index that a record says it has.
-pub(crate) fn index_at(text: &[u8]) -> Option<u64> {
-    number(text, 8).map(u64::from_le_bytes).filter(|index| *index > 0)
+pub(crate) fn index_at(log: &[u8]) -> Option<u64> {
+    field(log, 8).map(u64::from_le_bytes).filter(|index| *index > 0)
 }
 
 /// Reads a log that goes on behind `index` and `chain`: its records, the chain value at their end, and how it ends.
-pub(crate) fn read(text: &[u8], index: u64, chain: u32) -> (Vec<Entry>, u32, LogEnd) {
+pub(crate) fn read(log: &[u8], index: u64, chain: u32) -> (Vec<Entry>, u32, LogEnd) {
     let (mut at, mut index, mut chain) = (0, index, chain);
     let mut entries = Vec::new();
-    while at < text.len() {
-        let what = match whole_at(text, at) {
+    while at < log.len() {
+        let reason = match intact_record_at(log, at) {
             None => "a record whose sum is wrong",
-            Some((head, _)) if head.index != index + 1 => "a record that is not the next",
-            Some((head, _)) if head.chain != chained(chain, head.own) => "a record that follows another one",
-            Some((head, bytes)) => {
-                entries.push(Entry { index: head.index, bytes: bytes.to_vec() });
-                (index, chain, at) = (head.index, head.chain, at + HEAD + head.length);
+            Some((header, _)) if header.index != index + 1 => "a record that is not the next",
+            Some((header, _)) if header.chain != next_chain(chain, header.checksum) => {
+                "a record that follows another one"
+            }
+            Some((header, bytes)) => {
+                entries.push(Entry { index: header.index, bytes: bytes.to_vec() });
+                (index, chain, at) = (header.index, header.chain, at + HEADER_BYTES + header.length);
                 continue;
             }
         };
         // Written when this one was synced already: then it is damage, not a torn end.
-        let knows = |place| whole_at(text, place).is_some_and(|(head, _)| head.synced > index);
-        let torn = what == "a record whose sum is wrong" && !(at + 1..text.len()).any(knows);
-        let found = if torn { LogEnd::Torn { at } } else { LogEnd::Damaged { at, index: index + 1, what } };
-        return (entries, chain, found);
+        let known_synced =
+            |offset| intact_record_at(log, offset).is_some_and(|(header, _)| header.synced_index > index);
+        let torn = reason == "a record whose sum is wrong" && !(at + 1..log.len()).any(known_synced);
+        let end = if torn { LogEnd::Torn { at } } else { LogEnd::Damaged { at, index: index + 1, reason } };
+        return (entries, chain, end);
     }
     (entries, chain, LogEnd::Whole)
 }
--- a/crates/pearfront-store/src/sim.rs
+++ b/crates/pearfront-store/src/sim.rs
@@ -24,26 +24,26 @@
 }
 
 #[derive(Debug, Clone, Default)]
-struct Kept {
+struct FileContent {
     /// What stands after a crash.
     synced: Vec<u8>,
     /// What reads see.
-    seen: Vec<u8>,
+    current: Vec<u8>,
 }
 
 #[derive(Debug, Clone)]
 pub struct SimDisk {
-    files: BTreeMap<String, Kept>,
+    files: BTreeMap<String, FileContent>,
     /// Names as they are, and as they stand after a crash, each with the content that it stands for.
-    live: BTreeMap<String, String>,
     names: BTreeMap<String, String>,
+    synced_names: BTreeMap<String, String>,
     /// Contents have numbers, so that a name can be given to another content and taken back.
-    contents: u64,
+    last_content_id: u64,
     faults: Vec<Fault>,
-    chance: ChaCha8Rng,
+    rng: ChaCha8Rng,
     /// Time that its calls have taken, ms; each takes `slow`.
-    pub time: f64,
-    pub slow: f64,
+    pub elapsed_ms: f64,
+    pub latency_ms: f64,
     pub syncs: u64,
 }
 
@@ -51,13 +51,13 @@
     pub fn new(seed: u64) -> Self {
         Self {
             files: BTreeMap::new(),
-            live: BTreeMap::new(),
             names: BTreeMap::new(),
-            contents: 0,
+            synced_names: BTreeMap::new(),
+            last_content_id: 0,
             faults: Vec::new(),
-            chance: ChaCha8Rng::seed_from_u64(seed),
-            time: 0.0,
-            slow: 0.05,
+            rng: ChaCha8Rng::seed_from_u64(seed),
+            elapsed_ms: 0.0,
+            latency_ms: 0.05,
             syncs: 0,
         }
     }
@@ -71,96 +71,96 @@
         self.faults.clear();
     }
 
-    fn takes(&mut self, fault: Fault) -> bool {
-        let place = self.faults.iter().position(|one| *one == fault);
-        place.is_some_and(|place| {
-            self.faults.remove(place);
+    fn take_fault(&mut self, fault: Fault) -> bool {
+        let index = self.faults.iter().position(|active| *active == fault);
+        index.is_some_and(|index| {
+            self.faults.remove(index);
             true
         })
     }
 
-    fn room(&self) -> usize {
-        let full = self.faults.iter().find_map(|fault| match fault {
+    fn free_bytes(&self) -> usize {
+        let limit = self.faults.iter().find_map(|fault| match fault {
             Fault::Full(bytes) => Some(*bytes),
             _ => None,
         });
         let used: usize = self
-            .live
+            .names
             .values()
             .filter_map(|content| self.files.get(content))
-            .map(|kept| kept.seen.len())
+            .map(|content| content.current.len())
             .sum();
-        full.map_or(usize::MAX, |bytes| bytes.saturating_sub(used))
+        limit.map_or(usize::MAX, |bytes| bytes.saturating_sub(used))
     }
 
     /// The power goes: what was not synced is lost, kept or torn by sectors, in no order.
     pub fn crash(&mut self) {
-        for kept in self.files.values_mut() {
-            if kept.seen == kept.synced {
+        for content in self.files.values_mut() {
+            if content.current == content.synced {
                 continue;
             }
-            let mut left = kept.synced.clone();
+            let mut remaining = content.synced.clone();
             // A file that grew may have its length and not its bytes.
-            if kept.seen.len() > left.len() && self.chance.random::<f64>() < 0.7 {
-                let grown = self.chance.random_range(left.len()..=kept.seen.len());
-                left.resize(grown, 0);
-            } else if kept.seen.len() < left.len() && self.chance.random::<bool>() {
-                left.truncate(kept.seen.len());
+            if content.current.len() > remaining.len() && self.rng.random::<f64>() < 0.7 {
+                let grown = self.rng.random_range(remaining.len()..=content.current.len());
+                remaining.resize(grown, 0);
+            } else if content.current.len() < remaining.len() && self.rng.random::<bool>() {
+                remaining.truncate(content.current.len());
             }
-            for sector in (0..left.len()).step_by(SECTOR) {
-                let end = (sector + SECTOR).min(left.len()).min(kept.seen.len());
-                if sector < end && self.chance.random::<bool>() {
-                    left[sector..end].copy_from_slice(&kept.seen[sector..end]);
+            for sector in (0..remaining.len()).step_by(SECTOR) {
+                let end = (sector + SECTOR).min(remaining.len()).min(content.current.len());
+                if sector < end && self.rng.random::<bool>() {
+                    remaining[sector..end].copy_from_slice(&content.current[sector..end]);
                 }
             }
-            kept.synced.clone_from(&left);
-            kept.seen = left;
+            content.synced.clone_from(&remaining);
+            content.current = remaining;
         }
         // Names that were not synced may be the old or the new ones.
-        let kept_new = self.chance.random::<bool>();
-        if kept_new {
-            self.names.clone_from(&self.live);
+        let keep_new_names = self.rng.random::<bool>();
+        if keep_new_names {
+            self.synced_names.clone_from(&self.names);
         } else {
-            self.live.clone_from(&self.names);
+            self.names.clone_from(&self.synced_names);
         }
     }
 
     /// Turns one bit of what is kept under that name; false if there is none.
     pub fn flip_bit(&mut self, name: &str) -> bool {
-        let Some(kept) = self.live.get(name).and_then(|content| self.files.get_mut(content)) else {
+        let Some(content) = self.names.get(name).and_then(|content| self.files.get_mut(content)) else {
             return false;
         };
-        if kept.seen.is_empty() {
+        if content.current.is_empty() {
             return false;
         }
-        let at = self.chance.random_range(0..kept.seen.len());
-        let bit = 1 << self.chance.random_range(0..8);
-        kept.seen[at] ^= bit;
-        if let Some(byte) = kept.synced.get_mut(at) {
+        let at = self.rng.random_range(0..content.current.len());
+        let bit = 1 << self.rng.random_range(0..8);
+        content.current[at] ^= bit;
+        if let Some(byte) = content.synced.get_mut(at) {
             *byte ^= bit;
         }
         true
     }
 
-    fn called(&mut self) {
-        self.time += self.slow;
+    fn count_call(&mut self) {
+        self.elapsed_ms += self.latency_ms;
     }
 
-    fn kept(&mut self, name: &str) -> &mut Kept {
-        let contents = &mut self.contents;
-        let content = self.live.entry(name.into()).or_insert_with(|| {
-            *contents += 1;
-            format!("{name} {contents}")
+    fn content_mut(&mut self, name: &str) -> &mut FileContent {
+        let last_content_id = &mut self.last_content_id;
+        let content = self.names.entry(name.into()).or_insert_with(|| {
+            *last_content_id += 1;
+            format!("{name} {last_content_id}")
         });
         self.files.entry(content.clone()).or_default()
     }
 
     fn write(&mut self, name: &str, bytes: &[u8]) -> Result<()> {
-        self.called();
-        let room = self.room();
-        let fails = self.takes(Fault::WriteFails);
-        let most = if fails { self.chance.random_range(0..=bytes.len()) } else { bytes.len().min(room) };
-        self.kept(name).seen.extend(&bytes[..most]);
+        self.count_call();
+        let free = self.free_bytes();
+        let fails = self.take_fault(Fault::WriteFails);
+        let most = if fails { self.rng.random_range(0..=bytes.len()) } else { bytes.len().min(free) };
+        self.content_mut(name).current.extend(&bytes[..most]);
         if fails {
             return Err(Error::other("the disk failed"));
         }
@@ -170,9 +170,9 @@
 
 impl Disk for SimDisk {
     fn read(&mut self, name: &str) -> Result<Option<Vec<u8>>> {
-        self.called();
-        let content = self.live.get(name).and_then(|content| self.files.get(content));
-        Ok(content.map(|kept| kept.seen.clone()))
+        self.count_call();
+        let content = self.names.get(name).and_then(|content| self.files.get(content));
+        Ok(content.map(|content| content.current.clone()))
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> Result<()> {
@@ -180,42 +180,42 @@
     }
 
     fn truncate(&mut self, name: &str, length: usize) -> Result<()> {
-        self.called();
-        self.kept(name).seen.truncate(length);
+        self.count_call();
+        self.content_mut(name).current.truncate(length);
         Ok(())
     }
 
     fn replace(&mut self, name: &str, bytes: &[u8]) -> Result<()> {
         // The name stands for a new content; the old one stays until names are synced.
-        self.live.remove(name);
+        self.names.remove(name);
         self.write(name, bytes)
     }
 
     fn sync(&mut self, name: &str) -> Result<()> {
-        self.called();
+        self.count_call();
         self.syncs += 1;
         if self.faults.contains(&Fault::SyncIgnored) {
             return Ok(());
         }
-        let fails = self.takes(Fault::SyncFails);
-        let kept = self.kept(name);
+        let fails = self.take_fault(Fault::SyncFails);
+        let content = self.content_mut(name);
         if fails {
-            kept.seen.clone_from(&kept.synced);
+            content.current.clone_from(&content.synced);
             return Err(Error::other("the disk failed"));
         }
-        kept.synced.clone_from(&kept.seen);
+        content.synced.clone_from(&content.current);
         // A file that is synced is found again, as journals do it.
-        if let Some(content) = self.live.get(name).cloned() {
-            self.names.entry(name.into()).or_insert(content);
+        if let Some(content) = self.names.get(name).cloned() {
+            self.synced_names.entry(name.into()).or_insert(content);
         }
         Ok(())
     }
 
     fn rename(&mut self, from: &str, to: &str) -> Result<()> {
-        self.called();
-        match self.live.remove(from) {
+        self.count_call();
+        match self.names.remove(from) {
             Some(content) => {
-                self.live.insert(to.into(), content);
+                self.names.insert(to.into(), content);
                 Ok(())
             }
             None => Err(Error::from(ErrorKind::NotFound)),
@@ -223,9 +223,9 @@
     }
 
     fn sync_folder(&mut self) -> Result<()> {
-        self.called();
+        self.count_call();
         if !self.faults.contains(&Fault::SyncIgnored) {
-            self.names.clone_from(&self.live);
+            self.synced_names.clone_from(&self.names);
         }
         Ok(())
     }
--- a/crates/pearfront-store/src/store.rs
+++ b/crates/pearfront-store/src/store.rs
@@ -8,14 +8,14 @@
 
 const LOG: &str = "log";
 const SNAPSHOT: &str = "snapshot";
-const NEW: &str = ".new";
+const NEW_SUFFIX: &str = ".new";
 
 /// Why nothing is stored, or nothing more.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreError {
     /// A file is spoilt at a place that whole records follow. Nothing is read from it: whoever stored them has to be
     /// helped by others.
-    Damaged { file: &'static str, at: usize, index: u64, what: &'static str },
+    Damaged { file: &'static str, offset: usize, index: u64, reason: &'static str },
     /// A folder that can't be read.
     Unreadable(String),
     /// There is no room; what was there before stands, and nothing of this was taken.
@@ -30,8 +30,8 @@
 impl std::fmt::Display for StoreError {
     fn fmt(&self, to: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
-            Self::Damaged { file, at, index, what } => {
-                write!(to, "{file} is damaged at byte {at}, where record {index} should be: {what}")
+            Self::Damaged { file, offset, index, reason } => {
+                write!(to, "{file} is damaged at byte {offset}, where record {index} should be: {reason}")
             }
             Self::Unreadable(what) => write!(to, "can't be read: {what}"),
             Self::Full => write!(to, "no room is left"),
@@ -63,36 +63,36 @@
 }
 
 /// What a folder has, and where the store goes on.
-struct Read {
+struct Loaded {
     recovered: Recovered,
     /// The record behind which the log begins.
     start: u64,
-    base: (u64, u32),
-    last: u64,
+    snapshot_base: (u64, u32),
+    last_index: u64,
     chain: u32,
-    length: usize,
+    log_bytes: usize,
 }
 
-fn read(disk: &mut impl Disk) -> Result<Read, StoreError> {
+fn load(disk: &mut impl Disk) -> Result<Loaded, StoreError> {
     let unreadable = |error: std::io::Error| StoreError::Unreadable(error.to_string());
     let snapshot = disk.read(SNAPSHOT).map_err(unreadable)?;
-    let (snapshot, base) = snapshot.map_or(Ok((None, (0, 0))), |text| read_snapshot(&text))?;
-    let text = disk.read(LOG).map_err(unreadable)?.unwrap_or_default();
-    let (offset, start) = log_start(&text, base)?;
-    let (entries, chain, found) = log::read(&text[offset..], start.0, start.1);
-    let length = match found {
-        LogEnd::Whole => text.len(),
+    let (snapshot, snapshot_base) = snapshot.map_or(Ok((None, (0, 0))), |bytes| read_snapshot(&bytes))?;
+    let bytes = disk.read(LOG).map_err(unreadable)?.unwrap_or_default();
+    let (offset, start) = parse_log_start(&bytes, snapshot_base)?;
+    let (entries, chain, end) = log::read(&bytes[offset..], start.0, start.1);
+    let log_bytes = match end {
+        LogEnd::Whole => bytes.len(),
         LogEnd::Torn { at } => offset + at,
-        LogEnd::Damaged { at, index, what } => {
-            return Err(StoreError::Damaged { file: LOG, at: offset + at, index, what });
+        LogEnd::Damaged { at, index, reason } => {
+            return Err(StoreError::Damaged { file: LOG, offset: offset + at, index, reason });
         }
     };
     let last = entries.last().map_or(start.0, |entry| entry.index);
     // Everything up to the snapshot is in it, however far the log came.
-    let (last, chain) = if last < base.0 { base } else { (last, chain) };
-    let entries = entries.into_iter().filter(|entry| entry.index > base.0).collect();
-    let recovered = Recovered { snapshot, entries, torn_bytes: text.len() - length };
-    Ok(Read { recovered, start: start.0, base, last, chain, length })
+    let (last, chain) = if last < snapshot_base.0 { snapshot_base } else { (last, chain) };
+    let entries = entries.into_iter().filter(|entry| entry.index > snapshot_base.0).collect();
+    let recovered = Recovered { snapshot, entries, torn_bytes: bytes.len() - log_bytes };
+    Ok(Loaded { recovered, start: start.0, snapshot_base, last_index: last, chain, log_bytes })
 }
 
 /// Looks at a folder and changes nothing.
@@ -100,34 +100,35 @@
 /// # Errors
 /// As `Store::open`.
 pub fn check(disk: &mut impl Disk) -> Result<Recovered, StoreError> {
-    read(disk).map(|read| read.recovered)
+    load(disk).map(|loaded| loaded.recovered)
 }
 
 /// The chain value behind a snapshot: the log that goes on from it goes with no other.
-fn behind(snapshot: &[u8]) -> u32 {
+fn chain_after(snapshot: &[u8]) -> u32 {
     crc32c::crc32c(snapshot)
 }
 
 /// The snapshot's text: one record, behind nothing.
-fn read_snapshot(text: &[u8]) -> Result<(Option<Entry>, (u64, u32)), StoreError> {
-    let spoilt = |what| StoreError::Damaged { file: SNAPSHOT, at: 0, index: 0, what };
-    let index = log::index_at(text).ok_or(spoilt("it is cut short"))?;
-    match log::read(text, index - 1, 0) {
+fn read_snapshot(bytes: &[u8]) -> Result<(Option<Entry>, (u64, u32)), StoreError> {
+    let damaged = |reason| StoreError::Damaged { file: SNAPSHOT, offset: 0, index: 0, reason };
+    let index = log::index_at(bytes).ok_or(damaged("it is cut short"))?;
+    match log::read(bytes, index - 1, 0) {
         (mut entries, _, LogEnd::Whole) if entries.len() == 1 => {
             let snapshot = entries.pop();
-            let base = snapshot.as_ref().map_or((0, 0), |entry| (entry.index, behind(&entry.bytes)));
-            Ok((snapshot, base))
+            let snapshot_base =
+                snapshot.as_ref().map_or((0, 0), |entry| (entry.index, chain_after(&entry.bytes)));
+            Ok((snapshot, snapshot_base))
         }
-        _ => Err(spoilt("its sum is wrong")),
+        _ => Err(damaged("its sum is wrong")),
     }
 }
 
 /// In front of a log that goes on behind a snapshot: mark, index, chain value, sum of these.
-const START: [u8; 4] = *b"pfl1";
-const START_LENGTH: usize = 4 + 8 + 4 + 4;
+const LOG_START_MAGIC: [u8; 4] = *b"pfl1";
+const LOG_START_BYTES: usize = 4 + 8 + 4 + 4;
 
-fn start_line((index, chain): (u64, u32)) -> Vec<u8> {
-    let mut line = START.to_vec();
+fn encode_log_start((index, chain): (u64, u32)) -> Vec<u8> {
+    let mut line = LOG_START_MAGIC.to_vec();
     line.extend(index.to_le_bytes());
     line.extend(chain.to_le_bytes());
     line.extend(crc32c::crc32c(&line).to_le_bytes());
@@ -135,51 +136,51 @@
 }
 
 /// Where the records begin, and behind which index and chain value.
-fn log_start(text: &[u8], base: (u64, u32)) -> Result<(usize, (u64, u32)), StoreError> {
-    let spoilt = |what| StoreError::Damaged { file: LOG, at: 0, index: base.0 + 1, what };
-    if text.is_empty() {
-        return Ok((0, base));
+fn parse_log_start(bytes: &[u8], snapshot_base: (u64, u32)) -> Result<(usize, (u64, u32)), StoreError> {
+    let damaged = |reason| StoreError::Damaged { file: LOG, offset: 0, index: snapshot_base.0 + 1, reason };
+    if bytes.is_empty() {
+        return Ok((0, snapshot_base));
     }
-    if !text.starts_with(&START) {
+    if !bytes.starts_with(&LOG_START_MAGIC) {
         // The first log has none; what is wrong with it its records tell.
-        return if text.starts_with(b"pfr1") || base.0 == 0 {
+        return if bytes.starts_with(b"pfr1") || snapshot_base.0 == 0 {
             Ok((0, (0, 0)))
         } else {
-            Err(spoilt("no log begins here"))
+            Err(damaged("no log begins here"))
         };
     }
-    let line = text.get(..START_LENGTH).ok_or(spoilt("its first line is cut short"))?;
+    let line = bytes.get(..LOG_START_BYTES).ok_or(damaged("its first line is cut short"))?;
     let number = |at: usize| line[at..].first_chunk::<4>().map_or(0, |bytes| u32::from_le_bytes(*bytes));
     let index = line[4..].first_chunk::<8>().map_or(0, |bytes| u64::from_le_bytes(*bytes));
     if crc32c::crc32c(&line[..16]) != number(16) {
-        return Err(spoilt("the sum of its first line is wrong"));
+        return Err(damaged("the sum of its first line is wrong"));
     }
-    if index > base.0 {
+    if index > snapshot_base.0 {
         return Err(StoreError::Damaged {
             file: SNAPSHOT,
-            at: 0,
+            offset: 0,
             index,
-            what: "the one that the log goes on from is gone",
+            reason: "the one that the log goes on from is gone",
         });
     }
-    if index == base.0 && number(12) != base.1 {
-        return Err(spoilt("it goes on from another snapshot"));
+    if index == snapshot_base.0 && number(12) != snapshot_base.1 {
+        return Err(damaged("it goes on from another snapshot"));
     }
-    Ok((START_LENGTH, (index, number(12))))
+    Ok((LOG_START_BYTES, (index, number(12))))
 }
 
 pub struct Store<D: Disk> {
     disk: D,
     /// Index and chain value of the last record that was appended.
-    last: u64,
+    last_index: u64,
     chain: u32,
-    synced: u64,
+    synced_index: u64,
     /// Bytes of the log file.
-    length: usize,
+    log_bytes: usize,
     /// Records since the snapshot, to be written anew behind the next.
-    since: Vec<Entry>,
+    entries_since_snapshot: Vec<Entry>,
     /// The snapshot's index, and the chain value behind it.
-    base: (u64, u32),
+    snapshot_base: (u64, u32),
     failure: Option<String>,
 }
 
@@ -189,17 +190,26 @@
     /// # Errors
     /// Damage, with file and place, or a folder that can't be read. Nothing is changed then.
     pub fn open(mut disk: D) -> Result<(Self, Recovered), StoreError> {
-        let read = read(&mut disk)?;
-        let Read { recovered, start, base, last, chain, length } = read;
-        let (since, failure) = (recovered.entries.clone(), None);
-        let mut store = Self { disk, last, chain, synced: last, length, since, base, failure };
+        let loaded = load(&mut disk)?;
+        let Loaded { recovered, start, snapshot_base, last_index: last, chain, log_bytes } = loaded;
+        let (entries_since_snapshot, failure) = (recovered.entries.clone(), None);
+        let mut store = Self {
+            disk,
+            last_index: last,
+            chain,
+            synced_index: last,
+            log_bytes,
+            entries_since_snapshot,
+            snapshot_base,
+            failure,
+        };
         let unreadable = |error: std::io::Error| StoreError::Unreadable(error.to_string());
         if recovered.torn_bytes > 0 {
-            let cut = store.disk.truncate(LOG, length).and_then(|()| store.disk.sync(LOG));
+            let cut = store.disk.truncate(LOG, log_bytes).and_then(|()| store.disk.sync(LOG));
             cut.map_err(unreadable)?;
         }
         // The log begins before the snapshot: everything had stopped between the two.
-        if start != base.0 {
+        if start != snapshot_base.0 {
             store.begin_log().map_err(unreadable)?;
         }
         Ok((store, recovered))
@@ -207,17 +217,17 @@
 
     /// Index of the last record that was appended.
     pub fn last_index(&self) -> u64 {
-        self.last
+        self.last_index
     }
 
     /// Index of the last record that is acknowledged.
     pub fn synced_index(&self) -> u64 {
-        self.synced
+        self.synced_index
     }
 
     /// Bytes of the log: what a snapshot would free.
     pub fn log_bytes(&self) -> usize {
-        self.length
+        self.log_bytes
     }
 
     /// Why it takes nothing more, if so.
@@ -230,11 +240,11 @@
         &mut self.disk
     }
 
-    fn alive(&self) -> Result<(), StoreError> {
+    fn check_running(&self) -> Result<(), StoreError> {
         self.failure.as_ref().map_or(Ok(()), |why| Err(StoreError::Failed(why.clone())))
     }
 
-    fn die(&mut self, what: &str, error: &std::io::Error) -> StoreError {
+    fn fail(&mut self, what: &str, error: &std::io::Error) -> StoreError {
         let why = format!("{what} failed: {error}");
         self.failure = Some(why.clone());
         StoreError::Failed(why)
@@ -245,35 +255,35 @@
     /// # Errors
     /// Too long or no room: nothing was taken, and it goes on. Any other: it is dead.
     pub fn append(&mut self, records: &[&[u8]]) -> Result<u64, StoreError> {
-        self.alive()?;
+        self.check_running()?;
         if let Some(long) = records.iter().find(|record| record.len() > MAX_RECORD_BYTES) {
             return Err(StoreError::TooLong(long.len()));
         }
-        let (mut text, mut chain) = (Vec::new(), self.chain);
-        for (index, record) in (self.last + 1..).zip(records) {
-            chain = log::write(&mut text, (index, self.synced), record, chain);
+        let (mut bytes, mut chain) = (Vec::new(), self.chain);
+        for (index, record) in (self.last_index + 1..).zip(records) {
+            chain = log::write(&mut bytes, (index, self.synced_index), record, chain);
         }
-        if let Err(error) = self.disk.append(LOG, &text) {
+        if let Err(error) = self.disk.append(LOG, &bytes) {
             return Err(self.not_appended(&error));
         }
-        for (index, record) in (self.last + 1..).zip(records) {
-            self.since.push(Entry { index, bytes: record.to_vec() });
+        for (index, record) in (self.last_index + 1..).zip(records) {
+            self.entries_since_snapshot.push(Entry { index, bytes: record.to_vec() });
         }
-        self.last += records.len() as u64;
+        self.last_index += records.len() as u64;
         self.chain = chain;
-        self.length += text.len();
-        Ok(self.last)
+        self.log_bytes += bytes.len();
+        Ok(self.last_index)
     }
 
     /// Part of a group may stand there: it goes, or no later record could be told from it.
     fn not_appended(&mut self, error: &std::io::Error) -> StoreError {
         let full = matches!(error.kind(), ErrorKind::StorageFull | ErrorKind::QuotaExceeded);
         if !full {
-            return self.die("a write", error);
+            return self.fail("a write", error);
         }
-        match self.disk.truncate(LOG, self.length) {
+        match self.disk.truncate(LOG, self.log_bytes) {
             Ok(()) => StoreError::Full,
-            Err(error) => self.die("cutting what did not fit", &error),
+            Err(error) => self.fail("cutting what did not fit", &error),
         }
     }
 
@@ -282,14 +292,14 @@
     /// # Errors
     /// It is dead: a sync that failed is never tried again.
     pub fn sync(&mut self) -> Result<u64, StoreError> {
-        self.alive()?;
-        if self.synced < self.last {
+        self.check_running()?;
+        if self.synced_index < self.last_index {
             if let Err(error) = self.disk.sync(LOG) {
-                return Err(self.die("a sync", &error));
+                return Err(self.fail("a sync", &error));
             }
-            self.synced = self.last;
+            self.synced_index = self.last_index;
         }
-        Ok(self.synced)
+        Ok(self.synced_index)
     }
 
     /// Replaces all records up to `index`, which must be synced, by `bytes`.
@@ -297,41 +307,41 @@
     /// # Errors
     /// No room: the one before stands, and it goes on. Any other: it is dead.
     pub fn snapshot(&mut self, index: u64, bytes: &[u8]) -> Result<(), StoreError> {
-        self.alive()?;
-        if index <= self.base.0 || index > self.synced {
+        self.check_running()?;
+        if index <= self.snapshot_base.0 || index > self.synced_index {
             return Ok(());
         }
-        let mut text = Vec::new();
-        log::write(&mut text, (index, index), bytes, 0);
-        let new = format!("{SNAPSHOT}{NEW}");
-        match self.disk.replace(&new, &text) {
+        let mut encoded = Vec::new();
+        log::write(&mut encoded, (index, index), bytes, 0);
+        let new = format!("{SNAPSHOT}{NEW_SUFFIX}");
+        match self.disk.replace(&new, &encoded) {
             Err(error) if error.kind() == ErrorKind::StorageFull => return Err(StoreError::Full),
-            Err(error) => return Err(self.die("writing a snapshot", &error)),
+            Err(error) => return Err(self.fail("writing a snapshot", &error)),
             Ok(()) => {}
         }
         let stands = self.disk.sync(&new).and_then(|()| self.disk.rename(&new, SNAPSHOT));
         if let Err(error) = stands.and_then(|()| self.disk.sync_folder()) {
-            return Err(self.die("keeping a snapshot", &error));
+            return Err(self.fail("keeping a snapshot", &error));
         }
-        self.base = (index, behind(bytes));
-        self.since.retain(|entry| entry.index > index);
+        self.snapshot_base = (index, chain_after(bytes));
+        self.entries_since_snapshot.retain(|entry| entry.index > index);
         // Should this fail, the old log still goes with the new snapshot.
-        self.begin_log().map_err(|error| self.die("beginning a log", &error))
+        self.begin_log().map_err(|error| self.fail("beginning a log", &error))
     }
 
     /// Writes the log anew, with what came behind the snapshot.
     fn begin_log(&mut self) -> std::io::Result<()> {
-        let mut text = start_line(self.base);
-        let mut chain = self.base.1;
-        for entry in &self.since {
-            chain = log::write(&mut text, (entry.index, self.synced), &entry.bytes, chain);
+        let mut bytes = encode_log_start(self.snapshot_base);
+        let mut chain = self.snapshot_base.1;
+        for entry in &self.entries_since_snapshot {
+            chain = log::write(&mut bytes, (entry.index, self.synced_index), &entry.bytes, chain);
         }
-        let new = format!("{LOG}{NEW}");
-        self.disk.replace(&new, &text)?;
+        let new = format!("{LOG}{NEW_SUFFIX}");
+        self.disk.replace(&new, &bytes)?;
         self.disk.sync(&new)?;
         self.disk.rename(&new, LOG)?;
         self.disk.sync_folder()?;
-        self.length = text.len();
+        self.log_bytes = bytes.len();
         self.chain = chain;
         Ok(())
     }
--- a/crates/pearfront-store/tests/faults.rs
+++ b/crates/pearfront-store/tests/faults.rs
@@ -16,15 +16,15 @@
     bytes
 }
 
-fn summed(from: u64, to: u64) -> u64 {
+fn index_sum(from: u64, to: u64) -> u64 {
     (from..=to).sum()
 }
 
 /// Everything that is there, by index: a snapshot here is the sum of the indices up to its own.
-fn wrong(recovered: &Recovered) -> Option<String> {
+fn first_mismatch(recovered: &Recovered) -> Option<String> {
     let mut next = 1;
     if let Some(snapshot) = &recovered.snapshot {
-        if snapshot.bytes != summed(1, snapshot.index).to_le_bytes() {
+        if snapshot.bytes != index_sum(1, snapshot.index).to_le_bytes() {
             return Some(format!("the snapshot at {} is another", snapshot.index));
         }
         next = snapshot.index + 1;
@@ -40,58 +40,62 @@
 
 /// What is done between two crashes.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Trouble {
+enum FaultKind {
     None,
-    Fails,
+    Failures,
     Full,
-    Lies,
+    IgnoredSyncs,
 }
 
 /// Plays many crashes on one disk; what was acknowledged and is gone, or was read and is wrong.
-fn played(seed: u64, trouble: Trouble) -> Result<(), String> {
-    let mut chance = ChaCha8Rng::seed_from_u64(seed);
+fn run_crashes(seed: u64, fault_kind: FaultKind) -> Result<(), String> {
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut disk = SimDisk::new(seed);
     let mut acknowledged = 0;
     for _ in 0..6 {
         let (mut store, recovered) = Store::open(disk).map_err(|error| error.to_string())?;
-        if let Some(what) = wrong(&recovered) {
+        if let Some(what) = first_mismatch(&recovered) {
             return Err(what);
         }
         if recovered.last_index() < acknowledged {
             return Err(format!("{acknowledged} was acknowledged, {} is there", recovered.last_index()));
         }
-        for _ in 0..chance.random_range(0..20) {
-            match (trouble, chance.random_range(0..12)) {
-                (Trouble::Fails, 0) => store.disk().inject(Fault::WriteFails),
-                (Trouble::Fails, 1) => store.disk().inject(Fault::SyncFails),
-                (Trouble::Full, 0) => store.disk().inject(Fault::Full(chance.random_range(0..8000))),
-                (Trouble::Full, 1) => store.disk().clear_faults(),
-                (Trouble::Lies, 0) => store.disk().inject(Fault::SyncIgnored),
+        for _ in 0..rng.random_range(0..20) {
+            match (fault_kind, rng.random_range(0..12)) {
+                (FaultKind::Failures, 0) => store.disk().inject(Fault::WriteFails),
+                (FaultKind::Failures, 1) => store.disk().inject(Fault::SyncFails),
+                (FaultKind::Full, 0) => store.disk().inject(Fault::Full(rng.random_range(0..8000))),
+                (FaultKind::Full, 1) => store.disk().clear_faults(),
+                (FaultKind::IgnoredSyncs, 0) => store.disk().inject(Fault::SyncIgnored),
                 _ => {}
             }
             let group: Vec<Vec<u8>> =
-                (1..=chance.random_range(1..4)).map(|step| record(store.last_index() + step)).collect();
+                (1..=rng.random_range(1..4)).map(|step| record(store.last_index() + step)).collect();
             let group: Vec<&[u8]> = group.iter().map(Vec::as_slice).collect();
             let before = store.last_index();
             match store.append(&group) {
                 Ok(last) if last == before + group.len() as u64 => {}
-                Err(StoreError::Full) if trouble == Trouble::Full && store.last_index() == before => {}
-                Err(StoreError::Failed(_)) if trouble == Trouble::Fails => break,
+                Err(StoreError::Full) if fault_kind == FaultKind::Full && store.last_index() == before => {}
+                Err(StoreError::Failed(_)) if fault_kind == FaultKind::Failures => break,
                 other => return Err(format!("an append came to {other:?}")),
             }
-            if chance.random::<f64>() < 0.6 {
+            if rng.random::<f64>() < 0.6 {
                 match store.sync() {
                     Ok(synced) => acknowledged = synced,
-                    Err(StoreError::Failed(_)) if trouble == Trouble::Fails => break,
+                    Err(StoreError::Failed(_)) if fault_kind == FaultKind::Failures => break,
                     Err(error) => return Err(error.to_string()),
                 }
             }
-            if chance.random::<f64>() < 0.15 {
+            if rng.random::<f64>() < 0.15 {
                 let index = store.synced_index();
-                match store.snapshot(index, &summed(1, index).to_le_bytes()) {
+                match store.snapshot(index, &index_sum(1, index).to_le_bytes()) {
                     Ok(()) => {}
-                    Err(StoreError::Full) if trouble == Trouble::Full => {}
-                    Err(StoreError::Failed(_)) if [Trouble::Fails, Trouble::Full].contains(&trouble) => break,
+                    Err(StoreError::Full) if fault_kind == FaultKind::Full => {}
+                    Err(StoreError::Failed(_))
+                        if [FaultKind::Failures, FaultKind::Full].contains(&fault_kind) =>
+                    {
+                        break;
+                    }
                     Err(error) => return Err(error.to_string()),
                 }
             }
@@ -103,32 +107,33 @@
     Ok(())
 }
 
-#[test_case(Trouble::None; "power that goes at any moment")]
-#[test_case(Trouble::Fails; "writes and syncs that fail")]
-#[test_case(Trouble::Full; "a disk that fills up")]
-fn what_was_acknowledged_is_there(trouble: Trouble) {
+#[test_case(FaultKind::None; "power that goes at any moment")]
+#[test_case(FaultKind::Failures; "writes and syncs that fail")]
+#[test_case(FaultKind::Full; "a disk that fills up")]
+fn acknowledged_records_survive_crashes(fault_kind: FaultKind) {
     for seed in 0..SEEDS {
-        assert_eq!(played(seed, trouble), Ok(()), "seed {seed}");
+        assert_eq!(run_crashes(seed, fault_kind), Ok(()), "seed {seed}");
     }
 }
 
 // A disk that lies loses what it said it had: that must show as loss or as damage, never as something else. This is also
 // the check of the check: with a store that did not sync it would fail the same way.
 #[test]
-fn a_disk_that_lies_is_seen_to_have_lost_and_nothing_else_is_read_for_it() {
-    let told: Vec<String> = (0..SEEDS).filter_map(|seed| played(seed, Trouble::Lies).err()).collect();
-    assert!(told.len() > 20, "only {} of {SEEDS} seeds lost anything", told.len());
-    let honest = |what: &String| what.contains("was acknowledged") || what.contains("damaged");
-    assert!(told.iter().all(honest), "{:?}", told.iter().find(|what| !honest(what)));
+fn ignored_syncs_show_as_loss_and_never_as_other_data() {
+    let losses: Vec<String> =
+        (0..SEEDS).filter_map(|seed| run_crashes(seed, FaultKind::IgnoredSyncs).err()).collect();
+    assert!(losses.len() > 20, "only {} of {SEEDS} seeds lost anything", losses.len());
+    let reports_loss = |what: &String| what.contains("was acknowledged") || what.contains("damaged");
+    assert!(losses.iter().all(reports_loss), "{:?}", losses.iter().find(|what| !reports_loss(what)));
 }
 
-fn filled(seed: u64) -> SimDisk {
+fn filled_disk(seed: u64) -> SimDisk {
     let (mut store, _) = Store::open(SimDisk::new(seed)).unwrap();
     for index in 1..=20 {
         store.append(&[&record(index)]).unwrap();
         store.sync().unwrap();
         if index == 8 {
-            store.snapshot(8, &summed(1, 8).to_le_bytes()).unwrap();
+            store.snapshot(8, &index_sum(1, 8).to_le_bytes()).unwrap();
         }
     }
     store.disk().clone()
@@ -137,15 +142,15 @@
 // A turned bit in the last record can't be told from one that was being written; it must then be gone as a whole, and
 // everywhere else it stops the store, with file and place.
 #[test]
-fn a_turned_bit_is_found_with_its_place_or_takes_the_last_record_along() {
+fn flipped_bit_is_located_or_drops_the_last_record() {
     let (mut damaged, mut shorter) = (0, 0);
     for seed in 0..1000 {
         let file = if seed % 4 == 0 { "snapshot" } else { "log" };
-        let mut disk = filled(seed);
+        let mut disk = filled_disk(seed);
         assert!(disk.flip_bit(file));
         match check(&mut disk) {
             Ok(recovered) => {
-                assert_eq!(wrong(&recovered), None, "seed {seed}");
+                assert_eq!(first_mismatch(&recovered), None, "seed {seed}");
                 assert_eq!(
                     (file, recovered.last_index()),
                     ("log", 19),
@@ -153,8 +158,8 @@
                 );
                 shorter += 1;
             }
-            Err(StoreError::Damaged { file: told, .. }) => {
-                assert_eq!(told, file, "seed {seed}");
+            Err(StoreError::Damaged { file: reported, .. }) => {
+                assert_eq!(reported, file, "seed {seed}");
                 damaged += 1;
             }
             Err(other) => panic!("seed {seed}: {other}"),
@@ -164,7 +169,7 @@
 }
 
 #[test]
-fn a_sync_that_failed_is_not_tried_again() {
+fn failed_sync_is_not_retried() {
     let (mut store, _) = Store::open(SimDisk::new(1)).unwrap();
     store.append(&[b"one"]).unwrap();
     store.disk().inject(Fault::SyncFails);
@@ -176,8 +181,8 @@
 
 // What an older copy of the folder has is whole, and less: only others can know that.
 #[test]
-fn an_older_copy_is_whole_and_tells_how_far_it_goes() {
-    let mut older = filled(3);
+fn older_copy_is_intact_and_reports_its_last_index() {
+    let mut older = filled_disk(3);
     let (mut store, _) = Store::open(older.clone()).unwrap();
     store.append(&[&record(21)]).unwrap();
     store.sync().unwrap();
@@ -188,14 +193,14 @@
 }
 
 #[test]
-fn a_snapshot_that_is_gone_is_not_taken_for_an_empty_beginning() {
-    let mut disk = filled(5);
+fn missing_snapshot_is_not_an_empty_store() {
+    let mut disk = filled_disk(5);
     disk.rename("snapshot", "elsewhere").unwrap();
     assert!(matches!(check(&mut disk), Err(StoreError::Damaged { file: "snapshot", index: 8, .. })));
 }
 
 #[test]
-fn a_real_folder_is_held_by_one_and_read_again() {
+fn folder_is_exclusive_and_can_be_reopened() {
     let path = std::env::temp_dir().join(format!("pearfront-store-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
     let (mut store, _) = Store::open(Folder::open(&path).unwrap()).unwrap();
@@ -204,15 +209,15 @@
         store.append(&[&record(index)]).unwrap();
     }
     store.sync().unwrap();
-    store.snapshot(6, &summed(1, 6).to_le_bytes()).unwrap();
+    store.snapshot(6, &index_sum(1, 6).to_le_bytes()).unwrap();
     store.append(&[&record(11)]).unwrap();
     store.sync().unwrap();
     drop(store);
     // Half of a record at the end, as a kill leaves it.
-    let whole = std::fs::read(path.join("log")).unwrap();
-    std::fs::write(path.join("log"), [whole.as_slice(), b"pfr1\x40"].concat()).unwrap();
+    let intact = std::fs::read(path.join("log")).unwrap();
+    std::fs::write(path.join("log"), [intact.as_slice(), b"pfr1\x40"].concat()).unwrap();
     let (_, recovered) = Store::open(Folder::open(&path).unwrap()).unwrap();
-    assert_eq!((wrong(&recovered), recovered.last_index(), recovered.torn_bytes), (None, 11, 5));
-    assert_eq!(std::fs::read(path.join("log")).unwrap(), whole);
+    assert_eq!((first_mismatch(&recovered), recovered.last_index(), recovered.torn_bytes), (None, 11, 5));
+    assert_eq!(std::fs::read(path.join("log")).unwrap(), intact);
     std::fs::remove_dir_all(&path).unwrap();
 }
