--- a/crates/pearfront-store/src/disk.rs
+++ b/crates/pearfront-store/src/disk.rs
@@ -1,61 +1,66 @@
-//! The seam: what a store asks of a folder, and no more. Names are plain file names.
+//! `Disk`: the file operations that a store needs, and `Folder`, which performs them on a real directory. File
+//! names are plain names without a path.
 
 use std::fs::{File, OpenOptions};
 use std::io::{Error, ErrorKind, Result, Write};
 use std::path::{Path, PathBuf};
 
-/// A folder of files. Nothing that was written is durable before its sync has returned; a renamed name not before
-/// `sync_folder` has.
+/// A folder of files. Data is durable only once `sync` has returned, and a renamed name only once `sync_folder`
+/// has.
 pub trait Disk {
-    /// The whole file; none if there is none.
+    /// The whole file; none if it does not exist.
     ///
     /// # Errors
-    /// It is there and can't be read.
+    /// The file exists and can't be read.
     fn read(&mut self, name: &str) -> Result<Option<Vec<u8>>>;
-    /// Writes behind what is there, or begins the file.
+    /// Appends to the file, which is created if needed.
     ///
     /// # Errors
-    /// Part of it may have been written.
+    /// Part of the bytes may have been written.
     fn append(&mut self, name: &str, bytes: &[u8]) -> Result<()>;
-    /// Cuts the file to so many bytes.
+    /// Truncates the file to this length.
     ///
     /// # Errors
-    /// It may have been cut or not.
+    /// It may have been truncated or not.
     fn truncate(&mut self, name: &str, length: usize) -> Result<()>;
-    /// Begins the file anew, with this in it.
+    /// Replaces the contents of the file.
     ///
     /// # Errors
-    /// Any part of it may stand there.
+    /// The file may hold any part of the new contents.
     fn replace(&mut self, name: &str, bytes: &[u8]) -> Result<()>;
+    /// Makes the contents of the file durable.
+    ///
     /// # Errors
-    /// What was not synced may be lost, also if a later sync succeeds.
+    /// Unsynced data may be lost, even if a later sync succeeds.
     fn sync(&mut self, name: &str) -> Result<()>;
-    /// Gives a file another's name, which then is its own alone.
+    /// Renames a file, replacing any file of the new name.
     ///
     /// # Errors
-    /// One of the two names stands.
+    /// The file has one of the two names.
     fn rename(&mut self, from: &str, to: &str) -> Result<()>;
+    /// Makes names durable.
+    ///
     /// # Errors
-    /// Names may be as they were.
+    /// Names may be as they were before.
     fn sync_folder(&mut self) -> Result<()>;
 }
 
-/// A real folder, held by one process at a time.
+/// A real folder, used by one process at a time.
 pub struct Folder {
     path: PathBuf,
-    /// The last file that was appended to stays open.
+    /// The file that was last appended to stays open.
     open_file: Option<(String, File)>,
-    /// Held as long as this is; none to look only.
+    /// Held as long as the folder is open for writing.
     _lock: Option<File>,
 }
 
 const LOCK_FILE: &str = "lock";
 
 impl Folder {
-    /// Opens it, and makes it if it is not there.
+    /// Opens the folder and creates it if needed.
     ///
     /// # Errors
-    /// It can't be had, or another process holds it.
+    /// It can't be opened, or another process holds it.
     pub fn open(path: &Path) -> Result<Self> {
         std::fs::create_dir_all(path)?;
         let lock = OpenOptions::new().create(true).append(true).open(path.join(LOCK_FILE))?;
@@ -68,7 +73,7 @@
         }
     }
 
-    /// To look at what is there, also while a process holds it.
+    /// Opens the folder for reading, even while a process holds it.
     pub fn open_read_only(path: &Path) -> Self {
         Self { path: path.into(), open_file: None, _lock: None }
     }
--- a/crates/pearfront-store/src/lib.rs
+++ b/crates/pearfront-store/src/lib.rs
@@ -1,8 +1,9 @@
-//! Records on disk, for those who promise something on their strength: appended in groups, synced before they are
-//! acknowledged, each checked and chained to the one before it, with snapshots that replace what came before.
+//! Durable records for processes whose promises depend on them: appended in groups, synced before they are
+//! acknowledged, checksummed and chained, with snapshots that replace older records. Used by voters in
+//! `pearfront-cluster`, by `pearfront store`, and by the simulations.
 //!
-//! `Store` is the way in, `Disk` the seam below it: `Folder` is a real one, `SimDisk` one that loses, tears, turns bits,
-//! fails, lies, stalls and fills up by seed, for tests of whoever stores.
+//! The entry point is `Store`, on top of the trait `Disk`. `Folder` is a real disk. `SimDisk` loses, tears and
+//! flips data, fails, ignores syncs and fills up by seed, for tests.
 
 mod disk;
 mod log;
--- a/crates/pearfront-store/src/log.rs
+++ b/crates/pearfront-store/src/log.rs
@@ -1,13 +1,15 @@
-//! The form of records: mark, length, index, up to which record all was synced when it was written, sum of itself, and a
-//! chain value that takes in the one before. The own sum tells a record wherever it lies; the chain tells that none was left
-//! out, doubled or taken from elsewhere. How far all was synced tells damage from a torn end: a disk may keep the end of
-//! what was being written and lose its beginning, so whole records behind a spoilt one prove nothing by themselves.
+//! The record format: magic bytes, length, index, the highest index that was synced when the record was
+//! written, a checksum of the record, and a chain value that includes that of the record before.
+//!
+//! The checksum verifies a record by itself; the chain shows that none was left out, duplicated or taken from
+//! another log. The synced index distinguishes damage from a torn end: a disk may keep the end of an unsynced
+//! write and lose its beginning, so intact records after a broken one prove nothing by themselves.
 
-/// Bytes of one record at the most.
+/// Largest record, bytes.
 pub const MAX_RECORD_BYTES: usize = 1024 * 1024;
 /// In front of each record.
 const MAGIC: [u8; 4] = *b"pfr1";
-/// Mark, length, index, synced, own sum, chain.
+/// Magic bytes, length, index, synced index, checksum, chain.
 const HEADER_BYTES: usize = 4 + 4 + 8 + 8 + 4 + 4;
 
 /// One record; indices rise by one.
@@ -17,14 +19,14 @@
     pub bytes: Vec<u8>,
 }
 
-/// Where a log's text ends to make sense, and why.
+/// How the readable part of a log ends.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LogEnd {
-    /// To its end.
+    /// The log is intact to its end.
     Whole,
-    /// What follows was being written when everything stopped: nobody was told that it stands.
+    /// The rest was being written at the crash and had not been acknowledged.
     Torn { at: usize },
-    /// What follows is spoilt, and a record after it was written when it was synced already.
+    /// The record here is broken, and a later one shows that it had been synced.
     Damaged { at: usize, index: u64, reason: &'static str },
 }
 
@@ -37,7 +39,8 @@
     crc32c::crc32c_append(previous, &checksum.to_le_bytes())
 }
 
-/// Writes a record behind others, whose chain value is `chain`, with all up to `synced` synced; the new chain value.
+/// Appends a record to `output`. `chain` is the chain value of the record before, and everything up to
+/// `synced_index` is synced. Returns the new chain value.
 pub(crate) fn write(
     output: &mut Vec<u8>,
     (index, synced_index): (u64, u64),
@@ -68,7 +71,7 @@
     log.get(at..at + N)?.try_into().ok()
 }
 
-/// The record at that place, if its own sum is right.
+/// The record at this offset, if its checksum is right.
 fn intact_record_at(log: &[u8], at: usize) -> Option<(Header, &[u8])> {
     if field::<4>(log, at)? != MAGIC {
         return None;
@@ -86,12 +89,12 @@
     (record_checksum(header.index, header.synced_index, bytes) == header.checksum).then_some((header, bytes))
 }
 
-/// The index that a record says it has.
+/// The index in the header of the first record.
 pub(crate) fn index_at(log: &[u8]) -> Option<u64> {
     field(log, 8).map(u64::from_le_bytes).filter(|index| *index > 0)
 }
 
-/// Reads a log that goes on behind `index` and `chain`: its records, the chain value at their end, and how it ends.
+/// Reads a log that follows `index` and `chain`. Returns its records, their last chain value, and how it ends.
 pub(crate) fn read(log: &[u8], index: u64, chain: u32) -> (Vec<Entry>, u32, LogEnd) {
     let (mut at, mut index, mut chain) = (0, index, chain);
     let mut entries = Vec::new();
@@ -108,7 +111,7 @@
                 continue;
             }
         };
-        // Written when this one was synced already: then it is damage, not a torn end.
+        // A later record that was written when this one was synced already means damage, not a torn end.
         let known_synced =
             |offset| intact_record_at(log, offset).is_some_and(|(header, _)| header.synced_index > index);
         let torn = reason == "a record whose sum is wrong" && !(at + 1..log.len()).any(known_synced);
--- a/crates/pearfront-store/src/sim.rs
+++ b/crates/pearfront-store/src/sim.rs
@@ -1,5 +1,5 @@
-//! A disk for tests: what was synced stands, the rest may be lost, torn or come out of order at a crash, and by seed it
-//! fails, lies, turns bits, stalls and fills up. No program that is built for use is made with it.
+//! A simulated disk for tests. At a crash it keeps what was synced, and loses, tears or reorders the rest by
+//! seed; faults can be injected and bits flipped. No released program uses it.
 
 use crate::disk::Disk;
 use rand::prelude::{Rng, SeedableRng};
@@ -7,41 +7,43 @@
 use std::collections::BTreeMap;
 use std::io::{Error, ErrorKind, Result};
 
-/// Bytes that a real disk writes as one.
+/// Bytes that a real disk writes atomically.
 const SECTOR: usize = 512;
 
-/// What the disk does wrong from now on.
+/// A fault of the disk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// The next write fails in its midst.
+    /// The next write fails half-way.
     WriteFails,
-    /// The next sync fails, and what was to be synced is dropped, as kernels do.
+    /// The next sync fails, and the data is dropped, as kernels do.
     SyncFails,
-    /// Syncs say that all is well and do nothing, until the fault is taken away.
+    /// Syncs report success and do nothing until the fault is cleared.
     SyncIgnored,
-    /// No more than so many bytes in all.
+    /// Total capacity, bytes.
     Full(usize),
 }
 
+/// Contents of one file.
 #[derive(Debug, Clone, Default)]
 struct FileContent {
-    /// What stands after a crash.
+    /// Contents after a crash.
     synced: Vec<u8>,
-    /// What reads see.
+    /// Contents as read.
     current: Vec<u8>,
 }
 
+/// A disk with injected faults.
 #[derive(Debug, Clone)]
 pub struct SimDisk {
     files: BTreeMap<String, FileContent>,
-    /// Names as they are, and as they stand after a crash, each with the content that it stands for.
+    /// Names now, and names after a crash, each with the ID of its contents.
     names: BTreeMap<String, String>,
     synced_names: BTreeMap<String, String>,
-    /// Contents have numbers, so that a name can be given to another content and taken back.
+    /// Contents have IDs, so that a name can be given to other contents and revert at a crash.
     last_content_id: u64,
     faults: Vec<Fault>,
     rng: ChaCha8Rng,
-    /// Time that its calls have taken, ms; each takes `slow`.
+    /// Time taken by all calls, ms; each takes `latency_ms`.
     pub elapsed_ms: f64,
     pub latency_ms: f64,
     pub syncs: u64,
@@ -62,11 +64,12 @@
         }
     }
 
+    /// Adds a fault.
     pub fn inject(&mut self, fault: Fault) {
         self.faults.push(fault);
     }
 
-    /// Takes away all faults that last.
+    /// Clears all faults.
     pub fn clear_faults(&mut self) {
         self.faults.clear();
     }
@@ -93,14 +96,14 @@
         limit.map_or(usize::MAX, |bytes| bytes.saturating_sub(used))
     }
 
-    /// The power goes: what was not synced is lost, kept or torn by sectors, in no order.
+    /// Power cut: unsynced data is lost, kept or torn by sectors, in any order.
     pub fn crash(&mut self) {
         for content in self.files.values_mut() {
             if content.current == content.synced {
                 continue;
             }
             let mut remaining = content.synced.clone();
-            // A file that grew may have its length and not its bytes.
+            // A file that grew may have its new length without the bytes.
             if content.current.len() > remaining.len() && self.rng.random::<f64>() < 0.7 {
                 let grown = self.rng.random_range(remaining.len()..=content.current.len());
                 remaining.resize(grown, 0);
@@ -116,7 +119,7 @@
             content.synced.clone_from(&remaining);
             content.current = remaining;
         }
-        // Names that were not synced may be the old or the new ones.
+        // Unsynced names may be the old or the new ones.
         let keep_new_names = self.rng.random::<bool>();
         if keep_new_names {
             self.synced_names.clone_from(&self.names);
@@ -125,7 +128,7 @@
         }
     }
 
-    /// Turns one bit of what is kept under that name; false if there is none.
+    /// Flips one bit of the file; false if there is none or it is empty.
     pub fn flip_bit(&mut self, name: &str) -> bool {
         let Some(content) = self.names.get(name).and_then(|content| self.files.get_mut(content)) else {
             return false;
@@ -186,7 +189,7 @@
     }
 
     fn replace(&mut self, name: &str, bytes: &[u8]) -> Result<()> {
-        // The name stands for a new content; the old one stays until names are synced.
+        // The name gets new contents; the old ones remain until names are synced.
         self.names.remove(name);
         self.write(name, bytes)
     }
@@ -204,7 +207,7 @@
             return Err(Error::other("the disk failed"));
         }
         content.synced.clone_from(&content.current);
-        // A file that is synced is found again, as journals do it.
+        // Syncing a new file also makes its name durable, as on journaling file systems.
         if let Some(content) = self.names.get(name).cloned() {
             self.synced_names.entry(name.into()).or_insert(content);
         }
--- a/crates/pearfront-store/src/store.rs
+++ b/crates/pearfront-store/src/store.rs
@@ -1,6 +1,6 @@
-//! The store: a snapshot and the log behind it. What `sync` has acknowledged is there after any kill, on a disk that does
-//! what it says; what a disk did otherwise is noticed when it is read, or shows as less than was acknowledged, which is
-//! for those to see who remember how much that was.
+//! The store: a snapshot and the log after it. What `sync` has acknowledged survives every crash, provided the
+//! disk keeps its guarantees. If it does not, that is detected on reading, or shows as fewer records than
+//! acknowledged, which only processes that remember the acknowledged index can notice.
 
 use crate::disk::Disk;
 use crate::log::{self, Entry, LogEnd, MAX_RECORD_BYTES};
@@ -10,20 +10,20 @@
 const SNAPSHOT: &str = "snapshot";
 const NEW_SUFFIX: &str = ".new";
 
-/// Why nothing is stored, or nothing more.
+/// Why an operation of the store failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreError {
-    /// A file is spoilt at a place that whole records follow. Nothing is read from it: whoever stored them has to be
-    /// helped by others.
+    /// A file is damaged in front of intact records. Nothing is read from it; the owner has to recover from
+    /// other processes.
     Damaged { file: &'static str, offset: usize, index: u64, reason: &'static str },
-    /// A folder that can't be read.
+    /// The folder can't be read.
     Unreadable(String),
-    /// There is no room; what was there before stands, and nothing of this was taken.
+    /// No space is left. What was stored before is intact, and nothing of this operation was stored.
     Full,
-    /// A record that is too long.
+    /// The record is too long.
     TooLong(usize),
-    /// A write or a sync failed. What is on the disk now nobody knows, and a sync that is tried again would say yes to what
-    /// the kernel has dropped: this store takes nothing more until it is opened anew.
+    /// A write or a sync failed. The state of the disk is unknown, and a repeated sync could succeed although
+    /// the kernel has dropped the data, so the store refuses everything until it is opened again.
     Failed(String),
 }
 
@@ -43,14 +43,14 @@
 
 impl std::error::Error for StoreError {}
 
-/// What was found when it was opened.
+/// What was found on opening.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Recovered {
-    /// The last snapshot and the index of the last record in it.
+    /// The last snapshot, with the index of the last record that it covers.
     pub snapshot: Option<Entry>,
-    /// Records behind it.
+    /// Records after the snapshot.
     pub entries: Vec<Entry>,
-    /// Bytes at the end that were being written when everything stopped, cut off.
+    /// Bytes at the end that were being written at the crash; they are cut off.
     pub torn_bytes: usize,
 }
 
@@ -62,10 +62,10 @@
     }
 }
 
-/// What a folder has, and where the store goes on.
+/// Contents of a folder, and where the store continues.
 struct Loaded {
     recovered: Recovered,
-    /// The record behind which the log begins.
+    /// Index of the record before the first one in the log.
     start: u64,
     snapshot_base: (u64, u32),
     last_index: u64,
@@ -88,14 +88,14 @@
         }
     };
     let last = entries.last().map_or(start.0, |entry| entry.index);
-    // Everything up to the snapshot is in it, however far the log came.
+    // The snapshot covers everything up to its index, even if the log ends earlier.
     let (last, chain) = if last < snapshot_base.0 { snapshot_base } else { (last, chain) };
     let entries = entries.into_iter().filter(|entry| entry.index > snapshot_base.0).collect();
     let recovered = Recovered { snapshot, entries, torn_bytes: bytes.len() - log_bytes };
     Ok(Loaded { recovered, start: start.0, snapshot_base, last_index: last, chain, log_bytes })
 }
 
-/// Looks at a folder and changes nothing.
+/// Reads and checks a folder without changing it.
 ///
 /// # Errors
 /// As `Store::open`.
@@ -103,12 +103,12 @@
     load(disk).map(|loaded| loaded.recovered)
 }
 
-/// The chain value behind a snapshot: the log that goes on from it goes with no other.
+/// The chain value after a snapshot; only the log that continues this snapshot starts with it.
 fn chain_after(snapshot: &[u8]) -> u32 {
     crc32c::crc32c(snapshot)
 }
 
-/// The snapshot's text: one record, behind nothing.
+/// Reads the snapshot file, which is a single record.
 fn read_snapshot(bytes: &[u8]) -> Result<(Option<Entry>, (u64, u32)), StoreError> {
     let damaged = |reason| StoreError::Damaged { file: SNAPSHOT, offset: 0, index: 0, reason };
     let index = log::index_at(bytes).ok_or(damaged("it is cut short"))?;
@@ -123,7 +123,7 @@
     }
 }
 
-/// In front of a log that goes on behind a snapshot: mark, index, chain value, sum of these.
+/// Start of a log that continues a snapshot: magic bytes, index, chain value, checksum of these.
 const LOG_START_MAGIC: [u8; 4] = *b"pfl1";
 const LOG_START_BYTES: usize = 4 + 8 + 4 + 4;
 
@@ -135,14 +135,14 @@
     line
 }
 
-/// Where the records begin, and behind which index and chain value.
+/// Offset of the first record, and the index and chain value before it.
 fn parse_log_start(bytes: &[u8], snapshot_base: (u64, u32)) -> Result<(usize, (u64, u32)), StoreError> {
     let damaged = |reason| StoreError::Damaged { file: LOG, offset: 0, index: snapshot_base.0 + 1, reason };
     if bytes.is_empty() {
         return Ok((0, snapshot_base));
     }
     if !bytes.starts_with(&LOG_START_MAGIC) {
-        // The first log has none; what is wrong with it its records tell.
+        // The first log has no start line; its records show what is wrong with it.
         return if bytes.starts_with(b"pfr1") || snapshot_base.0 == 0 {
             Ok((0, (0, 0)))
         } else {
@@ -169,26 +169,27 @@
     Ok((LOG_START_BYTES, (index, number(12))))
 }
 
+/// A log of records with snapshots, on a disk.
 pub struct Store<D: Disk> {
     disk: D,
-    /// Index and chain value of the last record that was appended.
+    /// Index and chain value of the last appended record.
     last_index: u64,
     chain: u32,
     synced_index: u64,
-    /// Bytes of the log file.
+    /// Size of the log file.
     log_bytes: usize,
-    /// Records since the snapshot, to be written anew behind the next.
+    /// Records after the snapshot, which are rewritten after the next one.
     entries_since_snapshot: Vec<Entry>,
-    /// The snapshot's index, and the chain value behind it.
+    /// Index of the snapshot, and the chain value after it.
     snapshot_base: (u64, u32),
     failure: Option<String>,
 }
 
 impl<D: Disk> Store<D> {
-    /// Reads what is there; a torn end is cut off.
+    /// Opens a store and cuts off a torn end.
     ///
     /// # Errors
-    /// Damage, with file and place, or a folder that can't be read. Nothing is changed then.
+    /// Damage, with file and offset, or an unreadable folder. Nothing is changed in these cases.
     pub fn open(mut disk: D) -> Result<(Self, Recovered), StoreError> {
         let loaded = load(&mut disk)?;
         let Loaded { recovered, start, snapshot_base, last_index: last, chain, log_bytes } = loaded;
@@ -208,34 +209,34 @@
             let cut = store.disk.truncate(LOG, log_bytes).and_then(|()| store.disk.sync(LOG));
             cut.map_err(unreadable)?;
         }
-        // The log begins before the snapshot: everything had stopped between the two.
+        // The log begins before the snapshot: the process stopped between writing the two.
         if start != snapshot_base.0 {
             store.begin_log().map_err(unreadable)?;
         }
         Ok((store, recovered))
     }
 
-    /// Index of the last record that was appended.
+    /// Index of the last appended record.
     pub fn last_index(&self) -> u64 {
         self.last_index
     }
 
-    /// Index of the last record that is acknowledged.
+    /// Index of the last acknowledged record.
     pub fn synced_index(&self) -> u64 {
         self.synced_index
     }
 
-    /// Bytes of the log: what a snapshot would free.
+    /// Size of the log, bytes; a snapshot frees this space.
     pub fn log_bytes(&self) -> usize {
         self.log_bytes
     }
 
-    /// Why it takes nothing more, if so.
+    /// Why the store has stopped, if it has.
     pub fn failure(&self) -> Option<&str> {
         self.failure.as_deref()
     }
 
-    /// The disk below, for whoever has to tell what it went through.
+    /// The underlying disk.
     pub fn disk(&mut self) -> &mut D {
         &mut self.disk
     }
@@ -250,10 +251,11 @@
         StoreError::Failed(why)
     }
 
-    /// Appends a group of records; the index of the last. Not acknowledged before `sync`.
+    /// Appends a group of records and returns the index of the last one. They are acknowledged only after
+    /// `sync`.
     ///
     /// # Errors
-    /// Too long or no room: nothing was taken, and it goes on. Any other: it is dead.
+    /// Too long or no space: nothing was stored, and the store continues. Any other error stops it.
     pub fn append(&mut self, records: &[&[u8]]) -> Result<u64, StoreError> {
         self.check_running()?;
         if let Some(long) = records.iter().find(|record| record.len() > MAX_RECORD_BYTES) {
@@ -275,7 +277,7 @@
         Ok(self.last_index)
     }
 
-    /// Part of a group may stand there: it goes, or no later record could be told from it.
+    /// Removes what was written of a group; later records could not be distinguished from it.
     fn not_appended(&mut self, error: &std::io::Error) -> StoreError {
         let full = matches!(error.kind(), ErrorKind::StorageFull | ErrorKind::QuotaExceeded);
         if !full {
@@ -287,10 +289,10 @@
         }
     }
 
-    /// Makes all that was appended durable; the index that is acknowledged.
+    /// Makes all appended records durable and returns the acknowledged index.
     ///
     /// # Errors
-    /// It is dead: a sync that failed is never tried again.
+    /// The store has stopped; a failed sync is never repeated.
     pub fn sync(&mut self) -> Result<u64, StoreError> {
         self.check_running()?;
         if self.synced_index < self.last_index {
@@ -305,7 +307,7 @@
     /// Replaces all records up to `index`, which must be synced, by `bytes`.
     ///
     /// # Errors
-    /// No room: the one before stands, and it goes on. Any other: it is dead.
+    /// No space: the previous snapshot stays, and the store continues. Any other error stops it.
     pub fn snapshot(&mut self, index: u64, bytes: &[u8]) -> Result<(), StoreError> {
         self.check_running()?;
         if index <= self.snapshot_base.0 || index > self.synced_index {
@@ -325,11 +327,11 @@
         }
         self.snapshot_base = (index, chain_after(bytes));
         self.entries_since_snapshot.retain(|entry| entry.index > index);
-        // Should this fail, the old log still goes with the new snapshot.
+        // If this fails, the old log still fits the new snapshot.
         self.begin_log().map_err(|error| self.fail("beginning a log", &error))
     }
 
-    /// Writes the log anew, with what came behind the snapshot.
+    /// Rewrites the log with the records after the snapshot.
     fn begin_log(&mut self) -> std::io::Result<()> {
         let mut bytes = encode_log_start(self.snapshot_base);
         let mut chain = self.snapshot_base.1;
--- a/crates/pearfront-store/tests/faults.rs
+++ b/crates/pearfront-store/tests/faults.rs
@@ -1,12 +1,12 @@
-//! What a disk may do, by seed, and what must hold of a store on it: acknowledged records are there in their order or the
-//! loss shows; what was never stored is never read; a disk that failed is not asked again.
+//! Disk faults by seed, and what must hold for a store in spite of them: acknowledged records are there in
+//! order or the loss is visible; nothing is read that was never stored; a disk that failed is not used again.
 
 use pearfront_store::{Disk, Fault, Folder, Recovered, SimDisk, Store, StoreError, check};
 use rand::prelude::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use test_case::test_case;
 
-/// Seeds of each kind of trouble; more find what these do not.
+/// Seeds per kind of fault; higher numbers find rarer cases.
 const SEEDS: u64 = 500;
 
 fn record(index: u64) -> Vec<u8> {
@@ -20,7 +20,7 @@
     (from..=to).sum()
 }
 
-/// Everything that is there, by index: a snapshot here is the sum of the indices up to its own.
+/// Checks all records by index. A snapshot in these tests is the sum of the indices that it covers.
 fn first_mismatch(recovered: &Recovered) -> Option<String> {
     let mut next = 1;
     if let Some(snapshot) = &recovered.snapshot {
@@ -38,7 +38,7 @@
     None
 }
 
-/// What is done between two crashes.
+/// Faults injected between two crashes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum FaultKind {
     None,
@@ -47,7 +47,7 @@
     IgnoredSyncs,
 }
 
-/// Plays many crashes on one disk; what was acknowledged and is gone, or was read and is wrong.
+/// Runs several crashes on one disk; an error if acknowledged data is lost or wrong data is read.
 fn run_crashes(seed: u64, fault_kind: FaultKind) -> Result<(), String> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut disk = SimDisk::new(seed);
@@ -116,8 +116,8 @@
     }
 }
 
-// A disk that lies loses what it said it had: that must show as loss or as damage, never as something else. This is also
-// the check of the check: with a store that did not sync it would fail the same way.
+// A disk that ignores syncs loses acknowledged data. That must show as loss or damage, never as other data. It
+// also validates the test itself: a store that did not sync would fail in the same way.
 #[test]
 fn ignored_syncs_show_as_loss_and_never_as_other_data() {
     let losses: Vec<String> =
@@ -139,8 +139,8 @@
     store.disk().clone()
 }
 
-// A turned bit in the last record can't be told from one that was being written; it must then be gone as a whole, and
-// everywhere else it stops the store, with file and place.
+// A flipped bit in the last record looks like an unfinished write, and the whole record must be dropped.
+// Everywhere else the store must refuse to open, with file and offset.
 #[test]
 fn flipped_bit_is_located_or_drops_the_last_record() {
     let (mut damaged, mut shorter) = (0, 0);
@@ -179,7 +179,7 @@
     assert_eq!((store.disk().syncs, store.synced_index()), (syncs, 0));
 }
 
-// What an older copy of the folder has is whole, and less: only others can know that.
+// An older copy of the folder is intact but shorter; only other processes can notice that.
 #[test]
 fn older_copy_is_intact_and_reports_its_last_index() {
     let mut older = filled_disk(3);
@@ -213,7 +213,7 @@
     store.append(&[&record(11)]).unwrap();
     store.sync().unwrap();
     drop(store);
-    // Half of a record at the end, as a kill leaves it.
+    // Half a record at the end, as left by a kill.
     let intact = std::fs::read(path.join("log")).unwrap();
     std::fs::write(path.join("log"), [intact.as_slice(), b"pfr1\x40"].concat()).unwrap();
     let (_, recovered) = Store::open(Folder::open(&path).unwrap()).unwrap();
