--- a/crates/pearfront-cluster/src/settings.rs
+++ b/crates/pearfront-cluster/src/settings.rs
@@ -70,7 +70,7 @@
     pub lease_ms: f64,
     /// Zones in order of preference; zones that are not named come last.
     pub zones: Vec<String>,
-    /// Preference of this process for the duty; lower values come first.
+    /// Preference of this process for the duty; lower values come first: 0 before 1 and so on.
     #[serde(rename = "wish")]
     pub preference: u8,
 }
@@ -246,7 +246,7 @@
     pub(crate) fn consensus(&self) -> pearfront_consensus::Times {
         let (heartbeat, election) =
             (self.beat_ms.unwrap_or(HEARTBEAT_MS), self.election_ms.unwrap_or(ELECTION_MS));
-        pearfront_consensus::Times { heartbeat: heartbeat, election }
+        pearfront_consensus::Times { heartbeat, election }
     }
 
     pub(crate) fn duties(&self) -> pearfront_duties::Times {
--- a/crates/pearfront-membership/src/times.rs
+++ b/crates/pearfront-membership/src/times.rs
@@ -40,7 +40,8 @@
 pub const CONFIRMATIONS: usize = 3;
 /// How many times longer a suspicion lasts that nobody shares.
 pub const MAX_SUSPICION_FACTOR: f64 = 3.0;
-/// Highest doubt in the own health (Lifeguard's S); it lengthens the own time-outs.
+/// Highest doubt in the own health (Lifeguard's S). At this value probes last 1 + 8/4 times as long, and suspicions at
+/// least 1 + 8/8 times.
 pub const MAX_HEALTH_SCORE: u32 = 8;
 /// Own timers this late, as a share of the probe period, count against the own health.
 pub const LATE_TIMER_SHARE: f64 = 0.5;
--- a/crates/pearfront-store/tests/faults.rs
+++ b/crates/pearfront-store/tests/faults.rs
@@ -107,9 +107,9 @@
     Ok(())
 }
 
-#[test_case(FaultKind::None; "power that goes at any moment")]
-#[test_case(FaultKind::Failures; "writes and syncs that fail")]
-#[test_case(FaultKind::Full; "a disk that fills up")]
+#[test_case(FaultKind::None; "power cuts at any time")]
+#[test_case(FaultKind::Failures; "failing writes and syncs")]
+#[test_case(FaultKind::Full; "full disk")]
 fn acknowledged_records_survive_crashes(fault_kind: FaultKind) {
     for seed in 0..SEEDS {
         assert_eq!(run_crashes(seed, fault_kind), Ok(()), "seed {seed}");
