--- a/crates/pearfront-cluster/src/rescue.rs
+++ b/crates/pearfront-cluster/src/rescue.rs
@@ -13,11 +13,14 @@
 /// Result of a rescue.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Rescued {
+    /// Index of the survivor's last log entry.
     pub last_index: u64,
+    /// The term of the new state.
     pub term: u64,
     /// The last token known to the survivor, and the first one given out after the rescue.
     pub last_token: u64,
     pub next_token: u64,
+    /// Number of duties in the new state.
     pub duties: usize,
 }
 
--- a/crates/pearfront-cluster/src/settings.rs
+++ b/crates/pearfront-cluster/src/settings.rs
@@ -96,11 +96,17 @@
 #[derive(Debug, Clone, Copy, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Times {
+    /// Membership: how often a member probes another.
     pub period_ms: Option<f64>,
+    /// Membership: shortest time-out of a probe.
     pub answer_ms: Option<f64>,
+    /// Membership: shortest duration of a suspicion.
     pub suspicion_ms: Option<f64>,
+    /// Membership: how often views are compared.
     pub compare_ms: Option<f64>,
+    /// Membership: how often an absent member is probed.
     pub ask_again_ms: Option<f64>,
+    /// Membership: how long absent members are remembered.
     pub remember_ms: Option<f64>,
     /// Among voters: interval of a leader's heartbeats, and the election time-out.
     pub beat_ms: Option<f64>,
--- a/crates/pearfront-cluster/src/view.rs
+++ b/crates/pearfront-cluster/src/view.rs
@@ -70,7 +70,9 @@
     pub elsewhere: u64,
     pub outdated: u64,
     pub no_room: u64,
+    /// Times that reading datagrams was paused by the rate limit.
     pub over_budget: u64,
+    /// Streams and messages dropped because a limit was reached or no link existed.
     pub dropped: u64,
     pub probes_failed: u64,
     pub suspicions: u64,
--- a/crates/pearfront-codec/src/lib.rs
+++ b/crates/pearfront-codec/src/lib.rs
@@ -6,6 +6,7 @@
 
 /// A message that can check whether its parts are within the bounds that receivers accept.
 pub trait Bounded {
+    /// Are all parts within bounds?
     fn is_bounded(&self) -> bool;
 }
 
--- a/crates/pearfront-consensus/src/message.rs
+++ b/crates/pearfront-consensus/src/message.rs
@@ -115,6 +115,7 @@
 }
 
 impl Record {
+    /// Encodes the record for the disk; `decode_record` reads it.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
--- a/crates/pearfront-duties/src/agent.rs
+++ b/crates/pearfront-duties/src/agent.rs
@@ -25,27 +25,17 @@
 /// What the caller has to do.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    Send {
-        to: String,
-        request: LeaseRequest,
-    },
+    /// Send this request to that voter.
+    Send { to: String, request: LeaseRequest },
     /// It may act until this time, unless the lease is renewed.
-    Acquired {
-        duty: String,
-        token: u64,
-        until: f64,
-    },
+    Acquired { duty: String, token: u64, until: f64 },
     /// The duty is to move to another process: whoever acts has to finish and call `give_up`.
-    Leave {
-        duty: String,
-        token: u64,
-    },
-    Stopped {
-        duty: String,
-        token: u64,
-        reason: StopReason,
-    },
+    Leave { duty: String, token: u64 },
+    /// It no longer acts under this token.
+    Stopped { duty: String, token: u64, reason: StopReason },
+    /// All duties, as requested.
     List(Vec<DutyInfo>),
+    /// What came of the operator's orders.
     OrderResults(Vec<String>),
 }
 
@@ -100,6 +90,7 @@
 }
 
 impl Agent {
+    /// An agent that wants nothing yet. Its first requests go to any of the voters.
     pub fn new(own_id: ProcessId, voters: &[String], times: Times) -> Self {
         // Spreads the first requests of several processes over the voters.
         let turn = own_id.life as usize % voters.len().max(1);
--- a/crates/pearfront-duties/src/lease_manager.rs
+++ b/crates/pearfront-duties/src/lease_manager.rs
@@ -17,7 +17,9 @@
 pub enum Action {
     /// Request a linearizable read with this number from the log; the outcome goes to `read_result`.
     Read(u64),
+    /// Propose this entry to the log.
     Propose(Vec<u8>),
+    /// Send this response.
     Respond(LeaseResponse),
 }
 
@@ -90,6 +92,7 @@
 }
 
 impl LeaseManager {
+    /// The lease manager of a voter that does not lead.
     pub fn new(own_name: &str, times: Times) -> Self {
         Self {
             own_name: own_name.into(),
--- a/crates/pearfront-duties/src/message.rs
+++ b/crates/pearfront-duties/src/message.rs
@@ -113,8 +113,10 @@
     /// State after the request arrived. The sender no longer holds what is missing from `held`.
     Status {
         held: Vec<HeldLease>,
+        /// Duties that the sender wants and does not hold.
         waiting: Vec<WaitStatus>,
         list: Option<Vec<DutyInfo>>,
+        /// One result per order of the request.
         order_results: Vec<String>,
     },
     /// A duty was granted to the sender after its request arrived.
--- a/crates/pearfront-membership/src/core/interface.rs
+++ b/crates/pearfront-membership/src/core/interface.rs
@@ -47,6 +47,7 @@
 /// What the caller has to do, in this order.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
+    /// One UDP datagram.
     Datagram {
         to: Destination,
         bytes: Vec<u8>,
@@ -128,13 +129,19 @@
     pub frames_in: u64,
     pub bytes_out: u64,
     pub bytes_in: u64,
+    /// Packets of another protocol or version.
     pub foreign: u64,
+    /// Packets that were truncated, changed or invalid.
     pub garbled: u64,
+    /// Packets of another installation.
     pub elsewhere: u64,
     /// Duplicates, and packets of an ended run of a process.
     pub outdated: u64,
+    /// Members refused because the table is full.
     pub no_room: u64,
     pub probes_failed: u64,
+    /// Suspicions raised by this process.
     pub suspicions: u64,
+    /// Reports about this process that it has refuted.
     pub refutations: u64,
 }
--- a/crates/pearfront-membership/src/member.rs
+++ b/crates/pearfront-membership/src/member.rs
@@ -56,6 +56,7 @@
 }
 
 impl Update {
+    /// A statement that is no suspicion of a particular process.
     pub fn new(card: &Card, status: Status) -> Self {
         Self { card: card.clone(), status, suspector: None }
     }
--- a/crates/pearfront-store/src/sim.rs
+++ b/crates/pearfront-store/src/sim.rs
@@ -46,10 +46,12 @@
     /// Time taken by all calls, ms; each takes `latency_ms`.
     pub elapsed_ms: f64,
     pub latency_ms: f64,
+    /// Calls of `sync`.
     pub syncs: u64,
 }
 
 impl SimDisk {
+    /// An empty disk whose faults follow this seed.
     pub fn new(seed: u64) -> Self {
         Self {
             files: BTreeMap::new(),
