--- a/crates/pearfront-cluster/src/settings.rs
+++ b/crates/pearfront-cluster/src/settings.rs
@@ -1,53 +1,56 @@
-//! What an operator says of the cluster; unknown keys are refused. Checked here, so that a fault is told by its key before
-//! anything is bound.
+//! The `cluster` section of a node's configuration. Unknown keys are refused, and values are checked before
+//! anything is bound, so that errors name the faulty key.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Shortest and longest that each time may be, ms.
-const TIME: (f64, f64) = (10.0, 86_400_000.0);
+/// Range of each time, ms.
+const TIME_RANGE_MS: (f64, f64) = (10.0, 86_400_000.0);
 
+/// The `cluster` section.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Name of the installation: packets of another one are dropped.
+    /// Name of the installation; packets of other installations are dropped.
     pub installation: String,
-    /// Name of this process among the others, for life; the node's own if absent.
+    /// Permanent name of this process; defaults to the node's name.
     pub name: Option<String>,
     #[serde(default)]
     pub zone: String,
-    /// Where it listens, by UDP and TCP.
+    /// Address to listen on, for UDP and TCP.
     pub listen: SocketAddr,
-    /// Where others reach it; where it listens if absent.
+    /// Address at which others reach it; defaults to `listen`.
     pub advertise: Option<SocketAddr>,
-    /// Some of the others, to begin with; they need not be up.
+    /// Addresses of some other processes, contacted at the start; they need not be up.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Addresses by name where this process reaches others elsewhere than they say; they are asked at the start, too.
+    /// Addresses by name, for processes that are reached at another address than they advertise. They are
+    /// contacted at the start as well.
     #[serde(default)]
     pub peers: BTreeMap<String, SocketAddr>,
-    /// What has to be known after a restart is kept there; without it the others tell.
+    /// Folder for state that has to survive a restart. Without it the other members supply the incarnation.
     pub folder: Option<PathBuf>,
     #[serde(default)]
     pub times: Times,
-    /// Names of the three or five processes that decide together who holds what; the same in every file. Without them there
-    /// are no duties.
+    /// Names of the three or five voters; the same in every file. Without voters there are no duties.
     #[serde(default)]
     pub voters: Vec<String>,
-    /// Duties that are not as any other: one holder, a lease of 10 s.
+    /// Duties that differ from the default of one holder and a lease of 10 s.
     #[serde(default)]
     pub duties: BTreeMap<String, DutySettings>,
-    /// Only so many nodes of a zone drain or end at a time; without it they do as they are told.
+    /// Limits how many nodes of a zone may drain or end at a time; without it there is no limit.
     pub drain_permit: Option<PermitSettings>,
 }
 
+/// The drain permit.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PermitSettings {
+    /// Nodes per zone that may be away at a time.
     pub at_most: u32,
-    /// How long a node may be away before its permit is another's: its restart has to fit in.
+    /// How long a node may be away before its permit passes to another, ms. A restart has to fit in.
     pub restart_ms: f64,
 }
 
@@ -57,16 +60,17 @@
     }
 }
 
+/// Terms of one duty.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct DutySettings {
     /// How many may hold it at a time.
     pub holders: u32,
-    /// How long its holder may be silent, ms.
+    /// Lease, ms.
     pub lease_ms: f64,
-    /// Zones in the order in which they are to have it; those that are not named come after.
+    /// Zones in order of preference; zones that are not named come last.
     pub zones: Vec<String>,
-    /// How gladly this process has it, 0 before 1 and so on.
+    /// Preference of this process for the duty; lower values come first: 0 before 1 and so on.
     #[serde(rename = "wish")]
     pub preference: u8,
 }
@@ -77,42 +81,50 @@
     }
 }
 
-/// Shortest and longest lease, ms.
-const LEASE: (f64, f64) = (1000.0, 600_000.0);
-/// Holders that a duty may have.
-const HOLDERS: (u32, u32) = (1, 1024);
+/// Range of a lease, ms.
+const LEASE_RANGE_MS: (f64, f64) = (1000.0, 600_000.0);
+/// Range of the number of holders.
+const HOLDER_RANGE: (u32, u32) = (1, 1024);
 
-/// What a duty may be called: it goes into paths and logs as it is.
+/// Duty names appear unescaped in paths and log lines.
 pub(crate) fn is_duty_name(name: &str) -> bool {
     let fits = |letter: char| letter.is_ascii_alphanumeric() || "._:-".contains(letter);
     (1..=64).contains(&name.len()) && name.chars().all(fits)
 }
 
-/// Times in ms; each has the default that the core was measured with.
+/// Times in ms. The default of each is that of its protocol.
 #[derive(Debug, Clone, Copy, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Times {
+    /// Membership: how often a member probes another.
     pub period_ms: Option<f64>,
+    /// Membership: shortest time-out of a probe.
     pub answer_ms: Option<f64>,
+    /// Membership: shortest duration of a suspicion.
     pub suspicion_ms: Option<f64>,
+    /// Membership: how often views are compared.
     pub compare_ms: Option<f64>,
+    /// Membership: how often an absent member is probed.
     pub ask_again_ms: Option<f64>,
+    /// Membership: how long absent members are remembered.
     pub remember_ms: Option<f64>,
-    /// Among voters: how often a leader tells that it is there, and after how long without it another stands.
+    /// Among voters: interval of a leader's heartbeats, and the election time-out.
     pub beat_ms: Option<f64>,
     pub election_ms: Option<f64>,
-    /// How long a better candidate, and a holder, have to have been there before a duty is moved.
+    /// How long a better candidate and the current holder must have been stable before a duty moves.
     pub steady_ms: Option<f64>,
 }
 
-/// Times among voters, ms: real processes share their processors with others, and an election that a busy machine brings
-/// about helps nobody.
-const BEAT: f64 = 100.0;
-const ELECTION: f64 = 500.0;
+/// Defaults among voters, ms. They are longer than those of the protocol: real processes share their
+/// processors, and elections caused by a busy machine help nobody.
+const HEARTBEAT_MS: f64 = 100.0;
+const ELECTION_MS: f64 = 500.0;
 
 impl Settings {
+    /// Checks all values.
+    ///
     /// # Errors
-    /// The first key that can't be as it is, and why.
+    /// The first faulty key, and why.
     pub fn check(&self) -> Result<(), String> {
         let text = |key: &str, value: &str, least: usize, most: usize| {
             let fits = (least..=most).contains(&value.len());
@@ -123,7 +135,7 @@
             text("name", name, 1, 64)?;
         }
         text("zone", &self.zone, 0, 32)?;
-        if self.reached_at().ip().is_unspecified() {
+        if self.advertised_address().ip().is_unspecified() {
             return Err("advertise is needed where listen names no address of its own".into());
         }
         self.check_duties()?;
@@ -143,7 +155,7 @@
         if voters.is_empty() && !self.duties.is_empty() {
             return Err("duties need voters".into());
         }
-        let (least, most) = LEASE;
+        let (least, most) = LEASE_RANGE_MS;
         if let Some(permit) = &self.drain_permit {
             if voters.is_empty() {
                 return Err("drain_permit needs voters".into());
@@ -154,8 +166,11 @@
                     permit.restart_ms
                 ));
             }
-            if !(HOLDERS.0..=HOLDERS.1).contains(&permit.at_most) {
-                return Err(format!("drain_permit.at_most is {}, not 1 to {}", permit.at_most, HOLDERS.1));
+            if !(HOLDER_RANGE.0..=HOLDER_RANGE.1).contains(&permit.at_most) {
+                return Err(format!(
+                    "drain_permit.at_most is {}, not 1 to {}",
+                    permit.at_most, HOLDER_RANGE.1
+                ));
             }
         }
         for (name, duty) in &self.duties {
@@ -165,15 +180,20 @@
             if !(least..=most).contains(&duty.lease_ms) {
                 return Err(format!("duties.{name}.lease_ms is {}, not {least} to {most}", duty.lease_ms));
             }
-            if !(HOLDERS.0..=HOLDERS.1).contains(&duty.holders) {
-                return Err(format!("duties.{name}.holders is {}, not 1 to {}", duty.holders, HOLDERS.1));
+            if !(HOLDER_RANGE.0..=HOLDER_RANGE.1).contains(&duty.holders) {
+                return Err(format!(
+                    "duties.{name}.holders is {}, not 1 to {}",
+                    duty.holders, HOLDER_RANGE.1
+                ));
             }
         }
         Ok(())
     }
 
+    /// The folder for a voter's records; `None` if this process is no voter.
+    ///
     /// # Errors
-    /// A voter has to keep what it promised.
+    /// A voter without a folder, since it has to keep its promises over a restart.
     pub(crate) fn voter_folder(&self, own: &str) -> Result<Option<PathBuf>, String> {
         if !self.voters.iter().any(|name| name == own) {
             return Ok(None);
@@ -182,13 +202,13 @@
         Ok(Some(folder.join("voter")))
     }
 
-    /// Where others reach this process.
-    pub fn reached_at(&self) -> SocketAddr {
+    /// Address at which others reach this process.
+    pub fn advertised_address(&self) -> SocketAddr {
         self.advertise.unwrap_or(self.listen)
     }
 
-    /// Whom to ask at the start.
-    pub(crate) fn asked_first(&self, own: &str) -> Vec<SocketAddr> {
+    /// Addresses to contact at the start.
+    pub(crate) fn initial_contacts(&self, own: &str) -> Vec<SocketAddr> {
         let peers = self.peers.iter().filter(|(name, _)| *name != own).map(|(_, address)| *address);
         self.seeds.iter().copied().chain(peers).collect()
     }
@@ -210,44 +230,45 @@
     }
 
     fn check(&self) -> Result<(), String> {
-        let (least, most) = TIME;
+        let (least, most) = TIME_RANGE_MS;
         for (key, value) in self.pairs() {
             if let Some(value) = value.filter(|value| !(least..=most).contains(value)) {
                 return Err(format!("times.{key} is {value}, not {least} to {most}"));
             }
         }
-        let log = self.log();
-        if log.election < 2.0 * log.heartbeat {
+        let consensus = self.consensus();
+        if consensus.election < 2.0 * consensus.heartbeat {
             return Err(
                 "times.election_ms is below two of times.beat_ms: a lost beat would be an election".into()
             );
         }
-        let core = self.core();
-        if core.suspicion < core.probe_period {
+        let membership = self.membership();
+        if membership.suspicion < membership.probe_period {
             return Err("times.suspicion_ms is below times.period_ms: nobody could answer in it".into());
         }
         Ok(())
     }
 
-    pub(crate) fn log(&self) -> pearfront_consensus::Times {
-        let (beat, election) = (self.beat_ms.unwrap_or(BEAT), self.election_ms.unwrap_or(ELECTION));
-        pearfront_consensus::Times { heartbeat: beat, election }
+    pub(crate) fn consensus(&self) -> pearfront_consensus::Times {
+        let (heartbeat, election) =
+            (self.beat_ms.unwrap_or(HEARTBEAT_MS), self.election_ms.unwrap_or(ELECTION_MS));
+        pearfront_consensus::Times { heartbeat, election }
     }
 
     pub(crate) fn duties(&self) -> pearfront_duties::Times {
-        let usual = pearfront_duties::Times::default();
-        pearfront_duties::Times { stability: self.steady_ms.unwrap_or(usual.stability), ..usual }
+        let defaults = pearfront_duties::Times::default();
+        pearfront_duties::Times { stability: self.steady_ms.unwrap_or(defaults.stability), ..defaults }
     }
 
-    pub(crate) fn core(&self) -> pearfront_membership::Times {
-        let usual = pearfront_membership::Times::default();
+    pub(crate) fn membership(&self) -> pearfront_membership::Times {
+        let defaults = pearfront_membership::Times::default();
         pearfront_membership::Times {
-            probe_period: self.period_ms.unwrap_or(usual.probe_period),
-            probe_timeout: self.answer_ms.unwrap_or(usual.probe_timeout),
-            suspicion: self.suspicion_ms.unwrap_or(usual.suspicion),
-            sync_interval: self.compare_ms.unwrap_or(usual.sync_interval),
-            reconnect_interval: self.ask_again_ms.unwrap_or(usual.reconnect_interval),
-            retention: self.remember_ms.unwrap_or(usual.retention),
+            probe_period: self.period_ms.unwrap_or(defaults.probe_period),
+            probe_timeout: self.answer_ms.unwrap_or(defaults.probe_timeout),
+            suspicion: self.suspicion_ms.unwrap_or(defaults.suspicion),
+            sync_interval: self.compare_ms.unwrap_or(defaults.sync_interval),
+            reconnect_interval: self.ask_again_ms.unwrap_or(defaults.reconnect_interval),
+            retention: self.remember_ms.unwrap_or(defaults.retention),
         }
     }
 }
--- a/crates/pearfront-node/src/discovery/tests.rs
+++ b/crates/pearfront-node/src/discovery/tests.rs
@@ -1,5 +1,7 @@
+//! Tests of the discovery client: the translation of entries, and lists that arrive out of order.
+
 use super::*;
-use crate::test_support::{Stages, run};
+use crate::test_support::{TestNode, run};
 use test_case::test_case;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
@@ -9,7 +11,7 @@
     ServerEntry {
         id: id.into(),
         address,
-        standing: ServerState::Ready,
+        state: ServerState::Ready,
         cell: 0,
         zone: 0,
         machine_type: 0,
@@ -19,29 +21,29 @@
 }
 
 #[test]
-fn addresses_and_starts_are_put_in_the_modules_terms() {
-    let listed = listing(&entry("a", 8443, Some(1500.0)), |unix| unix - 1000.0);
+fn addresses_and_starts_are_translated_for_the_decision_module() {
+    let listed = listed_server(&entry("a", 8443, Some(1500.0)), |unix| unix - 1000.0);
     assert_eq!((listed.address, listed.started_at), ([127, 0, 0, 1, 0x20, 0xfb], 500.0));
     assert_eq!(decode_address(listed.address), "127.0.0.1:8443".parse().unwrap());
-    assert_eq!(listing(&entry("a", 1, None), |unix| unix - 1000.0).started_at, f64::NEG_INFINITY);
+    assert_eq!(listed_server(&entry("a", 1, None), |unix| unix - 1000.0).started_at, f64::NEG_INFINITY);
 }
 
-// While a call is held, another process of the node tells of a later list. What the call is answered with may be older: it does
-// not undo that, and what is newer still holds.
+// While a call is held, another process of the node passes on a newer list. The answer to the call may be
+// older: it must not undo that list, and a newer one still applies.
 #[test_case(4, "Ready", false; "older")]
 #[test_case(6, "Ready", true; "newer")]
-fn an_older_list_that_comes_late_undoes_nothing(answered: u64, lifecycle: &str, is_ready: bool) {
+fn an_older_list_that_arrives_late_undoes_nothing(answered: u64, lifecycle: &str, is_ready: bool) {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let stages = Stages::new(address);
-        stages.list(3, address, ServerState::Ready);
-        let discovery = stages.discovery.clone();
+        let node = TestNode::new(address);
+        node.list_server(3, address, ServerState::Ready);
+        let discovery = node.discovery.clone();
         let answer = async {
             let (mut stream, _) = listener.accept().await.unwrap();
             let mut call = [0; 1024];
             assert!(stream.read(&mut call).await.unwrap() > 0);
-            stages.list(5, address, ServerState::Draining);
+            node.list_server(5, address, ServerState::Draining);
             let body = list_of(answered, address, lifecycle);
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
             stream.write_all((head + &body).as_bytes()).await.unwrap();
@@ -53,7 +55,7 @@
     });
 }
 
-/// A list with one server, in discovery's form.
+/// A list with one server, in the format of the discovery protocol.
 fn list_of(version: u64, server: SocketAddr, lifecycle: &str) -> String {
     let entry = serde_json::json!({"instanceId": "s0", "hostPort": server.to_string(), "zone": "a", "machineType": "m",
         "cell": 1, "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0});
--- a/crates/pearfront-node/src/message/discovery/tests.rs
+++ b/crates/pearfront-node/src/message/discovery/tests.rs
@@ -1,3 +1,5 @@
+//! Tests that server lists are encoded and decoded correctly.
+
 use super::*;
 use serde_json::json;
 
@@ -6,13 +8,13 @@
     NodeSettings { zones: names(&["a", "b"]), machine_types: names(&["m1", "m2"]), ..NodeSettings::default() }
 }
 
-// What one process tells the next must be what it knows.
+// A process must pass on to the next one exactly what it knows.
 #[test]
-fn a_list_is_read_as_it_was_written() {
-    let entry = |id: &str, standing, started| ServerEntry {
+fn a_list_is_decoded_as_it_was_encoded() {
+    let entry = |id: &str, state, started| ServerEntry {
         id: id.into(),
         address: "127.0.0.1:8443".parse().unwrap(),
-        standing,
+        state,
         cell: 3,
         zone: 1,
         machine_type: 2,
@@ -26,7 +28,7 @@
 }
 
 #[test]
-fn lines_of_the_list() {
+fn entries_are_decoded_and_invalid_ones_dropped() {
     let entry = json!({"instanceId": "s-1", "hostPort": "10.1.0.18:8443", "zone": "b", "machineType": "m9",
         "cell": 3, "lifecycle": "Ready", "weight": 1.0, "startedAtMs": 5});
     let mut bad = entry.clone();
@@ -35,14 +37,14 @@
     let list = decode_list(list.as_bytes(), &node_settings()).unwrap();
     assert_eq!((list.version, list.is_full), (41, true));
     let address = "10.1.0.18:8443".parse().unwrap();
-    // A machine type that the settings lack is one more.
-    let (standing, started) = (ServerState::Ready, Some(5.0));
+    // A machine type that the settings lack gets one more index.
+    let (state, started) = (ServerState::Ready, Some(5.0));
     assert_eq!(
         list.entries,
         [ServerEntry {
             id: "s-1".into(),
             address,
-            standing,
+            state,
             cell: 3,
             zone: 1,
             machine_type: 2,
@@ -52,6 +54,6 @@
     );
     let problem = "list.instances[1].lifecycle \"Asleep\" is unknown".to_string();
     assert_eq!(list.invalid, [(Some("s-1".to_string()), problem)]);
-    let said = decode_list(b"{\"instances\": []}", &node_settings()).unwrap_err();
-    assert_eq!(said, "list.generation is missing");
+    let error = decode_list(b"{\"instances\": []}", &node_settings()).unwrap_err();
+    assert_eq!(error, "list.generation is missing");
 }
--- a/crates/pearfront-node/src/message/headers/tests.rs
+++ b/crates/pearfront-node/src/message/headers/tests.rs
@@ -1,9 +1,11 @@
+//! Tests of the hop-by-hop headers.
+
 use super::*;
 use hyper::header::HeaderValue;
 
-// Headers of one connection must not reach the next; all others must.
+// Hop-by-hop headers must not be forwarded; all others must.
 #[test]
-fn headers_of_one_connection_end_with_it() {
+fn hop_by_hop_headers_are_not_forwarded() {
     let mut headers = HeaderMap::new();
     for (name, value) in
         [("connection", "close, X-Mine"), ("x-mine", "1"), ("te", "trailers"), ("accept", "*/*")]
--- a/crates/pearfront-node/src/upload.rs
+++ b/crates/pearfront-node/src/upload.rs
@@ -1,8 +1,9 @@
-//! Request bodies: how they are read from their clients, and how large ones get on to a server. A large body is read ahead of
-//! its server, so that a server that takes nothing hides neither whether the client still sends nor what it sends behind.
+//! Reads request bodies from clients, and passes large ones on to a server. A large body is read
+//! ahead of its server, so that a server that accepts no data hides neither whether the client is
+//! still sending nor the requests behind the body. Used by `client_service`.
 
 use crate::capacity::{Capacity, ReservedBytes};
-use crate::streaming::{self, BodyError, BodyStart, MAX_BUFFERED_BYTES, MOST};
+use crate::streaming::{self, BodyError, BodyStart, MAX_BODY_BYTES, MAX_BUFFERED_BYTES};
 use crate::tracked_stream::TrackedStream;
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -14,64 +15,67 @@
 use tokio::sync::mpsc::{self, UnboundedReceiver, UnboundedSender};
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// Bytes that a piece takes beside its data: small ones take more for this than for themselves.
-const BESIDE_DATA: usize = 128;
-/// How long a body may bring nothing, or its server take nothing of it: with the head its client is owed an error or a close
-/// within 3 s of its last byte.
-const NEXT_PIECE: Duration = Duration::from_millis(2500);
-/// The least of that, where its last bytes had to wait: a client whose sending was held back goes on at once.
-const LEAST_PATIENCE: Duration = Duration::from_millis(400);
-/// A body may take this time, and for each byte what it takes at the slowest: 16 kB a second, a quarter of what slow
-/// clients are said to bring.
-const WHOLE_BODY: Duration = Duration::from_millis(2500);
-const SLOWEST: Duration = Duration::from_nanos(62_500);
-/// How long, and how often, a body that no attempt has asked for is held back for want of room. Meanwhile nobody sees what its client
-/// sends behind it, nor whether that has left; an attempt may begin up to 0.1 s behind the client's end. In several waits, as a
-/// process that stood still has had no time to begin an attempt.
-const UNCLAIMED: Duration = Duration::from_millis(20);
+/// Overhead of a piece in bytes beside its data; for small pieces it is larger than the data.
+const PIECE_OVERHEAD: usize = 128;
+/// How long a body may make no progress, or its server accept none of it: together with the head,
+/// its client has to get an error or a close within 3 s of its last byte.
+const PROGRESS_TIMEOUT: Duration = Duration::from_millis(2500);
+/// The minimum of that if the client's last bytes had to wait to be read: a client whose sending
+/// was held back continues at once.
+const MIN_PROGRESS_TIMEOUT: Duration = Duration::from_millis(400);
+/// A body may take this time, plus the time per byte at the minimum rate of 16 kB/s, which is a
+/// quarter of the specified rate of slow clients.
+const BASE_BODY_TIME: Duration = Duration::from_millis(2500);
+const TIME_PER_BYTE: Duration = Duration::from_nanos(62_500);
+/// How long and how often a body that no attempt has claimed is held back when there is no memory
+/// to read ahead. Meanwhile nobody sees the data behind it, or whether the client has left; an
+/// attempt may start up to 0.1 s after the client's end. There are several waits because a process
+/// that was stalled had no time to start an attempt.
+const UNCLAIMED_WAIT: Duration = Duration::from_millis(20);
 const UNCLAIMED_WAITS: usize = 4;
-/// How long the rest of a body is read whose request has its answer.
-const LONGEST_DRAIN: Duration = Duration::from_secs(5);
+/// How long the rest of a body is read after its request has been answered.
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A part of a body for its server; without an end the body is not whole.
+/// A piece of a body for its server; without an `End` the body is incomplete.
 pub enum Piece {
-    Data(Bytes, Place),
+    Data(Bytes, PieceMemory),
     End,
 }
 
-/// What of a body has been read and has not been taken by its server.
-struct Ahead {
-    room: Rc<Capacity>,
+/// The part of a body that has been read and not yet taken by its server.
+struct ReadAhead {
+    capacity: Rc<Capacity>,
     bytes: Cell<usize>,
-    /// Has an attempt asked for it?
+    /// Whether an attempt has claimed the body.
     is_claimed: Cell<bool>,
-    /// When an attempt asked for it, or its server took a piece, last.
+    /// When an attempt claimed the body, or its server last took a piece.
     taken_at: Cell<Instant>,
-    /// Rung when one does.
+    /// Notified when that happens.
     taken: Notify,
 }
 
-impl Ahead {
-    /// A place for so many bytes; without room for them once the server has taken all before them.
+impl ReadAhead {
+    /// Reserves read-ahead memory for `bytes`; if there is none, waits until the server has taken
+    /// everything before them.
     ///
     /// # Errors
-    /// Where the server takes nothing, or there is none.
-    async fn wait_for_place(self: &Rc<Self>, bytes: usize) -> Result<Place, BodyError> {
-        let begun = Instant::now();
+    /// If the server accepts no data, or there is no server.
+    async fn wait_for_memory(self: &Rc<Self>, bytes: usize) -> Result<PieceMemory, BodyError> {
+        let began = Instant::now();
         let mut unclaimed = 0;
         loop {
-            if let Some(place) = self.place(bytes) {
-                return Ok(place);
+            if let Some(memory) = self.try_reserve(bytes) {
+                return Ok(memory);
             }
             if self.is_claimed.get() {
-                let until = begun.max(self.taken_at.get()) + NEXT_PIECE;
+                let until = began.max(self.taken_at.get()) + PROGRESS_TIMEOUT;
                 timeout_at(until, self.taken.notified()).await.map_err(|_| BodyError::NotTaken)?;
                 continue;
             }
             if unclaimed == UNCLAIMED_WAITS {
                 return Err(BodyError::NoRoom);
             }
-            unclaimed += usize::from(timeout(UNCLAIMED, self.taken.notified()).await.is_err());
+            unclaimed += usize::from(timeout(UNCLAIMED_WAIT, self.taken.notified()).await.is_err());
         }
     }
 
@@ -80,38 +84,38 @@
         self.taken.notify_one();
     }
 
-    fn place(self: &Rc<Self>, bytes: usize) -> Option<Place> {
-        let room = self.room.read_ahead(self.bytes.get(), bytes);
-        if room.is_none() && self.bytes.get() > 0 {
+    fn try_reserve(self: &Rc<Self>, bytes: usize) -> Option<PieceMemory> {
+        let memory = self.capacity.reserve_read_ahead(self.bytes.get(), bytes);
+        if memory.is_none() && self.bytes.get() > 0 {
             return None;
         }
         self.bytes.set(self.bytes.get() + bytes);
-        Some(Place { ahead: self.clone(), bytes, _room: room })
+        Some(PieceMemory { ahead: self.clone(), bytes, _memory: memory })
     }
 }
 
-/// What a piece takes of the room until its server has it.
-pub struct Place {
-    ahead: Rc<Ahead>,
+/// Read-ahead memory of a piece, reserved until its server has it.
+pub struct PieceMemory {
+    ahead: Rc<ReadAhead>,
     bytes: usize,
-    _room: Option<ReservedBytes>,
+    _memory: Option<ReservedBytes>,
 }
 
-impl Drop for Place {
+impl Drop for PieceMemory {
     fn drop(&mut self) {
         self.ahead.bytes.set(self.ahead.bytes.get() - self.bytes);
         self.ahead.note_taken();
     }
 }
 
-/// The end of an upload from which its pieces are taken.
-pub struct Pieces {
+/// The receiving end of an upload.
+pub struct PieceReceiver {
     source: UnboundedReceiver<Piece>,
-    ahead: Rc<Ahead>,
+    ahead: Rc<ReadAhead>,
 }
 
-impl Pieces {
-    /// An attempt begins to take them.
+impl PieceReceiver {
+    /// An attempt starts taking the pieces.
     pub fn claim(self) -> UnboundedReceiver<Piece> {
         self.ahead.is_claimed.set(true);
         self.ahead.note_taken();
@@ -119,71 +123,75 @@
     }
 }
 
-/// How the passing of a body ended, and what is left of it: an error where it did not come whole, or nobody takes it.
-pub struct Passed {
-    pub came: Result<(), BodyError>,
+/// How passing on a body ended, and the unread rest of it: an error if it did not arrive
+/// completely, or nobody takes it.
+pub struct PassedBody {
+    pub result: Result<(), BodyError>,
     pub body: Incoming,
 }
 
 /// A body that is read ahead of its server.
 pub struct Upload {
     pieces: UnboundedSender<Piece>,
-    ahead: Rc<Ahead>,
+    ahead: Rc<ReadAhead>,
 }
 
 impl Upload {
-    /// With the end from which its pieces are taken.
-    pub fn new(room: Rc<Capacity>) -> (Self, Pieces) {
+    /// Returns the upload and its receiving end.
+    pub fn new(capacity: Rc<Capacity>) -> (Self, PieceReceiver) {
         let (pieces, source) = mpsc::unbounded_channel();
         let (bytes, is_claimed, taken_at) = (Cell::new(0), Cell::new(false), Cell::new(Instant::now()));
-        let ahead = Rc::new(Ahead { room, bytes, is_claimed, taken_at, taken: Notify::new() });
-        (Self { pieces, ahead: ahead.clone() }, Pieces { source, ahead })
+        let ahead = Rc::new(ReadAhead { capacity, bytes, is_claimed, taken_at, taken: Notify::new() });
+        (Self { pieces, ahead: ahead.clone() }, PieceReceiver { source, ahead })
     }
 
-    /// Reads the body as it comes, ahead of its server as far as there is room; if nobody takes it any more it is still read to
-    /// its end, as its answer may be on the way. The client's connection is not kept open by it.
-    pub async fn pass_on(self, client: Weak<TrackedStream>, mut body: Incoming) -> Passed {
-        let came = self.pass(&client, &mut body).await;
-        Passed { came, body }
+    /// Reads the body as it arrives, ahead of its server as far as there is memory. If nobody takes
+    /// it any more, it is still read to its end, as its answer may be on the way. Does not keep the
+    /// client connection open.
+    pub async fn pass_on(self, client: Weak<TrackedStream>, mut body: Incoming) -> PassedBody {
+        let result = self.pass(&client, &mut body).await;
+        PassedBody { result, body }
     }
 
     async fn pass(&self, client: &Weak<TrackedStream>, body: &mut Incoming) -> Result<(), BodyError> {
-        let begun = Instant::now();
+        let began = Instant::now();
         let mut length = 0_u64;
-        // While a server takes nothing, its client can bring nothing: only the waiting for the client counts.
+        // While a server accepts no data, the client cannot make progress: only the time spent
+        // waiting for the client counts.
         let mut held_back = Duration::ZERO;
         while let Some(data) = next_piece(client, body).await? {
             length += data.len() as u64;
-            if length > MOST {
+            if length > MAX_BODY_BYTES {
                 return Err(BodyError::TooLong);
             }
-            if begun.elapsed() > WHOLE_BODY + SLOWEST.mul_f64(length as f64) + held_back {
+            if began.elapsed() > BASE_BODY_TIME + TIME_PER_BYTE.mul_f64(length as f64) + held_back {
                 return Err(BodyError::Stalled);
             }
-            let passed = Instant::now();
+            let pushed = Instant::now();
             self.push(&data).await?;
-            held_back += passed.elapsed();
+            held_back += pushed.elapsed();
         }
         let _ = self.pieces.send(Piece::End);
         Ok(())
     }
 
     async fn push(&self, data: &[u8]) -> Result<(), BodyError> {
-        let bytes = data.len() + BESIDE_DATA;
-        let place = self.ahead.wait_for_place(bytes).await?;
-        // A copy of its own: it would keep the whole buffer into which it was read.
-        let _ = self.pieces.send(Piece::Data(Bytes::copy_from_slice(data), place));
+        let bytes = data.len() + PIECE_OVERHEAD;
+        let memory = self.ahead.wait_for_memory(bytes).await?;
+        // Copied, as a slice would keep the whole read buffer alive.
+        let _ = self.pieces.send(Piece::Data(Bytes::copy_from_slice(data), memory));
         Ok(())
     }
 }
 
-/// The next bytes of a body; none at its end.
+/// The next bytes of a body; `None` at its end.
 async fn next_piece(client: &Weak<TrackedStream>, body: &mut Incoming) -> Result<Option<Bytes>, BodyError> {
     loop {
-        // What was read late, as its server took nothing, came long ago; so its client has waited since.
-        let waited_until = client.upgrade().ok_or(BodyError::Cut)?.waited_until();
-        let patience = NEXT_PIECE.saturating_sub(waited_until.elapsed()).max(LEAST_PATIENCE);
-        let frame = timeout(patience, body.frame()).await.map_err(|_| BodyError::Stalled)?;
+        // Data that was read late because its server accepted none arrived long ago, and the client
+        // has been waiting since.
+        let last_empty_at = client.upgrade().ok_or(BodyError::Cut)?.last_empty_at();
+        let limit = PROGRESS_TIMEOUT.saturating_sub(last_empty_at.elapsed()).max(MIN_PROGRESS_TIMEOUT);
+        let frame = timeout(limit, body.frame()).await.map_err(|_| BodyError::Stalled)?;
         let Some(frame) = frame else { return Ok(None) };
         if let Ok(data) = frame.map_err(|_| BodyError::Cut)?.into_data() {
             return Ok(Some(data));
@@ -191,35 +199,37 @@
     }
 }
 
-/// Reads a body as far as it is kept whole; without room for it, nothing of it is. One that comes too slowly is given up.
+/// Reads a body up to the size that is buffered; with `keep` false nothing of it is kept. A body
+/// that arrives too slowly is given up.
 ///
 /// # Errors
-/// Where it does not come.
-pub async fn begin(body: Incoming, keep: bool) -> Result<BodyStart, BodyError> {
-    let longest = WHOLE_BODY + SLOWEST * MAX_BUFFERED_BYTES as u32;
-    timeout(longest, streaming::read_start(body, MAX_BUFFERED_BYTES, NEXT_PIECE, keep))
+/// If the body does not arrive.
+pub async fn read_start(body: Incoming, keep: bool) -> Result<BodyStart, BodyError> {
+    let longest = BASE_BODY_TIME + TIME_PER_BYTE * MAX_BUFFERED_BYTES as u32;
+    timeout(longest, streaming::read_start(body, MAX_BUFFERED_BYTES, PROGRESS_TIMEOUT, keep))
         .await
         .unwrap_or(Err(BodyError::Stalled))
 }
 
-/// Goes on with a body whose request is answered: where its server still gives a large answer, as long as it takes the body, else
-/// so that its client gets to see the answer.
-pub async fn go_on(passing: impl Future<Output = Passed>, answer_flows: bool) {
+/// Continues to read a body whose request is answered: if a large answer is being streamed, as long
+/// as the server takes the body, otherwise only so that the client gets to see the answer.
+pub async fn finish(passing: impl Future<Output = PassedBody>, is_answer_streamed: bool) {
     let all = async {
         let passed = passing.await;
-        if passed.came.is_err_and(BodyError::is_untaken) {
-            drain(passed.body).await;
+        if passed.result.is_err_and(BodyError::is_untaken) {
+            discard(passed.body).await;
         }
     };
-    if answer_flows {
+    if is_answer_streamed {
         all.await;
     } else {
-        let _ = timeout(LONGEST_DRAIN, all).await;
+        let _ = timeout(DISCARD_TIMEOUT, all).await;
     }
 }
 
-/// Reads the rest of a body that nobody needs, so that its client gets to see the answer; one that goes on is cut off.
-pub async fn drain(mut body: Incoming) {
-    let all = async { while let Ok(Some(Ok(_))) = timeout(NEXT_PIECE, body.frame()).await {} };
-    let _ = timeout(LONGEST_DRAIN, all).await;
+/// Reads the rest of a body that is not needed, so that the client gets to see the answer; one that
+/// goes on too long is cut off.
+pub async fn discard(mut body: Incoming) {
+    let all = async { while let Ok(Some(Ok(_))) = timeout(PROGRESS_TIMEOUT, body.frame()).await {} };
+    let _ = timeout(DISCARD_TIMEOUT, all).await;
 }
--- a/crates/pearfront-store/src/disk.rs
+++ b/crates/pearfront-store/src/disk.rs
@@ -1,66 +1,71 @@
-//! The seam: what a store asks of a folder, and no more. Names are plain file names.
+//! `Disk`: the file operations that a store needs, and `Folder`, which performs them on a real directory. File
+//! names are plain names without a path.
 
 use std::fs::{File, OpenOptions};
 use std::io::{Error, ErrorKind, Result, Write};
 use std::path::{Path, PathBuf};
 
-/// A folder of files. Nothing that was written is durable before its sync has returned; a renamed name not before
-/// `sync_folder` has.
+/// A folder of files. Data is durable only once `sync` has returned, and a renamed name only once `sync_folder`
+/// has.
 pub trait Disk {
-    /// The whole file; none if there is none.
+    /// The whole file; none if it does not exist.
     ///
     /// # Errors
-    /// It is there and can't be read.
+    /// The file exists and can't be read.
     fn read(&mut self, name: &str) -> Result<Option<Vec<u8>>>;
-    /// Writes behind what is there, or begins the file.
+    /// Appends to the file, which is created if needed.
     ///
     /// # Errors
-    /// Part of it may have been written.
+    /// Part of the bytes may have been written.
     fn append(&mut self, name: &str, bytes: &[u8]) -> Result<()>;
-    /// Cuts the file to so many bytes.
+    /// Truncates the file to this length.
     ///
     /// # Errors
-    /// It may have been cut or not.
+    /// It may have been truncated or not.
     fn truncate(&mut self, name: &str, length: usize) -> Result<()>;
-    /// Begins the file anew, with this in it.
+    /// Replaces the contents of the file.
     ///
     /// # Errors
-    /// Any part of it may stand there.
+    /// The file may hold any part of the new contents.
     fn replace(&mut self, name: &str, bytes: &[u8]) -> Result<()>;
+    /// Makes the contents of the file durable.
+    ///
     /// # Errors
-    /// What was not synced may be lost, also if a later sync succeeds.
+    /// Unsynced data may be lost, even if a later sync succeeds.
     fn sync(&mut self, name: &str) -> Result<()>;
-    /// Gives a file another's name, which then is its own alone.
+    /// Renames a file, replacing any file of the new name.
     ///
     /// # Errors
-    /// One of the two names stands.
+    /// The file has one of the two names.
     fn rename(&mut self, from: &str, to: &str) -> Result<()>;
+    /// Makes names durable.
+    ///
     /// # Errors
-    /// Names may be as they were.
+    /// Names may be as they were before.
     fn sync_folder(&mut self) -> Result<()>;
 }
 
-/// A real folder, held by one process at a time.
+/// A real folder, used by one process at a time.
 pub struct Folder {
     path: PathBuf,
-    /// The last file that was appended to stays open.
-    open: Option<(String, File)>,
-    /// Held as long as this is; none to look only.
+    /// The file that was last appended to stays open.
+    open_file: Option<(String, File)>,
+    /// Held as long as the folder is open for writing.
     _lock: Option<File>,
 }
 
-const LOCK: &str = "lock";
+const LOCK_FILE: &str = "lock";
 
 impl Folder {
-    /// Opens it, and makes it if it is not there.
+    /// Opens the folder and creates it if needed.
     ///
     /// # Errors
-    /// It can't be had, or another process holds it.
+    /// It can't be opened, or another process holds it.
     pub fn open(path: &Path) -> Result<Self> {
         std::fs::create_dir_all(path)?;
-        let lock = OpenOptions::new().create(true).append(true).open(path.join(LOCK))?;
+        let lock = OpenOptions::new().create(true).append(true).open(path.join(LOCK_FILE))?;
         match lock.try_lock() {
-            Ok(()) => Ok(Self { path: path.into(), open: None, _lock: Some(lock) }),
+            Ok(()) => Ok(Self { path: path.into(), open_file: None, _lock: Some(lock) }),
             Err(std::fs::TryLockError::WouldBlock) => {
                 Err(Error::new(ErrorKind::ResourceBusy, "another process holds this folder"))
             }
@@ -68,18 +73,18 @@
         }
     }
 
-    /// To look at what is there, also while a process holds it.
+    /// Opens the folder for reading, even while a process holds it.
     pub fn open_read_only(path: &Path) -> Self {
-        Self { path: path.into(), open: None, _lock: None }
+        Self { path: path.into(), open_file: None, _lock: None }
     }
 
-    fn appended(&mut self, name: &str) -> Result<&mut File> {
-        if self.open.as_ref().is_none_or(|(open, _)| open != name) {
+    fn append_handle(&mut self, name: &str) -> Result<&mut File> {
+        if self.open_file.as_ref().is_none_or(|(open, _)| open != name) {
             let file = OpenOptions::new().create(true).append(true).open(self.path.join(name))?;
-            self.open = Some((name.into(), file));
+            self.open_file = Some((name.into(), file));
         }
-        let open = self.open.as_mut().map(|(_, file)| file);
-        open.ok_or_else(|| Error::other("no file is open"))
+        let file = self.open_file.as_mut().map(|(_, file)| file);
+        file.ok_or_else(|| Error::other("no file is open"))
     }
 }
 
@@ -93,27 +98,27 @@
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> Result<()> {
-        self.appended(name)?.write_all(bytes)
+        self.append_handle(name)?.write_all(bytes)
     }
 
     fn truncate(&mut self, name: &str, length: usize) -> Result<()> {
-        self.appended(name)?.set_len(length as u64)
+        self.append_handle(name)?.set_len(length as u64)
     }
 
     fn replace(&mut self, name: &str, bytes: &[u8]) -> Result<()> {
-        self.open = None;
+        self.open_file = None;
         let mut file = File::create(self.path.join(name))?;
         file.write_all(bytes)?;
-        self.open = Some((name.into(), file));
+        self.open_file = Some((name.into(), file));
         Ok(())
     }
 
     fn sync(&mut self, name: &str) -> Result<()> {
-        self.appended(name)?.sync_all()
+        self.append_handle(name)?.sync_all()
     }
 
     fn rename(&mut self, from: &str, to: &str) -> Result<()> {
-        self.open = None;
+        self.open_file = None;
         std::fs::rename(self.path.join(from), self.path.join(to))
     }
 
