--- a/crates/pearfront-cli/src/soak.rs
+++ b/crates/pearfront-cli/src/soak.rs
@@ -3,7 +3,7 @@
 use crate::CommandError;
 use pearfront_soak::judge::{Break, Rule, Verdict, judge};
 use pearfront_soak::plan::Plan;
-use pearfront_soak::player::{Played, Setup, play};
+use pearfront_soak::runner::{RunSummary, Setup, run};
 use pearfront_soak::{record, role, shim};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -51,7 +51,7 @@
 impl SoakRole {
     pub fn run(self) -> Result<(), CommandError> {
         let runtime = crate::runtime()?;
-        LocalSet::new().block_on(&runtime, role::play()).map_err(CommandError::Failed)
+        LocalSet::new().block_on(&runtime, role::run()).map_err(CommandError::Failed)
     }
 }
 
@@ -72,7 +72,7 @@
             library.transpose().map_err(|error| CommandError::Failed(format!("fault shim: {error}")))?;
         let setup = |seed: u64| Setup {
             node: node.clone(),
-            role: (own_program.clone(), ROLE_COMMAND.into()),
+            role_command: (own_program.clone(), ROLE_COMMAND.into()),
             folder: base.join(format!("seed-{seed}")),
             shim: library.clone(),
         };
@@ -110,11 +110,11 @@
     }
 }
 
-fn play_one(plan: &Plan, setup: Setup) -> Result<(Played, Verdict), CommandError> {
+fn play_one(plan: &Plan, setup: Setup) -> Result<(RunSummary, Verdict), CommandError> {
     let folder = setup.folder.clone();
     remove_old_records(&folder);
     let runtime = crate::runtime()?;
-    let played = LocalSet::new().block_on(&runtime, play(plan, setup)).map_err(CommandError::Failed)?;
+    let played = LocalSet::new().block_on(&runtime, run(plan, setup)).map_err(CommandError::Failed)?;
     let records = record::read_all(&folder).map_err(|error| CommandError::Failed(error.to_string()))?;
     let verdict = judge(plan, &records);
     write_breaks(&folder, &verdict.breaks).map_err(|error| CommandError::Failed(error.to_string()))?;
@@ -141,10 +141,10 @@
 }
 
 fn break_line(broken: &Break) -> String {
-    format!("{:?} at {:.0}: {}", broken.rule, broken.at, broken.what)
+    format!("{:?} at {:.0}: {}", broken.rule, broken.at, broken.description)
 }
 
-fn print_summary(plan: &Plan, played: &Played, verdict: &Verdict) {
+fn print_summary(plan: &Plan, played: &RunSummary, verdict: &Verdict) {
     let Verdict { requests, attempts, served, refused, left, unserved, shut_unread, breaks } = verdict;
     let fleet = &plan.fleet;
     println!(
@@ -155,7 +155,7 @@
         fleet.nodes,
         fleet.servers,
         if fleet.pushed { "pushed" } else { "asked for" },
-        if fleet.asks_first { "requests held, asked first" } else { "utilisation" },
+        if fleet.probes_first { "requests held, asked first" } else { "utilisation" },
         played.violations,
         if breaks.is_empty() {
             "rules kept".into()
--- a/crates/pearfront-soak/src/helper.rs
+++ b/crates/pearfront-soak/src/role_process.rs
@@ -1,19 +1,19 @@
-//! The processes of a play that are no nodes, as the player sees them.
+//! The processes of a soak that are not nodes, as the runner starts them and gives them orders.
 
-use crate::player::Setup;
 use crate::role::{Order, Role};
+use crate::runner::Setup;
 use std::process::{Child, Command, Stdio};
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 use tokio::task::spawn_local;
 
-/// One of the processes that are no nodes.
-pub struct Helper {
+/// A running process with a role.
+pub struct RoleProcess {
     pub child: Child,
     orders: UnboundedSender<Vec<u8>>,
 }
 
-impl Helper {
-    /// Has the process do something.
+impl RoleProcess {
+    /// Sends the process an order.
     pub fn order(&self, order: &Order) {
         let mut line = serde_json::to_vec(order).expect("orders are plain");
         line.push(b'\n');
@@ -21,9 +21,9 @@
     }
 }
 
-/// Starts a process that plays a role.
-pub fn start(setup: &Setup, role: &Role) -> Result<Helper, String> {
-    let (program, argument) = &setup.role;
+/// Starts a process with a role.
+pub fn start(setup: &Setup, role: &Role) -> Result<RoleProcess, String> {
+    let (program, argument) = &setup.role_command;
     let mut child = Command::new(program)
         .arg(argument)
         .stdin(Stdio::piped())
@@ -37,12 +37,12 @@
     let _ = orders.send(line);
     spawn_local(async move {
         use std::io::Write;
-        // A few short lines: the pipe takes them at once.
+        // The lines are few and short, so the pipe takes them without blocking.
         while let Some(line) = lines.recv().await {
             if input.write_all(&line).is_err() {
                 return;
             }
         }
     });
-    Ok(Helper { child, orders })
+    Ok(RoleProcess { child, orders })
 }
