--- a/crates/pearfront-scale/src/clock.rs
+++ b/crates/pearfront-scale/src/clock.rs
@@ -1,16 +1,16 @@
-//! Processor time and memory of this process, from the kernel.
+//! Processor time and memory of this process as the kernel reports them; used by all measurements.
 
 use rustix::time::{ClockId, clock_gettime};
 
-/// Reads by which a meter learns what it costs itself.
-const CALIBRATION: u32 = 2000;
+/// Clock reads over which a meter averages the cost of one read.
+const CALIBRATION_READS: u32 = 2000;
 
-/// Processor time of this thread so far, s.
+/// Processor time that this thread has used, s.
 pub fn thread_cpu() -> f64 {
     seconds(ClockId::ThreadCPUTime)
 }
 
-/// Processor time of this process so far, s.
+/// Processor time that this process has used, s.
 pub fn process_cpu() -> f64 {
     seconds(ClockId::ProcessCPUTime)
 }
@@ -20,21 +20,22 @@
     time.tv_sec as f64 + time.tv_nsec as f64 / 1e9
 }
 
-/// Resident memory of this process now, and the most that it ever was, MB; not a number where the kernel does not tell.
+/// Current and peak resident memory of this process, MB; NaN where the kernel does not report it.
 pub fn memory_mb() -> (f64, f64) {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let of = |key: &str| {
+    let value_mb = |key: &str| {
         let line = text.lines().find_map(|line| line.strip_prefix(key));
-        let kb = line.and_then(|line| line.split_whitespace().next()).and_then(|word| word.parse().ok());
+        let kb = line.and_then(|line| line.split_whitespace().next()).and_then(|field| field.parse().ok());
         kb.map_or(f64::NAN, |kb: f64| kb / 1024.0)
     };
-    (of("VmRSS:"), of("VmHWM:"))
+    (value_mb("VmRSS:"), value_mb("VmHWM:"))
 }
 
-/// Sums the processor time of calls that are taken out of a longer run, less what reading the clock costs.
+/// Sums the processor time of selected calls within a longer run, minus the cost of reading the clock.
 #[derive(Debug, Clone)]
 pub struct Meter {
-    own: f64,
+    /// Cost of one clock read, s.
+    clock_read_cost: f64,
     spent: f64,
     calls: u64,
 }
@@ -42,24 +43,24 @@
 impl Default for Meter {
     fn default() -> Self {
         let begin = thread_cpu();
-        for _ in 0..CALIBRATION {
+        for _ in 0..CALIBRATION_READS {
             std::hint::black_box(thread_cpu());
         }
-        Self { own: (thread_cpu() - begin) / f64::from(CALIBRATION), spent: 0.0, calls: 0 }
+        Self { clock_read_cost: (thread_cpu() - begin) / f64::from(CALIBRATION_READS), spent: 0.0, calls: 0 }
     }
 }
 
 impl Meter {
-    /// Counts what this call takes.
-    pub fn take<T>(&mut self, call: impl FnOnce() -> T) -> T {
+    /// Runs a call and adds its processor time.
+    pub fn measure<T>(&mut self, call: impl FnOnce() -> T) -> T {
         let begin = thread_cpu();
         let value = call();
-        self.spent += thread_cpu() - begin - self.own;
+        self.spent += thread_cpu() - begin - self.clock_read_cost;
         self.calls += 1;
         value
     }
 
-    /// Processor time so far, s.
+    /// Processor time of all measured calls, s.
     pub fn spent(&self) -> f64 {
         self.spent.max(0.0)
     }
--- a/crates/pearfront-scale/src/fit.rs
+++ b/crates/pearfront-scale/src/fit.rs
@@ -1,23 +1,23 @@
-//! Slopes by least squares. Sizes lie a factor of two or more apart and figures follow them, so each point counts by its
-//! relative error: else the largest alone would make the line.
+//! Least-squares fits of a figure against size, for the rows of a result. Sizes lie a factor of two or more apart and figures
+//! grow with them, so points are weighted by relative error; otherwise the largest point alone would determine the line.
 
 use serde::{Deserialize, Serialize};
 
-/// How a figure is expected to follow its size.
+/// How a figure is expected to grow with size.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Form {
     Linear,
-    /// With the square of the size.
+    /// Proportional to the square of the size.
     Square,
-    /// With the logarithm of the size, base 2.
+    /// Proportional to the base-2 logarithm of the size.
     Log,
-    /// Not at all: the mean.
+    /// Independent of size: the mean is taken.
     Constant,
 }
 
 impl Form {
-    fn of(self, size: f64) -> f64 {
+    fn transform(self, size: f64) -> f64 {
         match self {
             Form::Linear => size,
             Form::Square => size * size,
@@ -26,6 +26,7 @@
         }
     }
 
+    /// The size term as the Markdown table prints it.
     pub fn formula(self) -> &'static str {
         match self {
             Form::Linear => "x",
@@ -43,23 +44,25 @@
     pub form: Form,
     pub fixed: f64,
     pub slope: f64,
-    /// Standard errors of both; 0 where there are no more points than unknowns.
+    /// Standard errors of `fixed` and `slope`; 0 if there are no more points than unknowns.
     pub fixed_error: f64,
     pub slope_error: f64,
-    /// Farthest that a point lies from the line, as a share of the point.
+    /// Largest distance of a point from the line, relative to the point.
     pub farthest: f64,
-    /// Power with which the figure grows over the range, by a line through logarithms: 1 is linear.
+    /// Exponent of growth over the range, fitted through the logarithms; 1 is linear.
     pub power: f64,
+    /// Smallest and largest measured size.
     pub least: f64,
     pub most: f64,
+    /// Number of points.
     pub points: usize,
 }
 
 impl Fit {
-    /// Fits points of size and figure.
+    /// Fits a line to points of size and figure.
     ///
     /// # Errors
-    /// Fewer than two sizes, or a figure that is no number.
+    /// Fewer than two different sizes, or a size or figure that is not a usable number.
     pub fn new(form: Form, points: &[(f64, f64)]) -> Result<Self, String> {
         if points.iter().any(|(size, figure)| !size.is_finite() || !figure.is_finite() || *size <= 0.0) {
             return Err("a point is no number".into());
@@ -70,25 +73,29 @@
             return Err("a slope needs two sizes".into());
         }
         let scale = points.iter().map(|point| point.1.abs()).fold(0.0, f64::max);
-        let weighted: Vec<(f64, f64, f64)> =
-            points.iter().map(|(size, figure)| (form.of(*size), *figure, weight(*figure, scale))).collect();
+        let weighted: Vec<(f64, f64, f64)> = points
+            .iter()
+            .map(|(size, figure)| (form.transform(*size), *figure, weight(*figure, scale)))
+            .collect();
         let (fixed, slope, fixed_error, slope_error) =
             if form == Form::Constant { mean(&weighted) } else { line(&weighted) };
-        let off = |(x, figure, _): &(f64, f64, f64)| {
+        let relative_residual = |(x, figure, _): &(f64, f64, f64)| {
             (fixed + slope * x - figure).abs() / figure.abs().max(f64::MIN_POSITIVE)
         };
-        let farthest = weighted.iter().filter(|point| point.1 != 0.0).map(off).fold(0.0, f64::max);
+        let farthest =
+            weighted.iter().filter(|point| point.1 != 0.0).map(relative_residual).fold(0.0, f64::max);
         let count = points.len();
         let power = power(points);
         Ok(Self { form, fixed, slope, fixed_error, slope_error, farthest, power, least, most, points: count })
     }
 
+    /// Value of the line at a size.
     pub fn at(&self, size: f64) -> f64 {
-        self.fixed + self.slope * self.form.of(size)
+        self.fixed + self.slope * self.form.transform(size)
     }
 
-    /// The smallest size at which the line is over `bound`; none if it never is. A line that is over it already at size 1
-    /// says 1.
+    /// The size at which the line exceeds `bound`; `None` if it never does. Returns 1 if the line exceeds it already at
+    /// size 1.
     pub fn crosses(&self, bound: f64) -> Option<f64> {
         if self.at(1.0) > bound {
             return Some(1.0);
@@ -104,16 +111,17 @@
         })
     }
 
-    /// How far beyond the largest measured size, as a factor; 1 within the range.
+    /// Ratio of a size to the largest measured size; 1 within the measured range.
     pub fn extrapolated(&self, size: f64) -> f64 {
         (size / self.most).max(1.0)
     }
 }
 
-/// By relative error; a point near zero counts no more than one of a thousandth of the largest.
+/// Weight by relative error. A point near zero weighs no more than one at a thousandth of the largest, so that it does not
+/// dominate the fit.
 fn weight(figure: f64, scale: f64) -> f64 {
-    let least = (scale * 1e-3).max(f64::MIN_POSITIVE.sqrt());
-    1.0 / figure.abs().max(least).powi(2)
+    let floor = (scale * 1e-3).max(f64::MIN_POSITIVE.sqrt());
+    1.0 / figure.abs().max(floor).powi(2)
 }
 
 fn mean(points: &[(f64, f64, f64)]) -> (f64, f64, f64, f64) {
@@ -124,30 +132,31 @@
     (mean, 0.0, error, 0.0)
 }
 
-/// Weighted least squares: fixed part, slope and their standard errors.
+/// Weighted least squares: intercept, slope and their standard errors.
 fn line(points: &[(f64, f64, f64)]) -> (f64, f64, f64, f64) {
-    let sum = |of: fn(&(f64, f64, f64)) -> f64| points.iter().map(of).sum::<f64>();
+    let sum = |term: fn(&(f64, f64, f64)) -> f64| points.iter().map(term).sum::<f64>();
     let weights = sum(|point| point.2);
     let (x, y) = (sum(|point| point.2 * point.0) / weights, sum(|point| point.2 * point.1) / weights);
-    let across: f64 = points.iter().map(|point| point.2 * (point.0 - x).powi(2)).sum();
-    let along: f64 = points.iter().map(|point| point.2 * (point.0 - x) * (point.1 - y)).sum();
-    let slope = along / across;
+    let sum_xx: f64 = points.iter().map(|point| point.2 * (point.0 - x).powi(2)).sum();
+    let sum_xy: f64 = points.iter().map(|point| point.2 * (point.0 - x) * (point.1 - y)).sum();
+    let slope = sum_xy / sum_xx;
     let fixed = y - slope * x;
-    let free = points.len() as f64 - 2.0;
-    if free <= 0.0 {
+    let degrees_of_freedom = points.len() as f64 - 2.0;
+    if degrees_of_freedom <= 0.0 {
         return (fixed, slope, 0.0, 0.0);
     }
-    let left: f64 = points.iter().map(|point| point.2 * (fixed + slope * point.0 - point.1).powi(2)).sum();
-    let variance = left / free;
-    let fixed_error = (variance * (1.0 / weights + x * x / across)).sqrt();
-    (fixed, slope, fixed_error, (variance / across).sqrt())
+    let residuals: f64 =
+        points.iter().map(|point| point.2 * (fixed + slope * point.0 - point.1).powi(2)).sum();
+    let variance = residuals / degrees_of_freedom;
+    let fixed_error = (variance * (1.0 / weights + x * x / sum_xx)).sqrt();
+    (fixed, slope, fixed_error, (variance / sum_xx).sqrt())
 }
 
-/// Slope through the logarithms of both; 0 where a figure is not above zero.
+/// Slope of the line through the logarithms of size and figure; 0 if any figure is not above zero.
 fn power(points: &[(f64, f64)]) -> f64 {
     if points.iter().any(|point| point.1 <= 0.0) {
         return 0.0;
     }
-    let logs: Vec<_> = points.iter().map(|(size, figure)| (size.ln(), figure.ln(), 1.0)).collect();
-    line(&logs).1
+    let log_points: Vec<_> = points.iter().map(|(size, figure)| (size.ln(), figure.ln(), 1.0)).collect();
+    line(&log_points).1
 }
--- a/crates/pearfront-scale/src/measure/distribution.rs
+++ b/crates/pearfront-scale/src/measure/distribution.rs
@@ -176,7 +176,7 @@
 
     fn distribute(&mut self, call: impl FnOnce(&mut Distributor, f64)) {
         let (now, core) = (self.now, &mut self.distributor);
-        let out = self.meter.take(|| {
+        let out = self.meter.measure(|| {
             call(core, now);
             core.take_actions()
         });
@@ -216,7 +216,7 @@
             let applied = core.apply_pending(|_| Ok(()));
             (core.take_actions(), core.due().max(now), applied)
         };
-        let (out, due, applied) = if metered { self.node_meter.take(work) } else { work() };
+        let (out, due, applied) = if metered { self.node_meter.measure(work) } else { work() };
         let node = &mut self.nodes[who];
         if due < node.woken {
             node.woken = due;
--- a/crates/pearfront-scale/src/measure/duties.rs
+++ b/crates/pearfront-scale/src/measure/duties.rs
@@ -103,7 +103,7 @@
             call(seat, now);
             settle(seat, counts, now)
         };
-        let sent = if leads { self.meter.take(work) } else { work() };
+        let sent = if leads { self.meter.measure(work) } else { work() };
         sent.into_iter().for_each(|word| self.send(word));
     }
 
--- a/crates/pearfront-scale/src/measure/membership.rs
+++ b/crates/pearfront-scale/src/measure/membership.rs
@@ -136,7 +136,7 @@
             (core.take_actions(), core.due().max(now))
         };
         let (out, due) = if process.metered {
-            self.meter.take(|| work(&mut process.core))
+            self.meter.measure(|| work(&mut process.core))
         } else {
             work(&mut process.core)
         };
--- a/crates/pearfront-scale/src/measure/voters.rs
+++ b/crates/pearfront-scale/src/measure/voters.rs
@@ -113,7 +113,7 @@
             let value = call(&mut seat.voter, now);
             (value, seat.voter.take_actions(), seat.voter.due().max(now))
         };
-        let (value, out, due) = if leads { self.meter.take(work) } else { work() };
+        let (value, out, due) = if leads { self.meter.measure(work) } else { work() };
         let seat = &mut self.seats[place];
         if due < seat.woken {
             seat.woken = due;
--- a/crates/pearfront-scale/src/plan.rs
+++ b/crates/pearfront-scale/src/plan.rs
@@ -1,18 +1,20 @@
-//! The file that says what is measured and what it is held against; unknown keys are refused.
+//! The plan file of `pearfront scale` (TOML): what is measured, at which sizes, and against which budgets. Unknown keys are
+//! rejected.
 
 use crate::fit::Form;
 use crate::measure::Measurement;
 use serde::{Deserialize, Serialize};
 
+/// A whole plan file.
 #[derive(Debug, Clone, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
     pub name: String,
-    /// Servers of the fleet that the target is.
+    /// Servers of the target fleet.
     pub fleet: f64,
     #[serde(default)]
     pub series: Vec<Series>,
-    /// What is held against a budget without a slope of its own: assumed, or carried by nothing.
+    /// Figures that are compared with a budget without a measured slope: assumed, or provided by no component.
     #[serde(default)]
     pub stated: Vec<Stated>,
 }
@@ -22,21 +24,22 @@
 #[serde(deny_unknown_fields)]
 pub struct Series {
     pub measure: Measurement,
-    /// What is varied, in words.
+    /// Name of the quantity that is varied.
     pub by: String,
     pub sizes: Vec<usize>,
-    /// Simulated time of each point, s.
+    /// Simulated time (or real time, on real sockets) of each point, s.
     pub seconds: f64,
-    /// Points of each size, each with a seed of its own.
-    #[serde(default = "once")]
+    /// Points for each size, each with its own seed.
+    #[serde(default = "default_repeats")]
     pub repeats: u64,
     pub rows: Vec<Row>,
 }
 
-fn once() -> u64 {
+fn default_repeats() -> u64 {
     1
 }
 
+/// A figure of a series with its expected growth, budget and bound.
 #[derive(Debug, Clone, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Row {
@@ -44,19 +47,20 @@
     pub figure: String,
     pub unit: String,
     pub form: Form,
-    /// The target's number of what is varied.
+    /// Value of the varied quantity at the target.
     pub at: f64,
-    /// Budget in the figure's own unit; none if there is none.
+    /// Budget in the unit of the figure, if there is one.
     pub budget: Option<f64>,
-    /// Does what is varied grow with the fleet? Else the row fails at any size or at none.
+    /// Whether the varied quantity grows with the fleet. If not, the row fails at every fleet size or at none.
     #[serde(default)]
     pub grows: bool,
-    /// Bound on what is varied that the code has, whatever it costs.
+    /// Hard limit that the code sets on the varied quantity, whatever the cost.
     pub bound: Option<f64>,
-    /// What carries it, by crate; `nothing` if nothing does.
+    /// Crate that provides the function; `nothing` if none does.
     pub carried_by: String,
 }
 
+/// A figure that is stated in the plan instead of measured.
 #[derive(Debug, Clone, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Stated {
@@ -64,30 +68,36 @@
     pub figure: f64,
     pub unit: String,
     pub budget: f64,
-    /// Fleet size at which it first fails.
+    /// Smallest fleet size at which it fails.
     pub fails_at: Option<f64>,
-    /// `assumed`, `sum` or `nothing carries it`, and why.
+    /// Origin of the figure (`assumed`, `sum` or `nothing carries it`) and the reason.
     pub how: String,
     pub carried_by: String,
 }
 
 impl Plan {
+    /// Parses and validates a plan.
+    ///
     /// # Errors
-    /// The first mistake, by key and line.
+    /// The first mistake, with its key.
     pub fn parse(text: &str) -> Result<Self, String> {
         let plan: Self = toml::from_str(text).map_err(|error| error.to_string())?;
         for series in &plan.series {
             let by = &series.by;
             if series.sizes.len() < 2 || series.sizes.contains(&0) {
-                return Err(format!("sizes of {by:?}: two or more, each above 0"));
+                return Err(format!("sizes of {by:?}: two or more are needed, each above 0"));
             }
             if !series.sizes.windows(2).all(|pair| pair[0] < pair[1]) {
-                return Err(format!("sizes of {by:?}: each above the one before"));
+                return Err(format!("sizes of {by:?}: each must be above the one before"));
             }
             if series.repeats == 0 || series.seconds <= 0.0 || !series.seconds.is_finite() {
-                return Err(format!("repeats and seconds of {by:?}: above 0"));
+                return Err(format!("repeats and seconds of {by:?}: must be above 0"));
             }
         }
-        if plan.fleet.is_finite() && plan.fleet > 0.0 { Ok(plan) } else { Err("fleet: above 0".into()) }
+        if plan.fleet.is_finite() && plan.fleet > 0.0 {
+            Ok(plan)
+        } else {
+            Err("fleet: must be above 0".into())
+        }
     }
 }
