--- a/crates/pearfront-node/tests/scale.rs
+++ b/crates/pearfront-node/tests/scale.rs
@@ -3,7 +3,7 @@
 
 use pearfront_emulator::again::{PLAYS, Play, in_time};
 use pearfront_scale::Point;
-use pearfront_scale::measure::chain::{self, Asked};
+use pearfront_scale::measure::chain::{self, Quantile};
 use pearfront_scale::measure::hollow;
 use std::path::Path;
 
@@ -36,7 +36,7 @@
 
 #[test]
 fn every_call_comes_through_a_chain_of_nodes() {
-    let point = played(|point| chain::by_depth(point, 3, 2.0, 1, Asked::Middle, node()));
+    let point = played(|point| chain::by_depth(point, 3, 2.0, 1, Quantile::Median, node()));
     assert_eq!(point.figures["failed"], 0.0, "{point:?}");
     assert!(point.figures["calls"] > 50.0 && point.figures["added_ms_p50"].is_finite(), "{point:?}");
 }
--- a/crates/pearfront-scale/src/measure/hollow.rs
+++ b/crates/pearfront-scale/src/measure/hollow.rs
@@ -1,7 +1,8 @@
-//! Hollow processes: the real core of membership on real links and datagrams, many in one process, without jobs. Two real
-//! nodes are among them, so that the difference is measured; one of these is killed in the end.
+//! Measures membership on real sockets with hollow members: they run the real membership core with real connections and
+//! datagrams, many in one process, but handle no requests. Two real nodes take part, so that the difference can be measured;
+//! one of them is killed at the end to measure failure detection.
 
-use super::rig::{Node, descriptors_of, lateness, on_one_thread, place};
+use super::rig::{Node, descriptors_of, lateness, loopback_address, on_one_thread};
 use crate::Point;
 use crate::clock::{memory_mb, process_cpu};
 use pearfront_cluster::{Cluster, Settings, View};
@@ -12,23 +13,25 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-/// Real nodes among the hollow ones.
-const REAL: usize = 2;
-/// Hollow processes whose view is read.
-const READ: usize = 8;
+/// Real nodes among the hollow members.
+const REAL_NODES: usize = 2;
+/// Hollow members whose view is read.
+const OBSERVED_MEMBERS: usize = 8;
 /// Pause between two starts.
-const STAGGER: Duration = Duration::from_millis(100);
-/// How long the join is waited for, and the pause until it is quiet.
-const JOIN: Duration = Duration::from_secs(120);
-const SETTLE: Duration = Duration::from_secs(15);
-/// How often views are looked at, and how long a loss is waited for.
-const LOOK: Duration = Duration::from_millis(50);
-const LOSS: Duration = Duration::from_secs(20);
-/// Lateness at the hundredth, ms, from which on the point is void: a core that stood still for longer doubts itself.
-const LATE: f64 = 250.0;
+const START_INTERVAL: Duration = Duration::from_millis(100);
+/// Time within which all members must agree after the start.
+const JOIN_TIMEOUT: Duration = Duration::from_secs(120);
+/// Pause after the join until traffic is back to the steady state.
+const SETTLE_TIME: Duration = Duration::from_secs(15);
+/// Interval at which views are read.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Time within which the loss of the killed node must be detected.
+const LOSS_TIMEOUT: Duration = Duration::from_secs(20);
+/// Lateness at the 99th percentile, ms, above which the point is void: a core that was stalled for longer doubts its own health.
+const MAX_LATENESS_P99_MS: f64 = 250.0;
 
-/// A node's file, with the least that it asks for.
-const FILE: &str = r#"{"seed": "8c1f30d27a5be964", "limits": {"memory_mb": 192, "sockets": 1024},
+/// Minimal configuration file of a node.
+const NODE_CONFIG: &str = r#"{"seed": "8c1f30d27a5be964", "limits": {"memory_mb": 192, "sockets": 1024},
 "known": {"generation": 1, "reset": true, "instances": []},
 "settings": {"siblings": 1, "tier": 0, "locality": 0, "round": 4000000, "discovery": "on_request",
 "azs": ["a"], "host_types": ["m1"], "customers": [{"name": "acme", "quota_per_s": 100.0}],
@@ -39,116 +42,128 @@
 "rules": {"ask_within": 10000000000, "cold": 9000000000, "cold_from": 0.3, "tip_multiple": 4.0,
 "overload_for": 2000000000}}}"#;
 
-/// Kinds of places, none that another measurement has: a member's address, a real node's for jobs, discovery that is not there.
+/// Port groups, distinct from those of other measurements: cluster addresses of members, request addresses of real nodes, and
+/// discovery, where nothing listens.
 const MEMBER: u16 = 1;
-const JOBS: u16 = 20;
+const REQUESTS: u16 = 20;
 const DISCOVERY: u16 = 21;
 
 fn settings(number: usize) -> Value {
     json!({"installation": format!("scale-{}", std::process::id()), "name": format!("n{number:05}"),
-        "zone": format!("z{}", number % 12), "listen": place(MEMBER, number),
-        "seeds": [place(MEMBER, 0), place(MEMBER, 1)]})
+        "zone": format!("z{}", number % 12), "listen": loopback_address(MEMBER, number),
+        "seeds": [loopback_address(MEMBER, 0), loopback_address(MEMBER, 1)]})
 }
 
+/// Measures a cluster of `members` hollow members and two real nodes.
+///
+/// # Errors
+/// A member or node that does not start, or members that do not agree in time.
 pub fn by_members(point: &mut Point, members: usize, seconds: f64, program: &Path) -> Result<(), String> {
     on_one_thread(measure(point, members, seconds, program))
 }
 
 async fn measure(point: &mut Point, members: usize, seconds: f64, program: &Path) -> Result<(), String> {
     let (memory, descriptors, begin) = (memory_mb().0, descriptors_of("self"), Instant::now());
-    let hollow = |number: usize| {
+    let start_hollow = |number: usize| {
         let settings: Settings =
             serde_json::from_value(settings(number)).map_err(|error| error.to_string())?;
         Cluster::start(settings, &format!("n{number:05}"))
     };
     let mut clusters = Vec::new();
     for number in 0..members {
-        clusters.push(hollow(number)?);
-        // All at once they would have one core between them, and doubt their own health: the machine's limit, not theirs.
-        sleep(STAGGER).await;
+        clusters.push(start_hollow(number)?);
+        // Starting all at once, they would share one core and doubt their own health: a limit of the machine, not of the members.
+        sleep(START_INTERVAL).await;
     }
-    let nodes = (members..members + REAL).map(|number| node(program, number));
+    let nodes = (members..members + REAL_NODES).map(|number| start_node(program, number));
     let mut nodes = nodes.collect::<Result<Vec<_>, String>>()?;
-    while !agreed(&clusters, members + REAL) {
-        if begin.elapsed() > JOIN {
-            return Err(format!("{members} members do not agree within {} s", JOIN.as_secs()));
+    while !views_agree(&clusters, members + REAL_NODES) {
+        if begin.elapsed() > JOIN_TIMEOUT {
+            return Err(format!("{members} members do not agree within {} s", JOIN_TIMEOUT.as_secs()));
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
     point.set("join_ms", begin.elapsed().as_secs_f64() * 1000.0);
-    sleep(SETTLE).await;
+    sleep(SETTLE_TIME).await;
     let counted = |clusters: &[Rc<Cluster>]| {
         let bytes = |view: View| (view.counts.bytes_out as f64, view.counts.datagrams_out as f64);
         clusters
             .iter()
-            .take(READ)
+            .take(OBSERVED_MEMBERS)
             .map(|cluster| bytes(cluster.view()))
             .fold((0.0, 0.0), |sum, one| (sum.0 + one.0, sum.1 + one.1))
     };
     let (sent, cpu) = (counted(&clusters), process_cpu());
     let real_cpu: Vec<f64> = nodes.iter().map(Node::cpu).collect();
-    let over = Instant::now() + Duration::from_secs_f64(seconds);
-    let late = spawn_local(lateness(over)).await.map_err(|error| error.to_string())??;
-    let (sent_then, cpu_then) = (counted(&clusters), process_cpu());
+    let end = Instant::now() + Duration::from_secs_f64(seconds);
+    let lateness_us = spawn_local(lateness(end)).await.map_err(|error| error.to_string())??;
+    let (sent_after, cpu_after) = (counted(&clusters), process_cpu());
     let share = |spent: f64| spent / seconds * 100.0;
-    let (all, read) = (members as f64, READ.min(members) as f64);
-    let of_nodes = |of: &dyn Fn(usize, &Node) -> f64| {
-        nodes.iter().enumerate().map(|(place, node)| of(place, node)).sum::<f64>() / REAL as f64
+    let (all, observed) = (members as f64, OBSERVED_MEMBERS.min(members) as f64);
+    let mean_of_nodes = |value: &dyn Fn(usize, &Node) -> f64| {
+        nodes.iter().enumerate().map(|(index, node)| value(index, node)).sum::<f64>() / REAL_NODES as f64
     };
-    point.set("hollow_cpu_share", share(cpu_then - cpu) / all);
+    point.set("hollow_cpu_share", share(cpu_after - cpu) / all);
     point.set("hollow_memory_kb", ((memory_mb().0 - memory) * 1024.0 / all).max(0.0));
     point.set("hollow_descriptors", (descriptors_of("self") - descriptors) as f64 / all);
-    point.set("bytes_a_second", (sent_then.0 - sent.0) / seconds / read);
-    point.set("datagrams_a_second", (sent_then.1 - sent.1) / seconds / read);
-    point.set("real_cpu_share", share(of_nodes(&|place, node| node.cpu() - real_cpu[place])));
-    point.set("real_memory_mb", of_nodes(&|_, node| node.memory_mb()));
-    point.set("real_descriptors", of_nodes(&|_, node| node.descriptors() as f64));
-    let late_ms = late.value_at_quantile(0.99) as f64 / 1000.0;
+    point.set("bytes_a_second", (sent_after.0 - sent.0) / seconds / observed);
+    point.set("datagrams_a_second", (sent_after.1 - sent.1) / seconds / observed);
+    point.set("real_cpu_share", share(mean_of_nodes(&|index, node| node.cpu() - real_cpu[index])));
+    point.set("real_memory_mb", mean_of_nodes(&|_, node| node.memory_mb()));
+    point.set("real_descriptors", mean_of_nodes(&|_, node| node.descriptors() as f64));
+    let late_ms = lateness_us.value_at_quantile(0.99) as f64 / 1000.0;
     point.set("rig_late_ms_p99", late_ms);
-    if late_ms > LATE {
+    if late_ms > MAX_LATENESS_P99_MS {
         point.void = Some(format!("the rig was {late_ms:.0} ms late at the hundredth"));
     }
-    lost(point, &clusters, &mut nodes, members).await;
+    measure_loss(point, &clusters, &mut nodes, members).await;
     Ok(())
 }
 
-fn node(program: &Path, number: usize) -> Result<Node, String> {
-    let mut file: Value = serde_json::from_str(FILE).map_err(|error| error.to_string())?;
+fn start_node(program: &Path, number: usize) -> Result<Node, String> {
+    let mut file: Value = serde_json::from_str(NODE_CONFIG).map_err(|error| error.to_string())?;
     file["cluster"] = settings(number);
-    Node::start(program, &format!("n{number:05}"), place(JOBS, number), place(DISCOVERY, number), &file)
+    Node::start(
+        program,
+        &format!("n{number:05}"),
+        loopback_address(REQUESTS, number),
+        loopback_address(DISCOVERY, number),
+        &file,
+    )
 }
 
-/// Do those that are read hold so many to be here, all alike?
-fn agreed(clusters: &[Rc<Cluster>], all: usize) -> bool {
-    let views: Vec<View> = clusters.iter().take(READ).map(|cluster| cluster.view()).collect();
-    let here =
+/// Whether all observed members see `total` members present and have identical views.
+fn views_agree(clusters: &[Rc<Cluster>], total: usize) -> bool {
+    let views: Vec<View> = clusters.iter().take(OBSERVED_MEMBERS).map(|cluster| cluster.view()).collect();
+    let present_count =
         |view: &View| view.members.iter().filter(|one| ["alive", "suspect"].contains(&one.state)).count() + 1;
-    views.iter().all(|view| here(view) == all && view.sum == views[0].sum)
+    views.iter().all(|view| present_count(view) == total && view.sum == views[0].sum)
 }
 
-/// A real node is killed: how long until the first and until all of those that are read know?
-async fn lost(point: &mut Point, clusters: &[Rc<Cluster>], nodes: &mut [Node], members: usize) {
+/// Kills a real node and measures the time until the first and until all of the observed members have detected it.
+async fn measure_loss(point: &mut Point, clusters: &[Rc<Cluster>], nodes: &mut [Node], members: usize) {
     let Some(node) = nodes.last_mut() else { return };
-    let name = format!("n{:05}", members + REAL - 1);
+    let name = format!("n{:05}", members + REAL_NODES - 1);
     node.kill();
     let begin = Instant::now();
-    let knows = |cluster: &Rc<Cluster>| {
+    let has_detected = |cluster: &Rc<Cluster>| {
         let view = cluster.view();
         let state = view.members.iter().find(|one| one.name == name).map(|one| one.state);
         !matches!(state, Some("alive" | "suspect"))
     };
     let mut first = None;
-    while begin.elapsed() < LOSS {
-        let knowing = clusters.iter().take(READ).filter(|cluster| knows(cluster)).count();
+    while begin.elapsed() < LOSS_TIMEOUT {
+        let detected_count =
+            clusters.iter().take(OBSERVED_MEMBERS).filter(|cluster| has_detected(cluster)).count();
         let ms = begin.elapsed().as_secs_f64() * 1000.0;
-        if knowing > 0 {
+        if detected_count > 0 {
             first.get_or_insert(ms);
         }
-        if knowing == READ.min(clusters.len()) {
+        if detected_count == OBSERVED_MEMBERS.min(clusters.len()) {
             point.set("killed_known_first_ms", first.unwrap_or(ms));
             point.set("killed_known_all_ms", ms);
             return;
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/pearfront-scale/src/measure/rig.rs
+++ b/crates/pearfront-scale/src/measure/rig.rs
@@ -1,5 +1,5 @@
-//! What the measurements among real sockets share: addresses on loopback, real node programs, processor time and
-//! descriptors by role, and how late this process itself was.
+//! Shared by the measurements on real sockets (`hollow`, `chain`): loopback addresses, real node processes with their processor
+//! time, memory and descriptors, and the timer lateness of the measuring process.
 
 use hdrhistogram::Histogram;
 use serde_json::Value;
@@ -11,48 +11,52 @@
 use tokio::task::LocalSet;
 use tokio::time::{Instant, sleep_until};
 
-/// How often the rig's own clock is looked at.
-const LOOK: Duration = Duration::from_millis(10);
-/// Where the node program is, if not beside this one.
-const NODE: &str = "PEARFRONT_NODE";
+/// Interval of the timer that measures the lateness of this process.
+const LATENESS_INTERVAL: Duration = Duration::from_millis(10);
+/// Environment variable with the path of the node program, if it is not next to this program.
+const NODE_PROGRAM_VARIABLE: &str = "PEARFRONT_NODE";
 
-/// Runs on one thread, as a node does.
+/// Runs a future on a single thread, as a node does.
 ///
 /// # Errors
-/// No runtime, or what the work says.
+/// The runtime can't be built, or the error of the future.
 pub fn on_one_thread<T>(work: impl Future<Output = Result<T, String>>) -> Result<T, String> {
     let runtime = Builder::new_current_thread().enable_all().build().map_err(|error| error.to_string())?;
     LocalSet::new().block_on(&runtime, work)
 }
 
-/// The node program: the one that is named, or the one beside this program.
+/// Path of the node program: from the environment variable, or next to this program.
 ///
 /// # Errors
-/// There is none.
-pub fn program() -> Result<PathBuf, String> {
-    let beside = || std::env::current_exe().ok().map(|own| own.with_file_name("pearfront-node"));
-    let program = std::env::var_os(NODE).map(PathBuf::from).or_else(beside);
+/// The program does not exist.
+pub fn node_program() -> Result<PathBuf, String> {
+    let next_to_this_program =
+        || std::env::current_exe().ok().map(|this_program| this_program.with_file_name("pearfront-node"));
+    let program = std::env::var_os(NODE_PROGRAM_VARIABLE).map(PathBuf::from).or_else(next_to_this_program);
     let program = program.filter(|program| program.exists());
-    program.ok_or(format!("no node program beside this one ({NODE} names another)"))
+    program.ok_or(format!("no node program next to this one; set {NODE_PROGRAM_VARIABLE} to its path"))
 }
 
-/// A loopback address of this process's own: a network by the process's number, a host by its place.
-pub fn place(kind: u16, number: usize) -> SocketAddrV4 {
+/// A loopback address that only this process uses: the network comes from the process id, the host from `number`. Each
+/// `port_group` is a range of 100 ports, so that addresses for different purposes do not collide.
+pub fn loopback_address(port_group: u16, number: usize) -> SocketAddrV4 {
     let [_, _, high, low] = std::process::id().to_be_bytes();
     let (network, host) = (64 | high & 31 | (low & 1) << 5, number % 250 + 1);
-    let port = 20_000 + kind * 100 + (number / 250) as u16;
+    let port = 20_000 + port_group * 100 + (number / 250) as u16;
     SocketAddrV4::new(Ipv4Addr::new(127, network, low, host as u8), port)
 }
 
-/// A real node program; ended with this value.
+/// A running node process; killed when dropped.
 pub struct Node {
     child: Child,
     file: PathBuf,
 }
 
 impl Node {
+    /// Writes the node's configuration file and starts the program.
+    ///
     /// # Errors
-    /// No such program, or its file can't be written.
+    /// The program can't be started, or its file can't be written.
     pub fn start(
         program: &Path,
         name: &str,
@@ -74,13 +78,14 @@
         Ok(Self { child, file })
     }
 
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
-        // One that has ended already is as good.
+        // Fails if the process has ended already, which is fine.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Processor time so far, s.
+    /// Processor time used, s.
     pub fn cpu(&self) -> f64 {
         cpu_of(self.child.id())
     }
@@ -90,6 +95,7 @@
         memory_of(self.child.id())
     }
 
+    /// Number of open file descriptors.
     pub fn descriptors(&self) -> usize {
         descriptors_of(&self.child.id().to_string())
     }
@@ -102,38 +108,38 @@
     }
 }
 
-fn cpu_of(process: u32) -> f64 {
-    let stat = std::fs::read_to_string(format!("/proc/{process}/stat")).unwrap_or_default();
-    let after = stat.rsplit_once(") ").map_or("", |(_, after)| after);
-    let ticks = |place: usize| after.split(' ').nth(place).and_then(|field| field.parse::<f64>().ok());
+fn cpu_of(process_id: u32) -> f64 {
+    let stat = std::fs::read_to_string(format!("/proc/{process_id}/stat")).unwrap_or_default();
+    let fields = stat.rsplit_once(") ").map_or("", |(_, fields)| fields);
+    let ticks = |index: usize| fields.split(' ').nth(index).and_then(|field| field.parse::<f64>().ok());
     let ticks = ticks(11).zip(ticks(12)).map_or(f64::NAN, |(user, system)| user + system);
     ticks / rustix::param::clock_ticks_per_second() as f64
 }
 
-fn memory_of(process: u32) -> f64 {
-    let status = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap_or_default();
+fn memory_of(process_id: u32) -> f64 {
+    let status = std::fs::read_to_string(format!("/proc/{process_id}/status")).unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let kb = line.and_then(|line| line.split_whitespace().next()).and_then(|word| word.parse::<f64>().ok());
     kb.map_or(f64::NAN, |kb| kb / 1024.0)
 }
 
-/// Open descriptors of a process; `self` is this one.
-pub fn descriptors_of(process: &str) -> usize {
-    std::fs::read_dir(format!("/proc/{process}/fd")).map_or(0, Iterator::count)
+/// Number of open file descriptors of a process id; `self` is this process.
+pub fn descriptors_of(process_id: &str) -> usize {
+    std::fs::read_dir(format!("/proc/{process_id}/fd")).map_or(0, Iterator::count)
 }
 
-/// How late this process was with its own timers, ms, until `over`.
+/// Lateness of this process's own timers until `end`, in microseconds.
 ///
 /// # Errors
-/// No room for the figures.
-pub async fn lateness(over: Instant) -> Result<Histogram<u64>, String> {
-    let mut late = Histogram::new_with_bounds(1, 60_000_000, 3).map_err(|error| error.to_string())?;
-    let mut next = Instant::now() + LOOK;
-    while next < over {
+/// The histogram can't be created.
+pub async fn lateness(end: Instant) -> Result<Histogram<u64>, String> {
+    let mut lateness = Histogram::new_with_bounds(1, 60_000_000, 3).map_err(|error| error.to_string())?;
+    let mut next = Instant::now() + LATENESS_INTERVAL;
+    while next < end {
         sleep_until(next).await;
         let now = Instant::now();
-        late.saturating_record((now - next).as_micros() as u64);
-        next = now + LOOK;
+        lateness.saturating_record((now - next).as_micros() as u64);
+        next = now + LATENESS_INTERVAL;
     }
-    Ok(late)
+    Ok(lateness)
 }
