--- a/crates/pearfront-scale/tests/fit.rs
+++ b/crates/pearfront-scale/tests/fit.rs
@@ -1,4 +1,4 @@
-//! Slopes against lines that are known.
+//! Least-squares fits of points on known lines.
 
 use pearfront_scale::fit::{Fit, Form};
 
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn a_line_is_found_with_its_range_and_no_error() {
+fn exact_line_is_fitted_with_its_range_and_no_error() {
     let points = sizes().map(|size| (size, 3.0 + 0.02 * size));
     let fit = Fit::new(Form::Linear, &points).unwrap();
     assert!((fit.fixed - 3.0).abs() < 1e-9 && (fit.slope - 0.02).abs() < 1e-12, "{fit:?}");
@@ -17,8 +17,8 @@
 }
 
 #[test]
-fn the_largest_point_alone_does_not_make_the_line() {
-    // The smallest sizes are half of what a line through the largest two alone would say.
+fn largest_point_alone_does_not_determine_the_line() {
+    // Points are weighted by relative error. Unweighted, the largest point would pull the line away from the smallest ones.
     let points = [(1.0, 1.0), (2.0, 2.0), (4.0, 4.0), (1000.0, 1100.0)];
     let fit = Fit::new(Form::Linear, &points).unwrap();
     assert!((fit.at(1.0) - 1.0).abs() < 0.1, "{fit:?}");
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn squares_logarithms_and_constants_are_told_by_their_power() {
+fn square_logarithmic_and_constant_forms_are_fitted() {
     let square = Fit::new(Form::Square, &sizes().map(|size| (size, 2.0 * size * size))).unwrap();
     assert!((square.power - 2.0).abs() < 1e-9 && (square.slope - 2.0).abs() < 1e-9, "{square:?}");
     assert!((square.crosses(200.0).unwrap() - 10.0).abs() < 1e-9);
@@ -38,13 +38,13 @@
 }
 
 #[test]
-fn what_is_no_line_is_refused() {
+fn points_without_a_line_are_rejected() {
     assert!(Fit::new(Form::Linear, &[(5.0, 1.0), (5.0, 2.0)]).unwrap_err().contains("two sizes"));
     assert!(Fit::new(Form::Linear, &[(5.0, f64::NAN), (6.0, 2.0)]).unwrap_err().contains("no number"));
 }
 
 #[test]
-fn a_figure_that_falls_with_size_crosses_nothing() {
+fn falling_figure_never_exceeds_a_bound() {
     let fit = Fit::new(Form::Linear, &[(1.0, 10.0), (2.0, 9.0), (4.0, 7.0)]).unwrap();
     assert!(fit.slope < 0.0);
     assert_eq!(fit.crosses(20.0), None);
--- a/crates/pearfront-scale/tests/rank.rs
+++ b/crates/pearfront-scale/tests/rank.rs
@@ -1,4 +1,4 @@
-//! Rows and their order, on points that are made up.
+//! Evaluation and ranking of rows on synthetic points, and validation of plans.
 
 use pearfront_scale::Point;
 use pearfront_scale::plan::Plan;
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn rows_are_ordered_by_the_fleet_at_which_they_fail() {
+fn rows_are_ranked_by_the_fleet_size_at_which_they_fail() {
     let outcome = outcome();
     let ranking = outcome.ranking().unwrap();
     let order: Vec<_> = ranking.iter().map(|place| (place.name.as_str(), place.fails_at.round())).collect();
@@ -86,22 +86,22 @@
 }
 
 #[test]
-fn a_row_tells_how_far_it_is_extrapolated() {
+fn row_reports_its_extrapolation_factor() {
     let outcome = outcome();
     let rows = outcome.rows().unwrap();
     assert_eq!((rows[0].at_target.round(), rows[0].fit.extrapolated(rows[0].row.at)), (100.0, 2.5));
 }
 
 #[test]
-fn a_row_without_its_figure_says_so() {
+fn row_without_its_figure_is_an_error() {
     let mut outcome = outcome();
     outcome.measured[0][1].figures.clear();
-    let wrong = outcome.rows().unwrap_err();
-    assert!(wrong.contains("1 of 3") && wrong.contains("cost"), "{wrong}");
+    let error = outcome.rows().unwrap_err();
+    assert!(error.contains("1 of 3") && error.contains("cost"), "{error}");
 }
 
 #[test]
-fn rows_whose_points_were_void_are_told_and_not_ranked() {
+fn rows_with_void_points_are_listed_but_not_ranked() {
     let mut outcome = outcome();
     outcome.measured[0].truncate(1);
     assert!(outcome.rows().unwrap().is_empty());
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_result_is_read_back_as_it_was() {
+fn result_survives_a_json_round_trip() {
     let outcome = outcome();
     let text = serde_json::to_string(&outcome).unwrap();
     assert_eq!(serde_json::from_str::<Outcome>(&text).unwrap(), outcome);
@@ -120,11 +120,11 @@
 
 #[test_case("fleet = 1000", "fleet = 0", "fleet"; "no fleet")]
 #[test_case("sizes = [10, 20, 40]", "sizes = [10]", "two or more"; "one size")]
-#[test_case("sizes = [10, 20, 40]", "sizes = [10, 10]", "above the one before"; "sizes that are alike")]
+#[test_case("sizes = [10, 20, 40]", "sizes = [10, 10]", "above the one before"; "equal sizes")]
 #[test_case("seconds = 1", "seconds = 0", "above 0"; "no time")]
 #[test_case("grows = true", "grow = true", "unknown field"; "an unknown key")]
 #[test_case("form = \"linear\"", "form = \"straight\"", "unknown variant"; "an unknown form")]
-fn a_plan_with_a_mistake_is_refused(from: &str, to: &str, says: &str) {
-    let wrong = Plan::parse(&PLAN.replacen(from, to, 1)).unwrap_err();
-    assert!(wrong.contains(says), "{wrong}");
+fn invalid_plan_is_rejected(from: &str, to: &str, expected: &str) {
+    let error = Plan::parse(&PLAN.replacen(from, to, 1)).unwrap_err();
+    assert!(error.contains(expected), "{error}");
 }
