--- a/crates/pearfront-node/tests/endings/room.rs
+++ b/crates/pearfront-node/tests/endings/connection_limits.rs
@@ -1,7 +1,7 @@
 //! Clients that hold all the descriptors that they can get, each kind in its own way, while discovery is down.
 
 use crate::stand_ins::{
-    Act, Caller, Node, Platform, Server, config, entry, head, in_time, in_time_unless_late, list,
+    Behavior, Client, Node, Platform, Server, config, entry, head, in_time, in_time_unless_late, list,
 };
 use serde_json::json;
 use socket2::SockRef;
@@ -14,25 +14,25 @@
 
 /// What the clients do that hold them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Client {
+enum ClientKind {
     Idle,
-    HalfAHead,
+    PartialHead,
     /// Asks for an answer of 8 MiB and reads nothing of it.
     ReadsNothing,
     /// Sends a body of which nothing is kept, a byte at a time.
     SendsSlowly,
 }
 
-use Client::*;
+use ClientKind::*;
 
-impl Client {
+impl ClientKind {
     fn begin(self, address: SocketAddr) -> Option<TcpStream> {
         let mut stream = TcpStream::connect(address).ok()?;
         // Its close is a reset, which leaves nothing in the kernel's table: tests beside it read that.
         SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
         let first = match self {
             Idle => String::new(),
-            HalfAHead => "GET /read/it HTTP/1.1\r\nX-Tra".to_string(),
+            PartialHead => "GET /read/it HTTP/1.1\r\nX-Tra".to_string(),
             ReadsNothing => head("read", "6", 0),
             SendsSlowly => head("book", "6", 60_000),
         };
@@ -42,7 +42,7 @@
     }
 
     /// Does what it does, as long as the node lets it.
-    fn goes_on(self, stream: &mut TcpStream) -> bool {
+    fn keeps_connection(self, stream: &mut TcpStream) -> bool {
         if self == SendsSlowly && stream.write(b"x").is_err() {
             return false;
         }
@@ -57,13 +57,13 @@
     }
 }
 
-/// Holds so many connections until it is over, each opened anew as the node closes it.
-fn hold(address: SocketAddr, client: Client, count: usize, over: &AtomicBool) {
+/// Holds so many connections until it is stopped, each opened anew as the node closes it.
+fn hold_connections(address: SocketAddr, kind: ClientKind, count: usize, stopped: &AtomicBool) {
     let mut open: Vec<TcpStream> = Vec::new();
-    while !over.load(Ordering::Relaxed) {
-        open.retain_mut(|stream| client.goes_on(stream));
+    while !stopped.load(Ordering::Relaxed) {
+        open.retain_mut(|stream| kind.keeps_connection(stream));
         let missing = count - open.len();
-        open.extend((0..missing).filter_map(|_| client.begin(address)));
+        open.extend((0..missing).filter_map(|_| kind.begin(address)));
         sleep(Duration::from_millis(10));
     }
 }
@@ -72,9 +72,9 @@
     std::fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, Iterator::count)
 }
 
-/// Notes the most descriptors that the node has at once, until it is over.
-fn watch_descriptors(node: &Node, most: &AtomicUsize, over: &AtomicBool) {
-    while !over.load(Ordering::Relaxed) {
+/// Notes the most descriptors that the node has at once, until it is stopped.
+fn record_most_descriptors(node: &Node, most: &AtomicUsize, stopped: &AtomicBool) {
+    while !stopped.load(Ordering::Relaxed) {
         most.fetch_max(descriptors(node.pid()), Ordering::Relaxed);
         sleep(Duration::from_millis(5));
     }
@@ -83,29 +83,29 @@
 /// How long discovery is down.
 const DOWN: Duration = Duration::from_secs(8);
 /// From its return on, until a drain has to be with the node.
-const KNOWN: Duration = Duration::from_secs(1);
-/// Longest that an operator waits, and a probe's caller.
-const OPERATOR: Duration = Duration::from_secs(1);
+const DRAIN_KNOWN_WITHIN: Duration = Duration::from_secs(1);
+/// Longest that an operator waits, and a probe's client.
+const OPERATOR_TIMEOUT: Duration = Duration::from_secs(1);
 
 // All descriptors that clients can get are held, and discovery is down for 8 s. At its return the node knows of a drain
 // within the second; operators are answered and servers probed all the while, and it never has more than it may.
 #[test_case(Idle, 64, true; "idle, 64, pushed")]
 #[test_case(Idle, 64, false; "idle, 64, asked")]
 #[test_case(Idle, 256, true; "idle, 256, pushed")]
-#[test_case(HalfAHead, 64, true; "half a head, 64, pushed")]
-#[test_case(HalfAHead, 64, false; "half a head, 64, asked")]
+#[test_case(PartialHead, 64, true; "half a head, 64, pushed")]
+#[test_case(PartialHead, 64, false; "half a head, 64, asked")]
 #[test_case(ReadsNothing, 64, true; "reads nothing, 64, pushed")]
 #[test_case(ReadsNothing, 64, false; "reads nothing, 64, asked")]
 #[test_case(ReadsNothing, 256, true; "reads nothing, 256, pushed")]
 #[test_case(SendsSlowly, 64, true; "sends slowly, 64, pushed")]
 #[test_case(SendsSlowly, 64, false; "sends slowly, 64, asked")]
 fn clients_take_nothing_that_discovery_servers_operators_and_probes_need(
-    client: Client,
+    kind: ClientKind,
     sockets: usize,
     pushed: bool,
 ) {
     in_time(|| {
-        let large = Server::start(Act::Serve(vec![b'x'; 8 * 1024 * 1024]));
+        let large = Server::start(Behavior::Serve(vec![b'x'; 8 * 1024 * 1024]));
         let mut config = config(&[large.address]);
         config["limits"]["sockets"] = json!(sockets);
         config["settings"]["discovery"] = json!(if pushed { "pushed" } else { "on_request" });
@@ -115,12 +115,12 @@
         let node = Node::start_for_operators(config);
         node.discovery.publish(2, list(2, false, &[]));
         node.discovery.wait_for(2);
-        let (over, most) = (AtomicBool::new(false), AtomicUsize::new(0));
+        let (stopped, most) = (AtomicBool::new(false), AtomicUsize::new(0));
         let played = scope(|scope| {
-            scope.spawn(|| hold(node.address, client, sockets + 20, &over));
-            scope.spawn(|| watch_descriptors(&node, &most, &over));
+            scope.spawn(|| hold_connections(node.address, kind, sockets + 20, &stopped));
+            scope.spawn(|| record_most_descriptors(&node, &most, &stopped));
             sleep(Duration::from_secs(1));
-            node.discovery.reset_open(true);
+            node.discovery.reset_open_connections(true);
             let down = Instant::now();
             let mut slowest = Duration::ZERO;
             while down.elapsed() < DOWN {
@@ -130,21 +130,25 @@
                 sleep(Duration::from_millis(200));
             }
             let back = Instant::now();
-            node.discovery.come_back(3, list(3, false, &[entry("s0", large.address, "Terminating")]));
+            node.discovery.recover(3, list(3, false, &[entry("s0", large.address, "Terminating")]));
             while !node.discovery.is_known(3) && back.elapsed() < DOWN {
                 sleep(Duration::from_millis(5));
             }
             let known = back.elapsed();
-            over.store(true, Ordering::Relaxed);
+            stopped.store(true, Ordering::Relaxed);
             (known, slowest)
         });
         let counters = node.end();
         let (known, slowest) = played;
         let most = most.into_inner();
         println!(
-            "{client:?} {sockets} {pushed}: known {known:?}, operators {slowest:?}, {most} descriptors, {counters:?}"
+            "{kind:?} {sockets} {pushed}: known {known:?}, operators {slowest:?}, {most} descriptors, {counters:?}"
         );
-        if known > KNOWN || slowest > OPERATOR || most > sockets || counters["probes_failed"] > 0 {
+        if known > DRAIN_KNOWN_WITHIN
+            || slowest > OPERATOR_TIMEOUT
+            || most > sockets
+            || counters["probes_failed"] > 0
+        {
             return Err(format!("known {known:?}, operators {slowest:?}, {most} descriptors, {counters:?}"));
         }
         if counters["probes"] == 0 { Err("no probe".into()) } else { Ok(()) }
@@ -155,7 +159,7 @@
 const CROWD: usize = 300;
 /// How many requests come on connections of their own, one at a time, and how long each has.
 const REQUESTS: usize = 40;
-const APART: Duration = Duration::from_millis(50);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(50);
 const TIME: Duration = Duration::from_millis(600);
 
 /// How soon a client has to send its request behind the handshake: a node that others wait for spares its connection for 20 ms.
@@ -163,25 +167,25 @@
 
 /// What became of a request on a new connection.
 #[derive(Debug)]
-struct Asked {
+struct RequestResult {
     /// The status of its answer and how soon it came, or how the connection ended without one.
     answer: Result<(String, Duration), String>,
     /// Did its own client send it too late?
     was_late: bool,
 }
 
-impl Asked {
+impl RequestResult {
     fn is_served(&self) -> bool {
         matches!(&self.answer, Ok((status, _)) if status == "200")
     }
 }
 
 /// Sends a request on a new connection, so long behind the handshake.
-fn ask_anew(address: SocketAddr, pause: Duration) -> Asked {
+fn request_on_new_connection(address: SocketAddr, pause: Duration) -> RequestResult {
     let begun = Instant::now();
     let mut stream = match TcpStream::connect(address) {
         Ok(stream) => stream,
-        Err(error) => return Asked { answer: Err(error.to_string()), was_late: false },
+        Err(error) => return RequestResult { answer: Err(error.to_string()), was_late: false },
     };
     let connected = Instant::now();
     sleep(pause);
@@ -197,7 +201,7 @@
         Ok(count) => Err(format!("after {taken:?} {count} bytes")),
         Err(error) => Err(format!("after {taken:?} {error}")),
     };
-    Asked { answer, was_late }
+    RequestResult { answer, was_late }
 }
 
 // Clients that send nothing, or never the rest of a head, hold all places, and come again as they are closed; they
@@ -206,33 +210,33 @@
 #[test_case(Idle, 64, 50, 0; "idle, 64, a burst")]
 #[test_case(Idle, 256, 1000, 0; "idle, 256")]
 #[test_case(Idle, 256, 50, 0; "idle, 256, a burst")]
-#[test_case(HalfAHead, 64, 1000, 0; "half a head, 64")]
-#[test_case(HalfAHead, 256, 50, 0; "half a head, 256, a burst")]
+#[test_case(PartialHead, 64, 1000, 0; "half a head, 64")]
+#[test_case(PartialHead, 256, 50, 0; "half a head, 256, a burst")]
 #[test_case(Idle, 64, 1000, 5; "idle, 64, a moment behind the handshake")]
 #[test_case(Idle, 256, 50, 5; "idle, 256, a burst, a moment behind the handshake")]
 fn a_request_on_a_new_connection_finds_a_place_in_a_crowd_that_sends_none(
-    client: Client,
+    kind: ClientKind,
     sockets: usize,
     before_ms: u64,
     pause_ms: u64,
 ) {
     in_time_unless_late(|| {
-        let server = Server::start(Act::Serve(b"fine".to_vec()));
+        let server = Server::start(Behavior::Serve(b"fine".to_vec()));
         let mut config = config(&[server.address]);
         config["limits"]["sockets"] = json!(sockets);
         let node = Node::start(&config);
-        let (over, most) = (AtomicBool::new(false), AtomicUsize::new(0));
+        let (stopped, most) = (AtomicBool::new(false), AtomicUsize::new(0));
         let answers: Vec<_> = scope(|scope| {
-            scope.spawn(|| hold(node.address, client, CROWD, &over));
-            scope.spawn(|| watch_descriptors(&node, &most, &over));
+            scope.spawn(|| hold_connections(node.address, kind, CROWD, &stopped));
+            scope.spawn(|| record_most_descriptors(&node, &most, &stopped));
             sleep(Duration::from_millis(before_ms));
             let ask = |_| {
-                sleep(APART);
-                scope.spawn(|| ask_anew(node.address, Duration::from_millis(pause_ms)))
+                sleep(REQUEST_INTERVAL);
+                scope.spawn(|| request_on_new_connection(node.address, Duration::from_millis(pause_ms)))
             };
             let asked: Vec<_> = (0..REQUESTS).map(ask).collect();
             let answers = asked.into_iter().map(|asked| asked.join().unwrap()).collect();
-            over.store(true, Ordering::Relaxed);
+            stopped.store(true, Ordering::Relaxed);
             answers
         });
         let (most, counters) = (most.into_inner(), node.end());
@@ -240,7 +244,7 @@
         let was_late = most <= sockets && lost.iter().all(|asked| asked.was_late);
         let slowest = answers.iter().flat_map(|asked| &asked.answer).map(|(_, taken)| taken).max();
         println!(
-            "{client:?} {sockets} {before_ms}: {} lost, slowest {slowest:?}, {most} descriptors",
+            "{kind:?} {sockets} {before_ms}: {} lost, slowest {slowest:?}, {most} descriptors",
             lost.len()
         );
         if lost.is_empty() && most <= sockets {
@@ -255,28 +259,29 @@
 // The process stands still in a crowd, and requests come meanwhile. Behind the stop it took the crowd for one that had held all
 // places all the while, and shut what it had not looked at. They may have come at its beginning, so some are answered with 503.
 #[test_case(Idle; "idle")]
-#[test_case(HalfAHead; "half a head")]
-fn requests_that_come_in_a_crowd_while_the_process_stands_still_are_answered(client: Client) {
+#[test_case(PartialHead; "half a head")]
+fn requests_that_come_in_a_crowd_while_the_process_stands_still_are_answered(kind: ClientKind) {
     const STOP: Duration = Duration::from_millis(700);
     const BEFORE_ITS_END: Duration = Duration::from_millis(250);
     in_time(|| {
-        let server = Server::start(Act::Serve(b"fine".to_vec()));
+        let server = Server::start(Behavior::Serve(b"fine".to_vec()));
         let mut config = config(&[server.address]);
         config["limits"]["sockets"] = json!(64);
         let node = Node::start(&config);
-        let over = AtomicBool::new(false);
+        let stopped = AtomicBool::new(false);
         let answers: Vec<_> = scope(|scope| {
-            scope.spawn(|| hold(node.address, client, CROWD, &over));
+            scope.spawn(|| hold_connections(node.address, kind, CROWD, &stopped));
             sleep(Duration::from_secs(1));
             node.signal("-STOP");
             node.wait_until_stopped();
             sleep(STOP - BEFORE_ITS_END);
-            let asked: Vec<_> =
-                (0..REQUESTS).map(|_| scope.spawn(|| ask_anew(node.address, Duration::ZERO))).collect();
+            let asked: Vec<_> = (0..REQUESTS)
+                .map(|_| scope.spawn(|| request_on_new_connection(node.address, Duration::ZERO)))
+                .collect();
             sleep(BEFORE_ITS_END);
             node.signal("-CONT");
             let answers = asked.into_iter().map(|asked| asked.join().unwrap()).collect();
-            over.store(true, Ordering::Relaxed);
+            stopped.store(true, Ordering::Relaxed);
             answers
         });
         let counters = node.end();
@@ -298,20 +303,20 @@
 fn a_request_that_waited_for_the_next_process_is_told_what_is_left(waited_ms: u64) {
     const DEADLINE: f64 = 2.5;
     in_time(|| {
-        let server = Server::start(Act::Serve(b"fine".to_vec()));
+        let server = Server::start(Behavior::Serve(b"fine".to_vec()));
         let (platform, config) = (Platform::new(), config(&[server.address]));
         let old = platform.start(&config);
         old.wait_for_call("GET /_ready", 200);
         let address = old.address;
         old.kill();
-        let mut caller = Caller::connect(address).unwrap();
+        let mut client = Client::connect(address).unwrap();
         let sent = Instant::now();
-        caller.send(&head("read", &DEADLINE.to_string(), 0), b"");
+        client.send(&head("read", &DEADLINE.to_string(), 0), b"");
         sleep(Duration::from_millis(waited_ms));
         let new = platform.start(&config);
-        assert_eq!(caller.answer().map(|answer| answer.status()), Some(200));
+        assert_eq!(client.answer().map(|answer| answer.status()), Some(200));
         let left = DEADLINE - sent.elapsed().as_secs_f64();
-        let told: f64 = server.jobs()[0].headers["x-expires-in"].parse().unwrap();
+        let told: f64 = server.requests()[0].headers["x-expires-in"].parse().unwrap();
         new.kill();
         if told <= left + SLACK { Ok(()) } else { Err(format!("told {told}, {left} left")) }
     });
@@ -322,39 +327,39 @@
 #[test]
 fn what_is_left_in_the_queue_at_the_end_takes_no_more_descriptors_than_there_are() {
     const SOCKETS: usize = 64;
-    const COME: usize = 200;
+    const CONNECTIONS: usize = 200;
     /// The process accepts until 2.4 s behind the word to end, and stands still at that time.
-    const BEFORE: Duration = Duration::from_millis(1000);
-    const BEHIND: Duration = Duration::from_millis(2600);
-    let server = Server::start(Act::Silence);
+    const STOP_AFTER: Duration = Duration::from_millis(1000);
+    const CONTINUE_AFTER: Duration = Duration::from_millis(2600);
+    let server = Server::start(Behavior::NoAnswer);
     let mut config = config(&[server.address]);
     config["limits"]["sockets"] = json!(SOCKETS);
     let node = Node::start(&config);
-    let mut held = node.caller();
+    let mut held = node.client();
     held.send(&head("read", "60", 0), b"");
-    server.wait_for("job 1");
+    server.wait_for("request 1");
     let told = Instant::now();
     node.signal("-TERM");
-    sleep(BEFORE.saturating_sub(told.elapsed()));
+    sleep(STOP_AFTER.saturating_sub(told.elapsed()));
     node.signal("-STOP");
     node.wait_until_stopped();
     // Each would keep its place to the end: the rest of its body does not come.
     let half = [head("book", "60", 1000).into_bytes(), vec![b'x'; 10]].concat();
-    let come = |_| {
+    let connect = |_| {
         let mut stream = TcpStream::connect(node.address).unwrap();
         stream.write_all(&half).unwrap();
         stream
     };
-    let _come: Vec<TcpStream> = (0..COME).map(come).collect();
-    sleep(BEHIND.saturating_sub(told.elapsed()));
-    let (over, most) = (AtomicBool::new(false), AtomicUsize::new(0));
+    let _connections: Vec<TcpStream> = (0..CONNECTIONS).map(connect).collect();
+    sleep(CONTINUE_AFTER.saturating_sub(told.elapsed()));
+    let (stopped, most) = (AtomicBool::new(false), AtomicUsize::new(0));
     scope(|scope| {
-        scope.spawn(|| watch_descriptors(&node, &most, &over));
+        scope.spawn(|| record_most_descriptors(&node, &most, &stopped));
         node.signal("-CONT");
         while descriptors(node.pid()) > 0 {
             sleep(Duration::from_millis(5));
         }
-        over.store(true, Ordering::Relaxed);
+        stopped.store(true, Ordering::Relaxed);
     });
     // Bodies that never came whole are left: their requests were not taken.
     let (most, log) = (most.into_inner(), node.log());
--- a/crates/pearfront-node/tests/endings/deadline.rs
+++ b/crates/pearfront-node/tests/endings/deadline.rs
@@ -1,6 +1,6 @@
 //! A request's time counts from its last byte, and its answer is due by its end, whatever it waits for meanwhile.
 
-use crate::stand_ins::{Act, Caller, Node, Server, config, head, in_time, list};
+use crate::stand_ins::{Behavior, Client, Node, Server, config, head, in_time, list};
 use serde_json::json;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -70,19 +70,19 @@
 /// Sends a node what comes on one connection; then that has to hold, and no request may be late or without its answer.
 pub fn on_one_connection(
     node: Node,
-    send: impl FnOnce(&mut Caller),
-    holds: impl FnOnce(&mut Caller) -> Result<(), String>,
+    send: impl FnOnce(&mut Client),
+    holds: impl FnOnce(&mut Client) -> Result<(), String>,
 ) -> Result<(), String> {
-    let mut caller = node.caller();
-    send(&mut caller);
-    holds(&mut caller)?;
+    let mut client = node.client();
+    send(&mut client);
+    holds(&mut client)?;
     over(node);
     Ok(())
 }
 
 /// A machine whose kernel takes the beginning of what is sent; nobody ever reads it.
 pub fn takes_nothing() -> (SocketAddr, TcpListener) {
-    let address = Server::nowhere();
+    let address = Server::unused_address();
     let listener = TcpListener::bind(address).unwrap();
     socket2::SockRef::from(&listener).set_recv_buffer_size(16 * 1024).unwrap();
     (address, listener)
@@ -142,13 +142,13 @@
     in_time(|| {
         let (address, _listener) = takes_nothing();
         let node = Node::start(&config(if has_server { std::slice::from_ref(&address) } else { &[] }));
-        let mut caller = node.caller();
+        let mut client = node.client();
         let length = if has_server { HUGE } else { LARGE };
         let (head, body) = (head("pay", "0.6", length), vec![b'x'; length]);
         let request =
             if chunked { in_chunks(&head, &body) } else { [head.as_bytes(), body.as_slice()].concat() };
-        caller.stream.write_all(&request).unwrap();
-        answered_within(&caller.stream, 1, TIME + LOST_AFTER)?;
+        client.stream.write_all(&request).unwrap();
+        answered_within(&client.stream, 1, TIME + LOST_AFTER)?;
         over(node);
         Ok(())
     });
@@ -159,11 +159,11 @@
 fn a_body_that_goes_on_behind_its_answer_is_cut_off() {
     const MOST: Duration = Duration::from_secs(12);
     let node = Node::start(&config(&[]));
-    let mut caller = node.caller();
+    let mut client = node.client();
     let chunked = head("pay", "0.6", 0).replace("Content-Length: 0", "Transfer-Encoding: chunked");
-    caller.send(&chunked, &[b"16e360\r\n".as_slice(), &vec![b'x'; 100_000]].concat());
+    client.send(&chunked, &[b"16e360\r\n".as_slice(), &vec![b'x'; 100_000]].concat());
     let begun = Instant::now();
-    while caller.stream.write_all(&[b'x'; 100]).is_ok() {
+    while client.stream.write_all(&[b'x'; 100]).is_ok() {
         assert!(begun.elapsed() < MOST, "its connection is held");
         sleep(Duration::from_millis(20));
     }
@@ -175,9 +175,9 @@
 fn a_body_that_is_taken_too_slowly_has_its_answer_in_time() {
     in_time(|| {
         let node = Node::start(&config(&[takes_slowly(Duration::from_millis(250))]));
-        let mut caller = node.caller();
-        caller.send(&head("pay", "0.6", HUGE), &vec![b'x'; HUGE]);
-        answered_within(&caller.stream, 1, TIME + LOST_AFTER)?;
+        let mut client = node.client();
+        client.send(&head("pay", "0.6", HUGE), &vec![b'x'; HUGE]);
+        answered_within(&client.stream, 1, TIME + LOST_AFTER)?;
         over(node);
         Ok(())
     });
@@ -188,20 +188,20 @@
 #[test_case(3, 900; "in pieces further apart than its time is long")]
 fn a_body_that_comes_slowly_has_its_time_from_its_last_byte_on(count: usize, pause: u64) {
     in_time(|| {
-        let server = Server::start(Act::Silence);
+        let server = Server::start(Behavior::NoAnswer);
         let node = Node::start(&config(&[server.address]));
-        let mut caller = node.caller();
+        let mut client = node.client();
         let body = vec![b'x'; LARGE];
-        caller.send(&head("pay", "0.6", LARGE), b"");
+        client.send(&head("pay", "0.6", LARGE), b"");
         for piece in body.chunks(LARGE / count) {
             sleep(Duration::from_millis(pause));
-            caller.stream.write_all(piece).unwrap();
+            client.stream.write_all(piece).unwrap();
         }
-        let (early, _) = all_within(&caller.stream, TIME / 2);
+        let (early, _) = all_within(&client.stream, TIME / 2);
         if !early.is_empty() {
             return Err(format!("answered early: {}", String::from_utf8_lossy(&early)));
         }
-        answered_within(&caller.stream, 1, TIME / 2 + LOST_AFTER)?;
+        answered_within(&client.stream, 1, TIME / 2 + LOST_AFTER)?;
         over(node);
         Ok(())
     });
@@ -216,11 +216,11 @@
     in_time(|| {
         let answer = format!("HTTP/1.1 200 OK\r\n{form}");
         let node = Node::start(&config(&[drips(answer, 200_000, Duration::ZERO, 0)]));
-        let mut caller = node.caller();
+        let mut client = node.client();
         let head = head("read", "0.6", 0);
         let old = version > 1.0;
-        caller.send(&if old { head.replace("HTTP/1.1", "HTTP/1.0") } else { head }, b"");
-        let (all, end) = all_within(&caller.stream, TIME + LOST_AFTER);
+        client.send(&if old { head.replace("HTTP/1.1", "HTTP/1.0") } else { head }, b"");
+        let (all, end) = all_within(&client.stream, TIME + LOST_AFTER);
         let is_end = if old { end == End::Reset } else { end != End::Open };
         if !is_end || all.len() < 100_000 || all.ends_with(b"0\r\n\r\n") {
             return Err(format!("{} bytes, {end:?}", all.len()));
@@ -237,9 +237,9 @@
     in_time(|| {
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", LARGE + count);
         let node = Node::start(&config(&[drips(answer, LARGE, pause, count)]));
-        let mut caller = node.caller();
-        caller.send(&head("read", "0.6", 0), b"");
-        match caller.answer() {
+        let mut client = node.client();
+        client.send(&head("read", "0.6", 0), b"");
+        match client.answer() {
             Some(answer) if answer.body.len() == LARGE + count => over(node),
             _ => return Err("cut off".into()),
         }
@@ -251,15 +251,15 @@
 #[test]
 fn an_answer_whose_client_reads_slowly_goes_on_behind_its_time() {
     const LENGTH: usize = 16 * 1024 * 1024;
-    let server = Server::start(Act::Serve(vec![b'x'; LENGTH]));
+    let server = Server::start(Behavior::Serve(vec![b'x'; LENGTH]));
     let node = Node::start(&config(&[server.address]));
-    let mut caller = node.caller();
-    caller.send(&head("read", "0.6", 0), b"");
+    let mut client = node.client();
+    client.send(&head("read", "0.6", 0), b"");
     for _ in 0..4 {
         sleep(TIME);
-        assert_eq!(caller.take(64 * 1024).len(), 64 * 1024);
+        assert_eq!(client.take(64 * 1024).len(), 64 * 1024);
     }
-    assert!(caller.take(LENGTH - 4 * 64 * 1024).len() > LENGTH - 5 * 64 * 1024);
+    assert!(client.take(LENGTH - 4 * 64 * 1024).len() > LENGTH - 5 * 64 * 1024);
     over(node);
 }
 
@@ -269,18 +269,18 @@
 fn requests_behind_one_another_count_their_time_from_their_last_byte(pause: Duration) {
     const COUNT: usize = 6;
     in_time(|| {
-        let server = Server::start(Act::Silence);
+        let server = Server::start(Behavior::NoAnswer);
         let node = Node::start(&config(&[server.address]));
-        let mut caller = node.caller();
+        let mut client = node.client();
         if pause.is_zero() {
-            caller.send(&(0..COUNT).map(|_| head("read", "0.6", 0)).collect::<String>(), b"");
+            client.send(&(0..COUNT).map(|_| head("read", "0.6", 0)).collect::<String>(), b"");
         } else {
             for _ in 0..COUNT {
-                caller.send(&head("read", "0.6", 0), b"");
+                client.send(&head("read", "0.6", 0), b"");
                 sleep(pause);
             }
         }
-        answered_within(&caller.stream, COUNT, TIME + LOST_AFTER)?;
+        answered_within(&client.stream, COUNT, TIME + LOST_AFTER)?;
         over(node);
         Ok(())
     });
@@ -291,18 +291,18 @@
 #[test_case(true; "that come later")]
 fn a_request_makes_way_for_those_behind_it_that_are_due_before(later: bool) {
     in_time(|| {
-        let server = Server::start(Act::Silence);
+        let server = Server::start(Behavior::NoAnswer);
         let node = Node::start(&config(&[server.address]));
-        let mut caller = node.caller();
+        let mut client = node.client();
         let (long, short) = (head("pay", "5", 0), head("read", "0.6", 0));
         if later {
-            caller.send(&long, b"");
+            client.send(&long, b"");
             sleep(TIME);
-            caller.send(&short, b"");
+            client.send(&short, b"");
         } else {
-            caller.send(&[long, short].concat(), b"");
+            client.send(&[long, short].concat(), b"");
         }
-        answered_within(&caller.stream, 2, TIME + LOST_AFTER)?;
+        answered_within(&client.stream, 2, TIME + LOST_AFTER)?;
         over(node);
         Ok(())
     });
@@ -313,11 +313,11 @@
 fn a_request_makes_way_for_one_with_a_body_that_is_due_before() {
     const LENGTH: usize = 50_000;
     in_time(|| {
-        let server = Server::start(Act::Silence);
+        let server = Server::start(Behavior::NoAnswer);
         let node = Node::start(&config(&[server.address]));
-        let mut caller = node.caller();
-        caller.send(&[head("read", "3", 0), head("pay", "0.6", LENGTH)].concat(), &[b'x'; LENGTH]);
-        answered_within(&caller.stream, 2, TIME + LOST_AFTER)?;
+        let mut client = node.client();
+        client.send(&[head("read", "3", 0), head("pay", "0.6", LENGTH)].concat(), &[b'x'; LENGTH]);
+        answered_within(&client.stream, 2, TIME + LOST_AFTER)?;
         over(node);
         Ok(())
     });
@@ -329,9 +329,9 @@
     const OWED: Duration = Duration::from_secs(3);
     in_time(|| {
         let node = Node::start(&config(&[takes_slowly(Duration::from_millis(20))]));
-        let mut caller = node.caller();
-        caller.send(&head("pay", "6", 2 * HUGE), &vec![b'x'; HUGE * 2 / 3]);
-        answered_within(&caller.stream, 1, OWED)?;
+        let mut client = node.client();
+        client.send(&head("pay", "6", 2 * HUGE), &vec![b'x'; HUGE * 2 / 3]);
+        answered_within(&client.stream, 1, OWED)?;
         node.kill();
         Ok(())
     });
@@ -344,18 +344,18 @@
 fn requests_that_were_read_before_the_end_are_all_answered(behind: u64, rest: &str) {
     const COUNT: usize = 4;
     for _ in 0..5 {
-        let server = Server::start(Act::Silence);
+        let server = Server::start(Behavior::NoAnswer);
         let mut config = config(&[server.address]);
         for profile in config["settings"]["profiles"].as_array_mut().unwrap() {
             profile["contract_time"] = json!(300_000_000);
             profile["outer_limit"] = json!(600_000_000);
         }
         let node = Node::start(&config);
-        let mut caller = node.caller();
-        caller.send(&(0..COUNT).map(|_| head("read", "0.6", 0)).collect::<String>(), rest.as_bytes());
+        let mut client = node.client();
+        client.send(&(0..COUNT).map(|_| head("read", "0.6", 0)).collect::<String>(), rest.as_bytes());
         sleep(Duration::from_millis(behind));
         node.signal("-TERM");
-        let answered = answered_within(&caller.stream, COUNT, Duration::from_secs(5));
+        let answered = answered_within(&client.stream, COUNT, Duration::from_secs(5));
         answered.unwrap();
         over_by_itself(node);
     }
@@ -366,12 +366,12 @@
 #[test_case("PUT /_lameduck/on"; "to drain")]
 fn a_client_that_sends_without_a_pause_is_let_go(told: &str) {
     const MOST: Duration = Duration::from_secs(8);
-    let server = Server::start(Act::Serve(b"fine".to_vec()));
+    let server = Server::start(Behavior::Serve(b"fine".to_vec()));
     let node = Node::start_for_operators(config(&[server.address]));
-    let mut caller = node.caller();
+    let mut client = node.client();
     let requests = (0..4).map(|_| head("read", "0.6", 0)).collect::<Vec<_>>();
-    caller.send(&requests.concat(), b"");
-    assert_eq!(caller.answer().unwrap().status(), 200);
+    client.send(&requests.concat(), b"");
+    assert_eq!(client.answer().unwrap().status(), 200);
     if told == "-TERM" {
         node.signal(told)
     } else {
@@ -379,37 +379,37 @@
     }
     let begun = Instant::now();
     let mut last = 0;
-    while let Some(answer) = caller.answer() {
+    while let Some(answer) = client.answer() {
         last = answer.status();
         if answer.headers.get("connection").is_some_and(|word| word == "close") || begun.elapsed() > MOST {
             break;
         }
-        let _ = caller.stream.write_all(head("read", "0.6", 0).as_bytes());
+        let _ = client.stream.write_all(head("read", "0.6", 0).as_bytes());
     }
     assert!(begun.elapsed() < MOST && last != 0, "{:?}", begun.elapsed());
     if told == "-TERM" { over_by_itself(node) } else { over(node) }
 }
 
 fn over_by_itself(node: Node) {
-    let counters = node.ended();
+    let counters = node.wait_for_end();
     assert_eq!((counters["answers_late"], counters["answers_never"]), (0, 0), "{counters:?}");
 }
 
 // Stopped while it ends, and beyond its last moment, a node still answers what it has read.
 #[test]
 fn what_was_read_is_answered_although_the_process_stood_still_at_its_end() {
-    let server = Server::start(Act::Silence);
+    let server = Server::start(Behavior::NoAnswer);
     let node = Node::start(&config(&[server.address]));
-    let mut caller = node.caller();
-    caller.send(&head("read", "60", 0), b"");
-    server.wait_for("job 1");
+    let mut client = node.client();
+    client.send(&head("read", "60", 0), b"");
+    server.wait_for("request 1");
     node.signal("-TERM");
     sleep(Duration::from_millis(500));
     node.signal("-STOP");
     node.wait_until_stopped();
     sleep(Duration::from_secs(4));
     node.signal("-CONT");
-    assert!(caller.answer().is_some());
+    assert!(client.answer().is_some());
     over_by_itself(node);
 }
 
@@ -428,20 +428,20 @@
 fn a_request_behind_a_crowd_is_answered_in_its_time_or_shut_unread(kind: usize) {
     const CROWD: usize = 300;
     in_time(|| {
-        let server = Server::start(Act::Silence);
+        let server = Server::start(Behavior::NoAnswer);
         let node = small(server.address);
         let half = &head("pay", "3", 1000)[..40];
-        let _crowd: Vec<Caller> = (0..CROWD)
+        let _crowd: Vec<Client> = (0..CROWD)
             .map(|at| {
-                let mut caller = node.caller();
+                let mut client = node.client();
                 let is_half = kind == 1 || kind == 2 && at % 2 == 0;
                 let sent = if is_half { half.to_string() } else { head("read", "3", 0) };
                 // One that is shut unread has no answer.
-                let _ = caller.stream.write_all(sent.as_bytes());
-                caller
+                let _ = client.stream.write_all(sent.as_bytes());
+                client
             })
             .collect();
-        let mut late = node.caller();
+        let mut late = node.client();
         let sent = late.stream.write_all(head("read", "0.6", 0).as_bytes());
         match answered_within(&late.stream, 1, TIME + LOST_AFTER) {
             Err(problem) if sent.is_ok() && !problem.contains("ended behind 0") => return Err(problem),
@@ -458,23 +458,23 @@
 #[test_case(false; "half of it")]
 fn a_body_that_comes_while_the_process_stands_still_has_its_time_from_then_on(all: bool) {
     in_time(|| {
-        let server = Server::start(Act::Serve(b"fine".to_vec()));
+        let server = Server::start(Behavior::Serve(b"fine".to_vec()));
         let node = Node::start(&config(&[server.address]));
-        let mut caller = node.caller();
+        let mut client = node.client();
         let request = [head("pay", "0.6", LARGE).into_bytes(), vec![b'x'; LARGE]].concat();
         let (before, rest) = request.split_at(if all { 0 } else { LARGE / 3 });
         let (meanwhile, later) = rest.split_at(if all { rest.len() } else { LARGE / 3 });
-        caller.stream.write_all(before).unwrap();
+        client.stream.write_all(before).unwrap();
         sleep(TIME / 4);
         node.signal("-STOP");
         node.wait_until_stopped();
-        caller.stream.write_all(meanwhile).unwrap();
+        client.stream.write_all(meanwhile).unwrap();
         sleep(2 * TIME);
         node.signal("-CONT");
         sleep(TIME / 2);
-        caller.stream.write_all(later).unwrap();
-        let status = caller.answer().map(|answer| answer.status());
-        match (all, status, server.jobs().len()) {
+        client.stream.write_all(later).unwrap();
+        let status = client.answer().map(|answer| answer.status());
+        match (all, status, server.requests().len()) {
             (true, Some(502 | 503), 0) | (false, Some(200), 1) => Ok(()),
             other => Err(format!("{other:?}")),
         }
@@ -485,15 +485,15 @@
 #[test]
 fn a_log_that_nobody_reads_holds_nothing_up() {
     const MORE_THAN_A_PIPE_TAKES: usize = 300;
-    let server = Server::start(Act::Serve(b"fine".to_vec()));
+    let server = Server::start(Behavior::Serve(b"fine".to_vec()));
     let node = Node::start(&config(&[server.address]));
     for _ in 0..MORE_THAN_A_PIPE_TAKES {
         node.signal("-USR1");
         sleep(Duration::from_millis(3));
     }
     // Opened before that, it would be closed on a busy machine: a client has 2.2 s for its first head.
-    let mut caller = node.caller();
-    assert_eq!(caller.ask(&head("read", "5", 0), b"").status(), 200);
+    let mut client = node.client();
+    assert_eq!(client.ask(&head("read", "5", 0), b"").status(), 200);
     // Read again, it says what is missing.
     node.signal("-TERM");
     assert!(node.log().contains(" lines were not taken, and are left out"));
@@ -504,15 +504,15 @@
 fn a_held_request_whose_servers_all_leave_is_answered_before_its_time_is_over() {
     const LONG: Duration = Duration::from_millis(1500);
     in_time(|| {
-        let server = Server::start(Act::TurnAway);
+        let server = Server::start(Behavior::NeverRan);
         let node = Node::start(&config(&[server.address]));
         node.discovery.publish(2, list(2, false, &[]));
         node.discovery.wait_for(2);
-        let mut caller = node.caller();
-        caller.send(&head("pay", "1.5", 0), b"");
-        server.wait_for("job 1");
+        let mut client = node.client();
+        client.send(&head("pay", "1.5", 0), b"");
+        server.wait_for("request 1");
         node.discovery.publish(3, list(3, true, &[]));
-        answered_within(&caller.stream, 1, LONG)?;
+        answered_within(&client.stream, 1, LONG)?;
         // By the module, not by whoever ends what it has forgotten.
         let counters = node.end();
         if counters["expired"] > 0 { Err(format!("{counters:?}")) } else { Ok(()) }
--- a/crates/pearfront-node/tests/endings/gone.rs
+++ b/crates/pearfront-node/tests/endings/gone.rs
@@ -2,8 +2,8 @@
 //! at the node's end of the connection counts, not when the node came to look: a node on little of a core stands still
 //! again and again, so one is stopped here while both orders of a crossing become known at once.
 
-use super::{Leaving, MORE, leave};
-use crate::stand_ins::{Act, Caller, ESTABLISHED, Node, Server};
+use super::{Leaving, PARTIAL_REQUEST, leave};
+use crate::stand_ins::{Behavior, Client, ESTABLISHED, Node, Server};
 use crate::stand_ins::{config, entry, head, in_table, in_time, list, wait_for_table};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
@@ -24,10 +24,10 @@
 use tokio::task::{LocalSet, spawn_local};
 
 /// No attempt begins for a client that has been gone for longer.
-const AT_MOST: Duration = Duration::from_millis(100);
+const MAX_DELAY: Duration = Duration::from_millis(100);
 
 /// A node's file where no attempt is called off and a connection may come up late.
-fn patient(servers: &[SocketAddr]) -> Value {
+fn config_without_cancels(servers: &[SocketAddr]) -> Value {
     let mut config = super::without_cancels(&config(servers));
     config["settings"]["limits"]["connect_timeout"] = json!(60e9);
     config["settings"]["limits"]["probes"] = json!(false);
@@ -35,13 +35,13 @@
 }
 
 /// Has seen all that was there to be seen: two calls behind one another, on a connection of their own.
-fn look_twice(node: &Node) {
-    let mut caller = node.caller();
-    (0..2).for_each(|_| assert_eq!(caller.ask("GET /up HTTP/1.1\r\n\r\n", b"").status(), 200));
+fn wait_until_processed(node: &Node) {
+    let mut client = node.client();
+    (0..2).for_each(|_| assert_eq!(client.ask("GET /up HTTP/1.1\r\n\r\n", b"").status(), 200));
 }
 
 /// A server that takes what begins to come and answers nothing, and whether anything has come.
-fn notes_bytes() -> (SocketAddr, Arc<AtomicBool>) {
+fn byte_detecting_server() -> (SocketAddr, Arc<AtomicBool>) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let (address, began) = (listener.local_addr().unwrap(), Arc::new(AtomicBool::new(false)));
     let seen = began.clone();
@@ -59,18 +59,18 @@
 #[test_case(1, 1_000_000; "with little room")]
 #[test_case(192, 24_000_000; "with a body longer than is read ahead")]
 fn an_attempt_does_not_begin_for_a_client_that_left_behind_a_body_held_back(memory_mb: usize, length: usize) {
-    let (address, began) = notes_bytes();
-    let mut config = patient(&[]);
+    let (address, began) = byte_detecting_server();
+    let mut config = config_without_cancels(&[]);
     config["limits"]["memory_mb"] = json!(memory_mb);
     let node = Node::start(&config);
-    let stream = node.caller().stream;
+    let stream = node.client().stream;
     stream.set_write_timeout(Some(Duration::from_millis(30))).unwrap();
     let _ = (&stream).write_all(&[head("pay", "60", length).as_bytes(), &vec![b'x'; length]].concat());
     stream.shutdown(Shutdown::Both).unwrap();
-    sleep(3 * AT_MOST);
+    sleep(3 * MAX_DELAY);
     node.discovery.publish(2, list(2, true, &[entry("s0", address, "Ready")]));
     node.discovery.wait_for(2);
-    sleep(3 * AT_MOST);
+    sleep(3 * MAX_DELAY);
     let counters = node.end();
     assert!(!began.load(Ordering::Relaxed), "{counters:?}");
 }
@@ -79,16 +79,16 @@
 #[test_case(200_000; "of which the rest comes late")]
 #[test_case(1_200_000; "of which the rest is not looked at")]
 fn an_attempt_does_not_begin_for_a_client_that_left_behind_much_unread(length: usize) {
-    let (address, began) = notes_bytes();
-    let node = Node::start(&patient(&[]));
-    look_twice(&node);
-    let mut caller = node.caller();
-    caller.send(&[head("read", "60", 0), head("pay", "60", length)].concat(), &vec![b'x'; length]);
-    caller.stream.shutdown(Shutdown::Both).unwrap();
-    sleep(AT_MOST * 6 / 5);
+    let (address, began) = byte_detecting_server();
+    let node = Node::start(&config_without_cancels(&[]));
+    wait_until_processed(&node);
+    let mut client = node.client();
+    client.send(&[head("read", "60", 0), head("pay", "60", length)].concat(), &vec![b'x'; length]);
+    client.stream.shutdown(Shutdown::Both).unwrap();
+    sleep(MAX_DELAY * 6 / 5);
     node.discovery.publish(2, list(2, true, &[entry("s0", address, "Ready")]));
     node.discovery.wait_for(2);
-    sleep(3 * AT_MOST);
+    sleep(3 * MAX_DELAY);
     let counters = node.end();
     assert!(!began.load(Ordering::Relaxed), "{counters:?}");
 }
@@ -106,16 +106,16 @@
     how: Leaving,
 ) {
     const CONNECTING: &str = "02";
-    let (address, listener, queued) = Server::vanished();
-    let node = Node::start(&patient(&[address]));
-    let mut caller = node.caller();
-    caller.send(&head(profile, "60", length), &vec![b'x'; length]);
+    let (address, listener, queued) = Server::unreachable();
+    let node = Node::start(&config_without_cancels(&[address]));
+    let mut client = node.client();
+    client.send(&head(profile, "60", length), &vec![b'x'; length]);
     wait_for_table(&format!("{} {CONNECTING} ", in_table(address)), true);
     node.signal("-STOP");
     node.wait_until_stopped();
     drop(queued);
-    let came = Arc::new(Mutex::new(Vec::new()));
-    let seen = came.clone();
+    let received = Arc::new(Mutex::new(Vec::new()));
+    let seen = received.clone();
     spawn(move || {
         while let Ok((mut stream, _)) = listener.accept() {
             let seen = seen.clone();
@@ -128,47 +128,47 @@
     });
     // The kernel asks again after a second.
     wait_for_table(&format!("{} {ESTABLISHED} ", in_table(address)), true);
-    let _open = leave(caller, "", b"", how);
-    sleep(AT_MOST);
+    let _open = leave(client, "", b"", how);
+    sleep(MAX_DELAY);
     node.signal("-CONT");
-    look_twice(&node);
+    wait_until_processed(&node);
     let counters = node.end();
     assert_eq!((counters["client_left"], counters["attempt_never_sent"]), (1, 1), "{counters:?}");
-    assert!(came.lock().unwrap().iter().all(|length| *length == 0), "{came:?}");
+    assert!(received.lock().unwrap().iter().all(|length| *length == 0), "{received:?}");
 }
 
 /// Lets a node have a small share of a core as long as this is there: it runs for a moment and then stands still.
 struct Throttled {
-    over: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Throttled {
     fn start(node: &Node) -> Self {
-        const RUNS: Duration = Duration::from_millis(20);
-        const STANDS: Duration = Duration::from_millis(120);
-        let (over, pid) = (Arc::new(AtomicBool::new(false)), Pid::from_raw(node.pid() as i32).unwrap());
-        let told = over.clone();
+        const RUN_TIME: Duration = Duration::from_millis(20);
+        const STOP_TIME: Duration = Duration::from_millis(120);
+        let (stopped, pid) = (Arc::new(AtomicBool::new(false)), Pid::from_raw(node.pid() as i32).unwrap());
+        let is_stopped = stopped.clone();
         let thread = spawn(move || {
-            while !told.load(Ordering::Relaxed) {
+            while !is_stopped.load(Ordering::Relaxed) {
                 kill_process(pid, Signal::STOP).unwrap();
-                sleep(STANDS);
+                sleep(STOP_TIME);
                 kill_process(pid, Signal::CONT).unwrap();
-                sleep(RUNS);
+                sleep(RUN_TIME);
             }
         });
-        Self { over, thread: Some(thread) }
+        Self { stopped, thread: Some(thread) }
     }
 }
 
 impl Drop for Throttled {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stopped.store(true, Ordering::Relaxed);
         self.thread.take().unwrap().join().unwrap();
     }
 }
 
-/// Serves every job at once, and notes for each since when at the earliest it can have been there: the kernel had
+/// Serves every request at once, and notes for each since when at the earliest it can have been there: the kernel had
 /// nothing of it when it was asked before. A machine that is late widens that, and never makes an attempt look later
 /// than it was.
 struct Arrivals {
@@ -177,7 +177,7 @@
 }
 
 /// What the kernel was asked for last, and before.
-type Looks = Rc<Cell<[Instant; 3]>>;
+type PollTimes = Rc<Cell<[Instant; 3]>>;
 
 impl Arrivals {
     fn start() -> Self {
@@ -185,35 +185,39 @@
         listener.set_nonblocking(true).unwrap();
         let address = listener.local_addr().unwrap();
         let earliest = Arc::default();
-        let told = Arc::clone(&earliest);
+        let recorded = Arc::clone(&earliest);
         spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-            LocalSet::new().block_on(&runtime, Self::serve(listener, told));
+            LocalSet::new().block_on(&runtime, Self::serve(listener, recorded));
         });
         Self { address, earliest }
     }
 
-    async fn serve(listener: std::net::TcpListener, told: Arc<Mutex<Vec<(String, Instant)>>>) {
-        const LOOK: Duration = Duration::from_millis(2);
+    async fn serve(listener: std::net::TcpListener, recorded: Arc<Mutex<Vec<(String, Instant)>>>) {
+        const POLL_INTERVAL: Duration = Duration::from_millis(2);
         let listener = TcpListener::from_std(listener).unwrap();
-        let looks: Looks = Rc::new(Cell::new([Instant::now(); 3]));
-        let looking = looks.clone();
+        let poll_times: PollTimes = Rc::new(Cell::new([Instant::now(); 3]));
+        let poll_clock = poll_times.clone();
         spawn_local(async move {
             loop {
-                tokio::time::sleep(LOOK).await;
-                let [_, before, last] = looking.get();
-                looking.set([before, last, Instant::now()]);
+                tokio::time::sleep(POLL_INTERVAL).await;
+                let [_, before, last] = poll_clock.get();
+                poll_clock.set([before, last, Instant::now()]);
             }
         });
         while let Ok((stream, _)) = listener.accept().await {
-            spawn_local(Self::answer(stream, looks.clone(), told.clone()));
+            spawn_local(Self::answer(stream, poll_times.clone(), recorded.clone()));
         }
     }
 
-    async fn answer(mut stream: TcpStream, looks: Looks, told: Arc<Mutex<Vec<(String, Instant)>>>) {
-        // Nothing had come by then: of the first job the connection's own coming tells little, it may be written far later.
+    async fn answer(
+        mut stream: TcpStream,
+        poll_times: PollTimes,
+        recorded: Arc<Mutex<Vec<(String, Instant)>>>,
+    ) {
+        // Nothing had come by then: of the first request the connection's own coming tells little, it may be written far later.
         let is_empty = SockRef::from(&stream).peek(&mut [MaybeUninit::uninit()]).is_err();
-        let mut empty = if is_empty { Instant::now() } else { looks.get()[0] };
+        let mut empty = if is_empty { Instant::now() } else { poll_times.get()[0] };
         let mut head = String::new();
         let mut bytes = [0; 4096];
         while let Ok(count) = stream.read(&mut bytes).await
@@ -222,93 +226,93 @@
             head.push_str(std::str::from_utf8(&bytes[..count]).unwrap());
             if head.ends_with("\r\n\r\n") {
                 let id = head.lines().find_map(|line| line.strip_prefix("x-trace-id: ")).unwrap();
-                told.lock().unwrap().push((id.to_string(), empty.max(looks.get()[0])));
+                recorded.lock().unwrap().push((id.to_string(), empty.max(poll_times.get()[0])));
                 head.clear();
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
-                // The next one can't have come before the answer to this one has gone.
+                // The next one can't have come before the answer to this one has left_at.
                 empty = Instant::now();
             }
         }
     }
 }
 
-/// Sends jobs that are held, and leaves in the moment in which the list lets them go. What came to the server counts by how
+/// Sends requests that are held, and leaves in the moment in which the list lets them go. What came to the server counts by how
 /// long after its client had gone it was sent at the least: no lateness of this machine adds to that.
-fn leave_as_the_list_comes(callers: usize, throttled: bool) {
-    /// Between two that leave: the last goes while the first ones' jobs are under way.
-    const PACE: Duration = Duration::from_millis(2);
+fn leave_as_the_list_comes(clients: usize, throttled: bool) {
+    /// Between two that leave: the last goes while the first ones' requests are under way.
+    const LEAVE_INTERVAL: Duration = Duration::from_millis(2);
     let server = Arrivals::start();
     // Behind the first tier no window holds them back: all may go in one round.
-    let mut config = patient(&[]);
+    let mut config = config_without_cancels(&[]);
     config["settings"]["tier"] = json!(1);
     let node = Node::start(&config);
     let hold = |number: usize| {
-        let mut caller = node.caller();
+        let mut client = node.client();
         let head = head(["pay", "read", "book"][number % 3], "60", 0);
-        caller.send(&head, b"");
+        client.send(&head, b"");
         let id = head.split_once("X-Trace-Id: ").unwrap().1.split_once('\r').unwrap().0.to_string();
-        (id, caller)
+        (id, client)
     };
-    let held: Vec<(String, Caller)> = (0..callers).map(hold).collect();
-    look_twice(&node);
+    let held: Vec<(String, Client)> = (0..clients).map(hold).collect();
+    wait_until_processed(&node);
     node.discovery.publish(2, list(2, true, &[entry("s0", server.address, "Ready")]));
     let throttled = throttled.then(|| Throttled::start(&node));
-    let mut gone = BTreeMap::new();
-    for (id, caller) in held {
+    let mut left_at = BTreeMap::new();
+    for (id, client) in held {
         // A close would only take effect once no process that a neighbouring test is just starting has the socket as well.
-        caller.stream.shutdown(Shutdown::Both).unwrap();
-        gone.insert(id, Instant::now());
-        sleep(PACE);
+        client.stream.shutdown(Shutdown::Both).unwrap();
+        left_at.insert(id, Instant::now());
+        sleep(LEAVE_INTERVAL);
     }
     node.discovery.wait_for(2);
-    look_twice(&node);
+    wait_until_processed(&node);
     drop(throttled);
     let counters = node.end();
-    let jobs = server.earliest.lock().unwrap();
-    let after = |(id, earliest): &(String, Instant)| earliest.saturating_duration_since(gone[id]);
-    let late: Vec<_> = jobs.iter().map(after).filter(|after| *after > AT_MOST).collect();
-    assert_eq!(counters["taken"], callers as u64);
-    assert!(late.is_empty(), "{} of {} late, most {:?}", late.len(), jobs.len(), late.iter().max());
+    let requests = server.earliest.lock().unwrap();
+    let after = |(id, earliest): &(String, Instant)| earliest.saturating_duration_since(left_at[id]);
+    let late: Vec<_> = requests.iter().map(after).filter(|after| *after > MAX_DELAY).collect();
+    assert_eq!(counters["taken"], clients as u64);
+    assert!(late.is_empty(), "{} of {} late, most {:?}", late.len(), requests.len(), late.iter().max());
 }
 
-// A thousand in three plays: each leaves in the moment in which its job may go, and what was begun for it later than that
-// counts. Most of the jobs are let go in one round, and the last of them waits for all others.
+// A thousand in three plays: each leaves in the moment in which its request may go, and what was begun for it later than that
+// counts. Most of the requests are let go in one round, and the last of them waits for all others.
 #[test_case(false; "on a core")]
 #[test_case(true; "on a small share of one")]
-fn a_thousand_callers_that_leave_as_their_jobs_may_go_have_none_begun_a_tenth_of_a_second_later(
+fn a_thousand_clients_that_leave_as_their_requests_may_go_have_none_begun_a_tenth_of_a_second_later(
     throttled: bool,
 ) {
     (0..3).for_each(|_| leave_as_the_list_comes(334, throttled));
 }
 
 /// A node that asks its servers what they hold before it draws one.
-fn asking(servers: &[SocketAddr]) -> Value {
+fn config_with_probes_before_draw(servers: &[SocketAddr]) -> Value {
     let mut config = super::without_cancels(&config(servers));
     config["settings"]["report"]["fields"] = json!(["outstanding"]);
     config
 }
 
-/// A job's servers are asked, and its caller leaves; then they are answered, or the question ends by itself. Did it?
+/// A request's servers are asked, and its client leaves; then they are answered, or the question ends by itself. Did it?
 fn leave_while_servers_are_asked(answered: bool) -> Result<bool, String> {
     /// For the kernel to tell the node's end of it. The table of connections would be read for longer than a question lasts.
     const KNOWN: Duration = Duration::from_millis(20);
-    let server = Server::start(Act::HoldProbes);
-    let node = Node::start(&asking(&[server.address]));
-    let mut caller = node.caller();
-    caller.send(&head("pay", "60", 0), b"");
+    let server = Server::start(Behavior::HoldProbes);
+    let node = Node::start(&config_with_probes_before_draw(&[server.address]));
+    let mut client = node.client();
+    client.send(&head("pay", "60", 0), b"");
     server.wait_for("probe 1");
-    caller.send(MORE, b"");
-    caller.stream.shutdown(Shutdown::Both).unwrap();
+    client.send(PARTIAL_REQUEST, b"");
+    client.stream.shutdown(Shutdown::Both).unwrap();
     sleep(KNOWN);
     if answered {
-        server.go_on();
+        server.release();
     } else {
         server.wait_for("probe over 1");
     }
-    look_twice(&node);
+    wait_until_processed(&node);
     let counters = node.end();
-    server.go_on();
-    match (server.jobs().len(), counters["client_left"], counters["attempts"]) {
+    server.release();
+    match (server.requests().len(), counters["client_left"], counters["attempts"]) {
         (0, 1, 0) => Ok(counters["probes_failed"] == 0),
         _ => Err(format!("{counters:?}")),
     }
@@ -318,7 +322,7 @@
 // question was over before its answer the play was the other one, and is played again.
 #[test_case(true; "answered")]
 #[test_case(false; "silent to its end")]
-fn a_job_whose_servers_are_asked_ends_with_its_caller(answered: bool) {
+fn a_request_whose_servers_are_asked_ends_with_its_client(answered: bool) {
     const MOST: usize = 20;
     in_time(|| {
         for _ in 0..MOST {
@@ -330,13 +334,13 @@
     });
 }
 
-// The same with the caller there: a question that is silent to its end holds its job up, and no more than that.
+// The same with the client there: a question that is silent to its end holds its request up, and no more than that.
 #[test]
-fn a_job_whose_servers_are_silent_when_asked_goes_all_the_same() {
-    let server = Server::start(Act::HoldProbes);
-    let node = Node::start(&asking(&[server.address]));
-    assert_eq!(node.caller().ask(&head("pay", "60", 0), b"").status(), 200);
+fn a_request_whose_servers_are_silent_when_asked_goes_all_the_same() {
+    let server = Server::start(Behavior::HoldProbes);
+    let node = Node::start(&config_with_probes_before_draw(&[server.address]));
+    assert_eq!(node.client().ask(&head("pay", "60", 0), b"").status(), 200);
     assert!(server.has("probe 1"), "it was not asked");
-    server.go_on();
+    server.release();
     node.end();
 }
--- a/crates/pearfront-node/tests/endings/mod.rs
+++ b/crates/pearfront-node/tests/endings/mod.rs
@@ -1,21 +1,21 @@
-//! What is still owed at the instant in which something ends: both orders of each crossing, held open on purpose.
-//! `docs/design/endings.md` lists the ways.
+//! Races at the end of a request, connection, watch or process: each test forces one order of two events that may cross.
+//! `docs/design/endings.md` lists the cases.
 
-mod behind;
+mod connection_limits;
 mod deadline;
 mod gone;
-mod repeats;
+mod pipelining;
 mod resume;
+mod retries;
 mod review;
-mod room;
 mod shutdown;
-mod stale;
+mod stale_list;
+mod stalled_connections;
 mod system_calls;
-mod unended;
 mod watch;
 
 use crate::stand_ins::{
-    Act, Caller, Discovery, Message, Node, Platform, Server, config, entry, head, in_time, list,
+    Behavior, Client, Discovery, Message, Node, Platform, Server, config, entry, head, in_time, list,
 };
 use crate::stand_ins::{ESTABLISHED, in_table, wait_for_table};
 use serde_json::{Value, json};
@@ -26,185 +26,186 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// How a caller leaves.
+/// How a client disconnects.
 #[derive(Debug, Clone, Copy)]
 enum Leaving {
     Closes,
-    /// With bytes behind its job that nobody has read.
+    /// Closes with unread bytes behind its request.
     ClosesBehindMore,
     EndsSendingBehindMore,
     ResetsBehindMore,
 }
 
-/// Half of another job: more than nothing, and no whole message that would be answered.
-const MORE: &str = "GET /read/it HTTP/1.1\r\nX-Tra";
+/// An incomplete second request: leaves unread bytes, but gets no answer.
+const PARTIAL_REQUEST: &str = "GET /read/it HTTP/1.1\r\nX-Tra";
 
-/// Sends a job and leaves; half of a connection that is left open comes back. The kernel at the node's end knows of it then:
-/// on a busy machine it may hear of what is sent later elsewhere before that.
-fn leave(caller: Caller, job: &str, body: &[u8], how: Leaving) -> Option<Caller> {
-    let (own, node) = (caller.stream.local_addr().unwrap(), caller.stream.peer_addr().unwrap());
-    let open = leave_unseen(caller, job, body, how);
+/// Sends a request and disconnects; a half-closed connection is returned. Waits until the kernel at the node's end has seen it:
+/// on a busy machine, data sent later on another connection may arrive there first.
+fn leave(client: Client, request: &str, body: &[u8], how: Leaving) -> Option<Client> {
+    let (own, node) = (client.stream.local_addr().unwrap(), client.stream.peer_addr().unwrap());
+    let open = send_and_leave(client, request, body, how);
     wait_for_table(&format!("{} {} {ESTABLISHED} ", in_table(node), in_table(own)), false);
     open
 }
 
-fn leave_unseen(mut caller: Caller, job: &str, body: &[u8], how: Leaving) -> Option<Caller> {
-    caller.send(job, body);
+fn send_and_leave(mut client: Client, request: &str, body: &[u8], how: Leaving) -> Option<Client> {
+    client.send(request, body);
     if !matches!(how, Leaving::Closes) {
-        caller.send(MORE, b"");
+        client.send(PARTIAL_REQUEST, b"");
     }
     match how {
         Leaving::Closes | Leaving::ClosesBehindMore => None,
         Leaving::EndsSendingBehindMore => {
-            caller.stream.shutdown(Shutdown::Write).unwrap();
-            Some(caller)
+            client.stream.shutdown(Shutdown::Write).unwrap();
+            Some(client)
         }
         Leaving::ResetsBehindMore => {
-            SockRef::from(&caller.stream).set_linger(Some(Duration::ZERO)).unwrap();
+            SockRef::from(&client.stream).set_linger(Some(Duration::ZERO)).unwrap();
             None
         }
     }
 }
 
-/// A node's file where no attempt may be called off: there only what was never sent may end with its caller.
+/// A configuration without cancellation: a client's disconnect then ends only attempts that were never sent.
 fn without_cancels(config: &Value) -> Value {
     let mut config = config.clone();
     config["settings"]["limits"]["cancel"] = json!(false);
     config
 }
 
-// A job that is held goes nowhere once its caller has left, whatever lies unread behind it. The list that would let it
-// go comes after the leaving, and the other caller's job behind it tells that all of that was seen.
+// A held request must not be sent once its client has disconnected, even with unread bytes behind it. The list with a server is
+// published after the disconnect; the other client's request shows that the node has processed both.
 #[test_case(Leaving::Closes, 0; "closed")]
 #[test_case(Leaving::ClosesBehindMore, 0; "closed with bytes unread")]
 #[test_case(Leaving::EndsSendingBehindMore, 0; "only its sending, with bytes unread")]
 #[test_case(Leaving::ResetsBehindMore, 0; "reset with bytes unread")]
 #[test_case(Leaving::ClosesBehindMore, 1000; "closed with bytes unread behind a body")]
-fn a_job_that_is_held_ends_with_its_caller(how: Leaving, length: usize) {
-    let server = Server::start(Act::Serve(b"fine".to_vec()));
+fn a_request_that_is_held_ends_with_its_client(how: Leaving, length: usize) {
+    let server = Server::start(Behavior::Serve(b"fine".to_vec()));
     let node = Node::start(&config(&[]));
-    let job = head("pay", "60", length);
-    let _open = leave(node.caller(), &job, &vec![b'x'; length], how);
-    let mut other = node.caller();
+    let request = head("pay", "60", length);
+    let _open = leave(node.client(), &request, &vec![b'x'; length], how);
+    let mut other = node.client();
     other.send(&head("pay", "60", 0), b"");
     node.discovery.publish(2, list(2, true, &[entry("s0", server.address, "Ready")]));
     assert_eq!(other.answer().unwrap().status(), 200);
-    assert_eq!(server.jobs().len(), 1, "{:?}", server.jobs());
-    // One that had left before it was read is not even taken.
+    assert_eq!(server.requests().len(), 1, "{:?}", server.requests());
+    // A client that disconnected before its request was read is not counted in `taken`.
     let counters = node.end();
     assert_eq!((counters["taken"], counters["served"]), (counters["client_left"] + 1, 1));
 }
 
-// The same in one sweep of a node that stands still meanwhile: its job, what is behind it and the end are there at once.
+// The same while the node is stopped: it sees the request, the bytes behind it and the end of the connection at once.
 #[test]
-fn a_job_whose_caller_has_left_before_it_is_read_goes_nowhere() {
-    let server = Server::start(Act::Serve(b"fine".to_vec()));
+fn a_request_whose_client_has_left_before_it_is_read_goes_nowhere() {
+    let server = Server::start(Behavior::Serve(b"fine".to_vec()));
     let node = Node::start(&config(&[server.address]));
-    let mut other = node.caller();
+    let mut other = node.client();
     assert_eq!(other.ask("GET /up HTTP/1.1\r\n\r\n", b"").status(), 200);
     node.signal("-STOP");
     for how in [Leaving::Closes, Leaving::ClosesBehindMore, Leaving::ResetsBehindMore] {
-        leave(node.caller(), &head("pay", "60", 0), b"", how);
+        leave(node.client(), &head("pay", "60", 0), b"", how);
     }
     node.signal("-CONT");
     assert_eq!(other.ask(&head("pay", "60", 0), b"").status(), 200);
     node.end();
-    assert_eq!(server.jobs().len(), 1, "{:?}", server.jobs());
+    assert_eq!(server.requests().len(), 1, "{:?}", server.requests());
 }
 
-// An attempt that is out is called off although bytes behind the job hide the end of the connection.
+// A running attempt is cancelled although unread bytes behind the request hide the end of the connection.
 #[test_case(Leaving::ClosesBehindMore; "closed")]
 #[test_case(Leaving::EndsSendingBehindMore; "only its sending")]
 #[test_case(Leaving::ResetsBehindMore; "reset")]
-fn an_attempt_is_called_off_whatever_lies_behind_the_job(how: Leaving) {
-    let server = Server::start(Act::Silence);
+fn an_attempt_is_called_off_whatever_lies_behind_the_request(how: Leaving) {
+    let server = Server::start(Behavior::NoAnswer);
     let node = Node::start(&config(&[server.address]));
-    let mut caller = node.caller();
-    let job = head("read", "60", 0);
-    caller.send(&job, b"");
-    server.wait_for("job 1");
-    let _open = leave(caller, "", b"", how);
+    let mut client = node.client();
+    let request = head("read", "60", 0);
+    client.send(&request, b"");
+    server.wait_for("request 1");
+    let _open = leave(client, "", b"", how);
     server.wait_for("closed 1");
     let counters = node.end();
     assert_eq!((counters["client_left"], counters["attempt_called_off"]), (1, 1));
 }
 
-// Between two attempts: where nothing may be called off the first goes on, and its error comes behind the leaving.
+// Without cancellation the first attempt continues; its error, after the disconnect, must not cause a retry.
 #[test_case(Leaving::Closes; "closed")]
 #[test_case(Leaving::ClosesBehindMore; "closed with bytes unread")]
 fn an_error_behind_the_leaving_is_followed_by_no_further_attempt(how: Leaving) {
-    let odd = Server::start(Act::Raw(Vec::new(), b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n".to_vec()));
-    let good = Server::start(Act::Serve(Vec::new()));
+    let odd =
+        Server::start(Behavior::Raw(Vec::new(), b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n".to_vec()));
+    let good = Server::start(Behavior::Serve(Vec::new()));
     let node = Node::start(&without_cancels(&config(&[odd.address])));
-    let mut caller = node.caller();
-    caller.send(&head("read", "60", 0), b"");
-    odd.wait_for("job 1");
+    let mut client = node.client();
+    client.send(&head("read", "60", 0), b"");
+    odd.wait_for("request 1");
     node.discovery.publish(2, list(2, false, &[entry("good", good.address, "Ready")]));
     node.discovery.wait_for(2);
-    leave(caller, "", b"", how);
-    // Its leaving is at the node before the error is; a call behind both tells that they were seen.
-    odd.go_on();
+    leave(client, "", b"", how);
+    // The disconnect reaches the node before the error; a later call shows that both were processed.
+    odd.release();
     odd.wait_for("closed 1");
-    assert_eq!(node.caller().ask("GET /up HTTP/1.1\r\n\r\n", b"").status(), 200);
+    assert_eq!(node.client().ask("GET /up HTTP/1.1\r\n\r\n", b"").status(), 200);
     let counters = node.end();
-    assert_eq!((good.jobs().len(), counters["client_left"], counters["attempts"]), (0, 1, 1));
+    assert_eq!((good.requests().len(), counters["client_left"], counters["attempts"]), (0, 1, 1));
 }
 
-// A connection that comes up late finds the job over: nothing of it is written, also where nothing may be called off.
+// A connection that is established after the client's disconnect carries nothing of its request, even without cancellation.
 #[test]
 fn a_connection_that_comes_up_behind_the_leaving_brings_nothing() {
-    let (address, listener, queued) = Server::vanished();
+    let (address, listener, queued) = Server::unreachable();
     let mut config = without_cancels(&config(&[address]));
     config["settings"]["limits"]["connect_timeout"] = json!(60e9);
     let node = Node::start(&config);
-    let mut caller = node.caller();
-    caller.send(&head("pay", "60", 0), b"");
+    let mut client = node.client();
+    client.send(&head("pay", "60", 0), b"");
     const CONNECTING: &str = "02";
     wait_for_table(&format!("{} {CONNECTING} ", in_table(address)), true);
-    leave(caller, "", b"", Leaving::ClosesBehindMore);
-    // The way is free again, and the end waits for nobody: a node that went on connecting would send, or hold the job.
+    leave(client, "", b"", Leaving::ClosesBehindMore);
+    // The server is reachable again. A node that kept connecting would send the request, or hold it and not exit.
     drop(queued);
     let counters = node.end();
     drop(listener);
     assert_eq!((counters["client_left"], counters["attempt_never_sent"]), (1, 1), "{counters:?}");
 }
 
-// A body that flows, held back by its server: nobody reads it, and only the connection itself tells that its caller is
-// gone. Neither its place nor the server's is held for the rest of its time.
+// A streamed body under back-pressure from its server: nobody reads it, so only the state of the connection shows that its
+// client has gone. Neither connection may be held until the request's deadline.
 #[test]
-fn a_body_that_is_held_back_ends_with_its_caller() {
-    // Connections come up in the kernel, which takes the beginning of what is sent; nobody ever reads it.
+fn a_body_that_is_held_back_ends_with_its_client() {
+    // The kernel accepts connections and buffers the first bytes; nobody reads them.
     let stuck = TcpListener::bind("127.0.0.1:0").unwrap();
     let node = Node::start(&without_cancels(&config(&[stuck.local_addr().unwrap()])));
-    let mut caller = node.caller();
-    caller.send(&head("pay", "60", 32 * 1024 * 1024), b"");
-    // Until nothing moves any more.
-    caller.stream.set_write_timeout(Some(Duration::from_millis(500))).unwrap();
+    let mut client = node.client();
+    client.send(&head("pay", "60", 32 * 1024 * 1024), b"");
+    // Until all buffers are full.
+    client.stream.set_write_timeout(Some(Duration::from_millis(500))).unwrap();
     let piece = vec![b'x'; 64 * 1024];
-    while caller.stream.write_all(&piece).is_ok() {}
-    let own = in_table(caller.stream.local_addr().unwrap());
-    SockRef::from(&caller.stream).set_linger(Some(Duration::ZERO)).unwrap();
-    drop(caller);
+    while client.stream.write_all(&piece).is_ok() {}
+    let own = in_table(client.stream.local_addr().unwrap());
+    SockRef::from(&client.stream).set_linger(Some(Duration::ZERO)).unwrap();
+    drop(client);
     wait_for_table(&format!("{own} {ESTABLISHED} "), false);
     let counters = node.end();
     assert_eq!((counters["client_left"], counters["attempt_never_sent"]), (1, 1), "{counters:?}");
 }
 
-// Hundreds that send and go: held, with their attempt out, in the middle of a body. Nothing of theirs is sent on later,
-// and all room is given back.
+// A thousand clients disconnect with a held request, a running attempt or an incomplete body. Nothing of theirs may be sent
+// later, and all resources must be released.
 #[test]
-fn a_thousand_callers_that_left_have_nothing_sent_on() {
-    let (silent, good) = (Server::start(Act::Silence), Server::start(Act::Serve(Vec::new())));
+fn a_thousand_clients_that_left_have_nothing_sent_on() {
+    let (silent, good) = (Server::start(Behavior::NoAnswer), Server::start(Behavior::Serve(Vec::new())));
     let node = Node::start(&config(&[silent.address]));
     let ways = [Leaving::Closes, Leaving::ClosesBehindMore, Leaving::ResetsBehindMore];
     let profiles = ["pay", "read", "book"];
     let turn = |number: usize| (ways[number % ways.len()], profiles[number / 3 % profiles.len()]);
     for number in 0..300 {
         let (how, profile) = turn(number);
-        let mut caller = node.caller();
-        caller.send(&head(profile, "60", 0), b"");
-        silent.wait_for(&format!("job {}", number + 1));
-        leave(caller, "", b"", how);
+        let mut client = node.client();
+        client.send(&head(profile, "60", 0), b"");
+        silent.wait_for(&format!("request {}", number + 1));
+        leave(client, "", b"", how);
     }
     silent.wait_for("closed 300");
     node.discovery.publish(2, list(2, true, &[]));
@@ -212,43 +213,43 @@
     for number in 0..700 {
         let (how, profile) = turn(number);
         let length = if number % 5 == 0 { 2000 } else { 0 };
-        leave(node.caller(), &head(profile, "60", length), &vec![b'x'; length / 2], how);
+        leave(node.client(), &head(profile, "60", length), &vec![b'x'; length / 2], how);
     }
     node.discovery.publish(3, list(3, true, &[entry("good", good.address, "Ready")]));
     node.discovery.wait_for(3);
-    assert_eq!(node.caller().ask(&head("pay", "60", 0), b"").status(), 200);
+    assert_eq!(node.client().ask(&head("pay", "60", 0), b"").status(), 200);
     let counters = node.end();
-    assert_eq!((good.jobs().len(), silent.jobs().len()), (1, 300), "{counters:?}");
+    assert_eq!((good.requests().len(), silent.requests().len()), (1, 300), "{counters:?}");
     assert_eq!(counters["taken"], counters["client_left"] + 1, "{counters:?}");
 }
 
-/// What befalls the watch right before a server begins to drain.
+/// Failure of the discovery watch right before a server begins to drain.
 #[derive(Debug, Clone, Copy)]
 enum Watch {
-    /// It is reset, and a new one would be answered.
+    /// Reset; a new watch would be answered.
     Reset,
-    /// It says nothing more, while a new one would be answered.
+    /// Not answered any more; a new watch would be answered.
     Silent,
-    /// Discovery is down for so long, ms, and has the drain to tell at its return.
+    /// Discovery is down for this long, ms, and publishes the drain when it returns.
     Down(u64),
-    /// It is reset, and discovery moves to another address, which the node is told by SIGHUP.
+    /// Reset; discovery moves to another address, of which SIGHUP informs the node.
     Moved,
 }
 
-/// When the drain counts as told, ms after it is there to be told, where lists are pushed.
+/// With pushed lists: time after publication at which the drain counts as announced, ms.
 fn pushed_by(watch: Watch) -> u64 {
     match watch {
-        // What the agent has counts at once.
+        // A list that the agent holds counts at once.
         Watch::Reset | Watch::Down(_) => 0,
         Watch::Silent => 6000,
         Watch::Moved => 4000,
     }
 }
 
-/// Plays a drain behind that trouble. After the grace, with the 50 ms that the protocol gives, no job may go there.
+/// Drains a server after this failure. No request may go there after the grace period plus the protocol's tolerance of 50 ms.
 fn drain_behind(watch: Watch, pushed: bool, grace: u64) -> Result<(), String> {
     const ASK_WITHIN: u64 = 2000;
-    let serves = || Server::start(Act::Serve(Vec::new()));
+    let serves = || Server::start(Behavior::Serve(Vec::new()));
     let (draining, stays) = (serves(), serves());
     let servers = [draining.address, stays.address];
     let mut config = config(&servers);
@@ -258,46 +259,46 @@
     let node = Node::start(&config);
     node.discovery.publish(2, list(2, false, &[]));
     node.discovery.wait_for(2);
-    let mut caller = node.caller();
-    let mut ask = || assert_eq!(caller.ask(&head("read", "5", 0), b"").status(), 200);
-    while draining.jobs().is_empty() {
+    let mut client = node.client();
+    let mut ask = || assert_eq!(client.ask(&head("read", "5", 0), b"").status(), 200);
+    while draining.requests().is_empty() {
         ask();
     }
     let drain = list(3, false, &[entry("s0", draining.address, "Terminating")]);
     let elsewhere = Discovery::start();
     match watch {
-        Watch::Reset => node.discovery.reset_open(false),
-        Watch::Silent => node.discovery.silence_open(),
+        Watch::Reset => node.discovery.reset_open_connections(false),
+        Watch::Silent => node.discovery.silence_open_connections(),
         Watch::Down(time) => {
-            node.discovery.reset_open(true);
+            node.discovery.reset_open_connections(true);
             sleep(Duration::from_millis(time));
-            node.discovery.come_back(2, list(2, false, &[]));
+            node.discovery.recover(2, list(2, false, &[]));
         }
         Watch::Moved => {
-            node.discovery.reset_open(true);
+            node.discovery.reset_open_connections(true);
             config["discovery"] = json!(elsewhere.address.to_string());
             elsewhere.publish(3, &drain);
             node.reload(&config.to_string());
         }
     }
     node.discovery.publish(3, &drain);
-    let told = Instant::now();
-    // Without a watch the node is held to its list for so long from its last call, of which each had an answer.
+    let result = Instant::now();
+    // Without a watch the list counts as current for this long after the last call; each call was answered.
     let by = if pushed { pushed_by(watch) } else { pushed_by(watch).max(ASK_WITHIN) };
     let over = Duration::from_millis(by + grace + 50);
-    while told.elapsed() < over {
+    while result.elapsed() < over {
         ask();
         sleep(Duration::from_millis(5));
     }
-    let before = draining.jobs().len();
+    let before = draining.requests().len();
     (0..300).for_each(|_| ask());
-    let after = draining.jobs().len();
+    let after = draining.requests().len();
     node.end();
-    if after == before { Ok(()) } else { Err(format!("{} jobs after the grace", after - before)) }
+    if after == before { Ok(()) } else { Err(format!("{} requests after the grace", after - before)) }
 }
 
-// Whatever becomes of the watch, a drain is known by when it counts as told and the grace is over: where lists are pushed,
-// while nobody listens, too.
+// Whatever happens to the watch, a drain must be known when it counts as announced and its grace period is over; with pushed
+// lists also while no watch is open.
 #[test_case(Watch::Reset, true, 400; "reset, pushed, short grace")]
 #[test_case(Watch::Reset, true, 3000; "reset, pushed, long grace")]
 #[test_case(Watch::Reset, false, 400; "reset, asked, short grace")]
@@ -313,39 +314,39 @@
     in_time(|| drain_behind(watch, pushed, grace));
 }
 
-// A second answer that comes behind the next job, on a connection that was quiet when that was sent, is not its answer:
-// the caller would get another's. The connection has to have been quiet for a while.
+// A repeated answer that arrives after the next request was sent on the same connection must not be taken for its answer: the
+// client would get another request's answer. A connection must have been quiet for a while before it is reused.
 #[test]
 fn an_answer_that_comes_again_is_nobodys() {
-    let server = Server::start(Act::SayTwice);
+    let server = Server::start(Behavior::AnswerTwice);
     let mut config = config(&[server.address]);
     config["settings"]["limits"]["probes"] = json!(false);
     let node = Node::start(&config);
-    let mut caller = node.caller();
+    let mut client = node.client();
     for number in 1..=5000 {
-        let answer = caller.ask(&head("read", "5", 0), b"");
-        assert_eq!(answer.body, number.to_string().as_bytes(), "job {number} got another's answer");
-        if server.has("said twice 5") {
+        let answer = client.ask(&head("read", "5", 0), b"");
+        assert_eq!(answer.body, number.to_string().as_bytes(), "request {number} got another's answer");
+        if server.has("answered twice 5") {
             break;
         }
     }
-    server.wait_for("said twice 5");
+    server.wait_for("answered twice 5");
     node.end();
 }
 
-// An answer that has come whole is one, whatever its server does behind it, and its connection is not used again as long as
-// the reset may be on its way. A server that is held up before its reset keeps a connection that rests as any other does: an
-// attempt on it breaks, and nobody may know whether it ran. A play in which that happened, and nothing else, is void.
+// A complete answer counts although its server then resets the connection, and the connection is not reused while the reset may
+// be on its way. If the server is delayed before its reset, the idle connection is reused, the attempt on it breaks, and whether
+// it ran is unknown. A run in which only that happened is void.
 #[test_case(Duration::ZERO; "right behind it")]
 #[test_case(Duration::from_millis(3); "a moment behind it")]
 fn an_answer_whose_server_resets_behind_it_is_whole(pause: Duration) {
     const COUNT: usize = 50;
     const MOST: usize = 20;
     for _ in 0..MOST {
-        let server = Server::start(Act::ServeAndReset(b"fine".to_vec(), pause));
+        let server = Server::start(Behavior::ServeAndReset(b"fine".to_vec(), pause));
         let node = Node::start(&config(&[server.address]));
-        let mut caller = node.caller();
-        let answers: Vec<_> = (0..COUNT).map(|_| caller.ask(&head("pay", "5", 0), b"")).collect();
+        let mut client = node.client();
+        let answers: Vec<_> = (0..COUNT).map(|_| client.ask(&head("pay", "5", 0), b"")).collect();
         let is_whole = |answer: &&Message| answer.status() == 200 && answer.body == b"fine";
         let whole = answers.iter().filter(is_whole).count() as u64;
         let counters = node.end();
@@ -356,124 +357,127 @@
             assert_eq!((whole, counters["failed"]), (COUNT as u64, 0));
             return;
         }
-        server.wait_for(&format!("reset {}", server.jobs().len()));
-        let (reused, held_up) = (counters["connections_reused"], server.held_up() as u64);
-        assert!(disturbed <= reused.min(held_up), "{disturbed} of {reused} reused broke, {held_up} held up");
+        server.wait_for(&format!("reset {}", server.requests().len()));
+        let (reused, late_resets) = (counters["connections_reused"], server.late_resets() as u64);
+        assert!(
+            disturbed <= reused.min(late_resets),
+            "{disturbed} of {reused} reused broke, {late_resets} held up"
+        );
     }
     panic!("void {MOST} times: the server was held up in each");
 }
 
-// Nor is it used again once it has rested, where the reset is here: each request has one attempt, on a connection that stands.
+// Nor may the connection be reused later, once the reset has arrived: each request takes one attempt, on an open connection.
 #[test]
 fn a_connection_that_was_reset_behind_an_answer_is_not_used_again() {
     const COUNT: usize = 20;
     const RESTED: Duration = Duration::from_millis(15);
-    let server = Server::start(Act::ServeAndReset(b"fine".to_vec(), Duration::ZERO));
+    let server = Server::start(Behavior::ServeAndReset(b"fine".to_vec(), Duration::ZERO));
     let mut config = config(&[server.address]);
     config["settings"]["limits"]["probes"] = json!(false);
     let node = Node::start(&config);
-    let mut caller = node.caller();
+    let mut client = node.client();
     for number in 1..=COUNT {
-        let answer = caller.ask(&head("pay", "5", 0), b"");
+        let answer = client.ask(&head("pay", "5", 0), b"");
         assert_eq!((answer.status(), answer.body.as_slice()), (200, b"fine".as_slice()));
         server.wait_for(&format!("reset {number}"));
-        // The kernel at the node's end has heard of it.
+        // The kernel at the node's end has received the reset.
         wait_for_table(&format!(" {} {ESTABLISHED} ", in_table(server.address)), false);
         sleep(RESTED);
     }
     let counters = node.end();
     assert_eq!((counters["attempts"], counters["attempt_served"], counters["failed"]), (20, 20, 0));
-    assert_eq!(server.jobs().len(), COUNT);
+    assert_eq!(server.requests().len(), COUNT);
 }
 
-// In the middle of an upgrade: the old process has the job, its caller leaves, and only then it could go.
+// During an upgrade: the old process holds the request, its client disconnects, and only then a server appears.
 #[test]
-fn a_job_held_in_a_hand_over_ends_with_its_caller() {
-    let server = Server::start(Act::Serve(Vec::new()));
+fn a_request_held_in_a_hand_over_ends_with_its_client() {
+    let server = Server::start(Behavior::Serve(Vec::new()));
     let platform = Platform::new();
     let old = platform.start(&config(&[]));
     old.wait_for_call("GET /_ready", 200);
-    let mut caller = old.caller();
-    // Only one process is there to take it; an answer behind it on the same connection can't come before its own.
-    caller.send(&head("pay", "60", 0), b"");
+    let mut client = old.client();
+    // Only the old process can accept it; answers on one connection come in order.
+    client.send(&head("pay", "60", 0), b"");
     let new = platform.start(&config(&[]));
     new.wait_for_call("GET /_ready", 200);
-    leave(caller, "", b"", Leaving::ClosesBehindMore);
+    leave(client, "", b"", Leaving::ClosesBehindMore);
     old.discovery.publish(2, list(2, true, &[entry("s0", server.address, "Ready")]));
     old.discovery.wait_for(2);
     let counters = old.end();
-    assert_eq!((server.jobs().len(), counters["client_left"]), (0, 1), "{counters:?}");
+    assert_eq!((server.requests().len(), counters["client_left"]), (0, 1), "{counters:?}");
     new.end();
 }
 
-// Where kept connections break, a non-idempotent job gets a new one: in an idle one's place, or a server whose jobs
-// nearly all are non-idempotent would hold more and more of them until it takes no further ones.
+// While kept connections break, a non-idempotent request gets a new connection. It must replace an idle one: otherwise a server
+// with mostly non-idempotent requests would accumulate connections until it accepts no more.
 #[test]
-fn new_connections_for_non_idempotent_jobs_take_the_place_of_idle_ones() {
-    let server = Server::start(Act::ServeOnce);
+fn new_connections_for_non_idempotent_requests_take_the_place_of_idle_ones() {
+    let server = Server::start(Behavior::ServeOnce);
     let node = Node::start(&config(&[server.address]));
-    let mut caller = node.caller();
-    let mut ask = |what| caller.ask(&head(what, "5", 0), b"").status();
-    // An idempotent one finds out.
+    let mut client = node.client();
+    let mut ask = |what| client.ask(&head(what, "5", 0), b"").status();
+    // An idempotent request detects the break.
     while ask("read") != 503 {}
     assert!((0..40).all(|_| ask("pay") == 200));
     let counters = node.end();
     assert!(counters["connections"] > 40, "{counters:?}");
-    // The watch's, and those that rested when the breaking began.
+    // The watch's connection, and those that were idle when the breaks began.
     assert!(counters["connections_open"] <= 1 + 8, "{counters:?}");
 }
 
-/// What a caller saw that goes on as long as it may.
+/// Counts of a client that keeps sending.
 #[derive(Default)]
-struct Told {
+struct ClientResult {
     sent: usize,
     answered: usize,
     lost: Vec<String>,
 }
 
-/// Asks again and again on one connection, and on new ones as long as `more` says so.
-fn go_on(address: SocketAddr, more: impl Fn() -> bool) -> Told {
-    let mut told = Told::default();
+/// Sends requests one after another on a connection, and opens new connections while `more` returns true.
+fn send_while(address: SocketAddr, more: impl Fn() -> bool) -> ClientResult {
+    let mut result = ClientResult::default();
     while more() {
-        let Some(mut caller) = Caller::connect(address) else { break };
+        let Some(mut client) = Client::connect(address) else { break };
         let mut used = false;
         loop {
-            let profile = ["read", "pay", "book"][told.sent % 3];
-            if caller.stream.write_all(head(profile, "0.6", 0).as_bytes()).is_err() {
+            let profile = ["read", "pay", "book"][result.sent % 3];
+            if client.stream.write_all(head(profile, "0.6", 0).as_bytes()).is_err() {
                 break;
             }
-            told.sent += 1;
-            match caller.answer() {
+            result.sent += 1;
+            match client.answer() {
                 Some(answer) => {
-                    told.answered += 1;
+                    result.answered += 1;
                     used = true;
                     if answer.headers.get("connection").is_some_and(|word| word == "close") {
                         break;
                     }
                 }
                 None => {
-                    // On one that had an answer the close may cross the job, which is asked again on another then.
+                    // On a connection that had an answer, a close may cross the request, which is then sent again on another one.
                     if !used {
-                        told.lost.push(format!("job {} on a new connection", told.sent));
+                        result.lost.push(format!("request {} on a new connection", result.sent));
                     }
                     break;
                 }
             }
         }
     }
-    told
+    result
 }
 
-// The end with all servers hanging and little time: callers come again at once on what they have, and on new connections
-// for as long as the front still sends some. Each job that was taken has one answer, and the node is gone before the kill.
-// Further words to it change nothing.
+// Shutdown while all servers hang and limits are short: clients keep sending on their connections, and on new ones while the
+// front proxy still opens some. Each accepted request gets one answer, and the node exits before the platform would kill it.
+// Further signals change nothing.
 #[test]
 fn an_end_with_hanging_servers_and_short_limits_leaves_nothing_unanswered() {
     const LIMIT: u64 = 600;
     const FRONT: Duration = Duration::from_millis(400);
     const KILL: Duration = Duration::from_millis(LIMIT + 700);
     in_time(|| {
-        let servers = [Server::start(Act::Silence), Server::start(Act::Silence)];
+        let servers = [Server::start(Behavior::NoAnswer), Server::start(Behavior::NoAnswer)];
         let mut config = config(&servers.each_ref().map(|server| server.address));
         for profile in config["settings"]["profiles"].as_array_mut().unwrap() {
             profile["contract_time"] = json!(LIMIT * 500_000);
@@ -483,22 +487,25 @@
         let address = node.address;
         let until = std::sync::Mutex::new(None);
         let more = || until.lock().unwrap().is_none_or(|until| Instant::now() < until);
-        let (told, took, counters) = std::thread::scope(|scope| {
-            let callers: Vec<_> = (0..12).map(|_| scope.spawn(|| go_on(address, more))).collect();
-            servers[0].wait_for("job 3");
+        let (result, took, counters) = std::thread::scope(|scope| {
+            let clients: Vec<_> = (0..12).map(|_| scope.spawn(|| send_while(address, more))).collect();
+            servers[0].wait_for("request 3");
             let begun = Instant::now();
             *until.lock().unwrap() = Some(begun + FRONT);
             ["-TERM", "-TERM", "-HUP", "-TERM"].iter().for_each(|word| node.signal(word));
-            let counters = node.ended();
+            let counters = node.wait_for_end();
             let took = begun.elapsed();
-            (callers.into_iter().map(|caller| caller.join().unwrap()).collect::<Vec<_>>(), took, counters)
+            (clients.into_iter().map(|client| client.join().unwrap()).collect::<Vec<_>>(), took, counters)
         });
-        let sum = |what: fn(&Told) -> usize| told.iter().map(what).sum::<usize>();
-        let (answered, lost) = (sum(|told| told.answered), told.iter().flat_map(|told| &told.lost));
+        let sum = |what: fn(&ClientResult) -> usize| result.iter().map(what).sum::<usize>();
+        let (answered, lost) = (sum(|result| result.answered), result.iter().flat_map(|result| &result.lost));
         let lost: Vec<_> = lost.collect();
         let given = ["served", "rejected", "failed", "too_late", "no_room"].map(|what| counters[what]);
         if !lost.is_empty() || given.iter().sum::<u64>() != answered as u64 || counters["client_left"] > 0 {
-            return Err(format!("{lost:?}, {answered} of {} answered: {counters:?}", sum(|told| told.sent)));
+            return Err(format!(
+                "{lost:?}, {answered} of {} answered: {counters:?}",
+                sum(|result| result.sent)
+            ));
         }
         if took > KILL { Err(format!("killed: {took:?}")) } else { Ok(()) }
     });
--- a/crates/pearfront-node/tests/endings/behind.rs
+++ b/crates/pearfront-node/tests/endings/pipelining.rs
@@ -2,7 +2,7 @@
 //! reset by then, so that its client may send it again. Whatever the answer before it does.
 
 use super::deadline::{End, all_within, answered_within, drips, on_one_connection, over};
-use crate::stand_ins::{Act, Caller, Node, Server, config, head, in_time, in_time_by};
+use crate::stand_ins::{Behavior, Client, Node, Server, config, head, in_time, in_time_by};
 use serde_json::json;
 use std::io::Read;
 use std::thread::sleep;
@@ -18,10 +18,10 @@
 const LARGE: usize = 200_000;
 
 /// Sends a long request, and a little later one whose client waits so long.
-fn long_and_later(caller: &mut Caller, time: &str) {
-    caller.send(&head("read", "3", 0), b"");
+fn long_and_later(client: &mut Client, time: &str) {
+    client.send(&head("read", "3", 0), b"");
     sleep(LATER);
-    caller.send(&head("read", time, 0), b"");
+    client.send(&head("read", time, 0), b"");
 }
 
 // A short request behind an answer that does not come to its end is not read: its connection is reset in its time.
@@ -34,8 +34,8 @@
         let node = Node::start(&config(&[drips(answer, LARGE, pause, drip)]));
         on_one_connection(
             node,
-            |caller| long_and_later(caller, "0.4"),
-            |caller| match all_within(&caller.stream, TIME) {
+            |client| long_and_later(client, "0.4"),
+            |client| match all_within(&client.stream, TIME) {
                 (all, End::Reset) if all.len() >= LARGE / 2 => Ok(()),
                 (all, end) => Err(format!("{} bytes, {end:?}", all.len())),
             },
@@ -51,12 +51,12 @@
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", LARGE + DRIPS);
         let node = Node::start(&config(&[drips(answer, LARGE, Duration::from_millis(50), DRIPS)]));
         let is_whole =
-            |caller: &mut Caller| caller.answer().is_some_and(|answer| answer.body.len() == LARGE + DRIPS);
+            |client: &mut Client| client.answer().is_some_and(|answer| answer.body.len() == LARGE + DRIPS);
         on_one_connection(
             node,
-            |caller| long_and_later(caller, "3"),
-            |caller| {
-                let are_whole = (0..2).all(|_| is_whole(caller));
+            |client| long_and_later(client, "3"),
+            |client| {
+                let are_whole = (0..2).all(|_| is_whole(client));
                 are_whole.then_some(()).ok_or_else(|| "no whole answer".into())
             },
         )
@@ -68,12 +68,12 @@
 fn many_requests_in_one_write_are_all_answered_before_their_time_is_over() {
     const COUNT: usize = 40;
     in_time_by(MARGIN, || {
-        let server = Server::start(Act::Silence);
+        let server = Server::start(Behavior::NoAnswer);
         let all: String = (0..COUNT).map(|_| head("read", "0.4", 0)).collect();
         on_one_connection(
             Node::start(&config(&[server.address])),
-            |caller| caller.send(&all, b""),
-            |caller| answered_within(&caller.stream, COUNT, TIME),
+            |client| client.send(&all, b""),
+            |client| answered_within(&client.stream, COUNT, TIME),
         )
     });
 }
@@ -82,11 +82,11 @@
 #[test]
 fn a_request_that_the_module_does_not_answer_is_answered_before_its_time_is_over() {
     in_time_by(MARGIN, || {
-        let server = Server::start(Act::Silence);
+        let server = Server::start(Behavior::NoAnswer);
         let mut config = config(&[server.address]);
         config["settings"]["round"] = json!(1_000_000_000);
         let node = Node::start(&config);
-        let (mut first, mut second) = (node.caller(), node.caller());
+        let (mut first, mut second) = (node.client(), node.client());
         first.send(&head("read", "9", 0), b"");
         sleep(LATER);
         let sent = Instant::now();
@@ -107,15 +107,15 @@
     in_time(|| {
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", LARGE + 1000);
         let first = [answer.as_bytes(), &vec![b'x'; LARGE]].concat();
-        let server = Server::start(Act::Raw(first, b"x".to_vec()));
+        let server = Server::start(Behavior::Raw(first, b"x".to_vec()));
         let node = Node::start(&config(&[server.address]));
-        let mut caller = node.caller();
-        caller.send(&[head("read", "9", 0), head("read", "9", 0)].concat(), b"");
+        let mut client = node.client();
+        client.send(&[head("read", "9", 0), head("read", "9", 0)].concat(), b"");
         // What the client has not taken by the reset is dropped.
-        (&caller.stream).read_exact(&mut vec![0; LARGE]).unwrap();
+        (&client.stream).read_exact(&mut vec![0; LARGE]).unwrap();
         sleep(LATER);
-        server.go_on();
-        let (rest, end) = all_within(&caller.stream, TIME);
+        server.release();
+        let (rest, end) = all_within(&client.stream, TIME);
         if end == End::Reset && !rest.is_empty() {
             Ok(())
         } else {
--- a/crates/pearfront-node/tests/endings/resume.rs
+++ b/crates/pearfront-node/tests/endings/resume.rs
@@ -1,6 +1,6 @@
 //! A drain that is taken back: clients' connections that are still open are served as before it.
 
-use crate::stand_ins::{Act, Caller, Node, Server, config, entry, head, list};
+use crate::stand_ins::{Behavior, Client, Node, Server, config, entry, head, list};
 use socket2::SockRef;
 use std::io::ErrorKind;
 use std::mem::MaybeUninit;
@@ -34,28 +34,30 @@
     fn server(self) -> Server {
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {LARGE}\r\n\r\n");
         Server::start(match self {
-            Across::Answer => Act::Raw([head.as_bytes(), &[b'x'; LARGE / 2]].concat(), vec![b'x'; LARGE / 2]),
-            Across::Attempt => Act::Hold(Vec::new()),
-            _ => Act::Serve(Vec::new()),
+            Across::Answer => {
+                Behavior::Raw([head.as_bytes(), &[b'x'; LARGE / 2]].concat(), vec![b'x'; LARGE / 2])
+            }
+            Across::Attempt => Behavior::Hold(Vec::new()),
+            _ => Behavior::Serve(Vec::new()),
         })
     }
 
     /// Begins the request that is to last over the drain.
-    fn begin(self, client: &mut Caller, server: &Server) {
+    fn begin(self, client: &mut Client, server: &Server) {
         match self {
             Across::Nothing => return,
             Across::Body => client.send(&head("pay", "60", LARGE), &[b'x'; LARGE / 3]),
             _ => client.send(&head("pay", "60", 0), b""),
         }
         if matches!(self, Across::Attempt | Across::Answer) {
-            server.wait_for("job 1");
+            server.wait_for("request 1");
         }
         if self == Across::Answer {
             client.stream.peek(&mut [0]).unwrap();
         }
     }
 
-    fn send_more(self, client: &mut Caller) {
+    fn send_more(self, client: &mut Client) {
         if self == Across::Body {
             client.send("", &[b'x'; LARGE / 3]);
         }
@@ -63,7 +65,7 @@
 }
 
 /// Has the node neither ended it nor written to it?
-fn is_open_and_silent(client: &Caller) -> bool {
+fn is_open_and_silent(client: &Client) -> bool {
     client.stream.set_nonblocking(true).unwrap();
     let peeked = SockRef::from(&client.stream).peek(&mut [MaybeUninit::uninit()]);
     client.stream.set_nonblocking(false).unwrap();
@@ -71,7 +73,7 @@
 }
 
 /// Asks as clients do: where the node has closed the connection, once more on a new one.
-fn ask_in_time(node: &Node, client: &mut Caller) -> u16 {
+fn ask_in_time(node: &Node, client: &mut Client) -> u16 {
     client.stream.set_read_timeout(Some(LOST)).unwrap();
     client.send(&head("read", TIME, 0), b"");
     let answer = client.answer();
@@ -79,7 +81,7 @@
         println!("no answer after {LOST:?}, on a connection that the node keeps open");
         return 0;
     }
-    answer.unwrap_or_else(|| node.caller().ask(&head("read", TIME, 0), b"")).status()
+    answer.unwrap_or_else(|| node.client().ask(&head("read", TIME, 0), b"")).status()
 }
 
 // A request on a connection that was in use while a drain was taken back was never read: it reached no server, and had no answer.
@@ -89,22 +91,22 @@
 #[test_case(Across::Answer; "its answer is on its way")]
 #[test_case(Across::Nothing; "it has just been opened")]
 fn a_connection_that_outlives_a_drain_taken_back_is_read_again(across: Across) {
-    let (server, next) = (across.server(), Server::start(Act::Serve(Vec::new())));
+    let (server, next) = (across.server(), Server::start(Behavior::Serve(Vec::new())));
     let known = if across == Across::Held { Vec::new() } else { vec![server.address] };
     let node = Node::start_for_operators(config(&known));
-    let mut client = node.caller();
+    let mut client = node.client();
     across.begin(&mut client, &server);
     assert_eq!(node.call("PUT /_lameduck/on"), 200);
     sleep(DRAINED / 2);
     across.send_more(&mut client);
     sleep(DRAINED / 2);
     if across == Across::Nothing {
-        client = node.caller();
+        client = node.client();
         sleep(ACCEPTED);
     }
     assert_eq!(node.call("PUT /_lameduck/off"), 200);
     across.send_more(&mut client);
-    server.go_on();
+    server.release();
     node.discovery.publish(2, list(2, true, &[entry("next", next.address, "Ready")]));
     node.discovery.wait_for(2);
     if across != Across::Nothing {
@@ -119,9 +121,9 @@
 #[test]
 fn requests_that_came_while_a_draining_process_stood_still_are_answered() {
     const CLIENTS: usize = 20;
-    let server = Server::start(Act::Serve(Vec::new()));
+    let server = Server::start(Behavior::Serve(Vec::new()));
     let node = Node::start_for_operators(config(&[server.address]));
-    let mut clients: Vec<Caller> = (0..CLIENTS).map(|_| node.caller()).collect();
+    let mut clients: Vec<Client> = (0..CLIENTS).map(|_| node.client()).collect();
     clients.iter_mut().for_each(|client| assert_eq!(client.ask(&head("read", TIME, 0), b"").status(), 200));
     assert_eq!(node.call("PUT /_lameduck/on"), 200);
     node.signal("-STOP");
@@ -129,7 +131,7 @@
     clients.iter_mut().for_each(|client| client.send(&head("read", "9", 0), b""));
     sleep(DRAINED);
     node.signal("-CONT");
-    let answered = clients.iter_mut().filter_map(Caller::answer).count();
+    let answered = clients.iter_mut().filter_map(Client::answer).count();
     node.end();
     assert_eq!(answered, CLIENTS);
 }
@@ -139,7 +141,7 @@
 fn a_body_that_is_not_taken_has_its_answer_in_time_in_a_drain() {
     const LONG: Duration = Duration::from_millis(3500);
     let node = Node::start_for_operators(config(&[]));
-    let mut client = node.caller();
+    let mut client = node.client();
     client.send(&head("pay", "3", LARGE), &vec![b'x'; LARGE]);
     assert_eq!(node.call("PUT /_lameduck/on"), 200);
     client.stream.set_read_timeout(Some(LONG)).unwrap();
@@ -152,7 +154,7 @@
 #[test]
 fn a_request_behind_a_body_that_outlives_a_drain_and_its_answer_is_answered() {
     let node = Node::start_for_operators(config(&[]));
-    let mut client = node.caller();
+    let mut client = node.client();
     client.send(&head("pay", "2.6", LARGE), &vec![b'x'; LARGE]);
     assert_eq!(node.call("PUT /_lameduck/on"), 200);
     sleep(DRAINED);
--- a/crates/pearfront-node/tests/endings/repeats.rs
+++ b/crates/pearfront-node/tests/endings/retries.rs
@@ -1,6 +1,6 @@
 //! Repeats whose connection comes up late: what was true when they were decided has to hold when they are written.
 
-use crate::stand_ins::{Act, Node, Server, config, entry, head, list};
+use crate::stand_ins::{Behavior, Node, Server, config, entry, head, list};
 use serde_json::json;
 use std::thread::sleep;
 use std::time::Duration;
@@ -13,25 +13,25 @@
 // A keyed request may have run. Its repeat is decided within the window, and its connection comes up behind it.
 #[test]
 fn a_keyed_request_is_not_repeated_on_a_connection_that_comes_up_behind_the_window() {
-    let first = Server::start(Act::Raw(Vec::new(), b"HTTP/1.1 2".to_vec()));
-    let (second, listener, queued) = Server::vanished();
+    let first = Server::start(Behavior::Raw(Vec::new(), b"HTTP/1.1 2".to_vec()));
+    let (second, listener, queued) = Server::unreachable();
     let mut file = config(&[first.address]);
     file["settings"]["profiles"][1]["window"] = json!(WINDOW * 1_000_000);
     file["settings"]["limits"]["connect_timeout"] = json!(4_000_000_000_u64);
     file["settings"]["limits"]["probes"] = json!(false);
     let node = Node::start(&file);
-    let mut caller = node.caller();
-    caller.send(&head("book", "4", 0), b"");
-    first.wait_for("job 1");
+    let mut client = node.client();
+    client.send(&head("book", "4", 0), b"");
+    first.wait_for("request 1");
     node.discovery.publish(2, list(2, false, &[entry("s1", second, "Ready")]));
     node.discovery.wait_for(2);
-    first.go_on();
+    first.release();
     sleep(SHUT);
     queued.iter().for_each(|_| drop(listener.accept().unwrap()));
     drop(queued);
-    let second = Server::behind(listener.into(), second, Act::Serve(Vec::new()));
-    let status = caller.answer().expect("an answer").status();
+    let second = Server::on_listener(listener.into(), second, Behavior::Serve(Vec::new()));
+    let status = client.answer().expect("an answer").status();
     node.end();
-    assert_eq!(second.jobs().len(), 0, "a request was sent again behind its window");
+    assert_eq!(second.requests().len(), 0, "a request was sent again behind its window");
     assert_ne!(status, 200);
 }
--- a/crates/pearfront-node/tests/endings/review.rs
+++ b/crates/pearfront-node/tests/endings/review.rs
@@ -1,9 +1,9 @@
 //! What a review of the whole way of a request found, by one who had not seen the earlier ones.
 
 use super::deadline::{End, all_within, answered_within, on_one_connection, takes_nothing, takes_slowly};
-use super::unended::{answered_or_reset_within, short_behind_a_body};
+use super::stalled_connections::{answered_or_reset_within, short_behind_a_body};
 use super::without_cancels;
-use crate::stand_ins::{Act, Node, Server, config, head, in_time};
+use crate::stand_ins::{Behavior, Node, Server, config, head, in_time};
 use serde_json::json;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -44,14 +44,14 @@
 fn a_short_request_behind_more_than_is_looked_at_is_answered_or_shut_unread_in_time() {
     const LENGTH: usize = 300_000;
     in_time(|| {
-        let server = Server::start(Act::Silence);
+        let server = Server::start(Behavior::NoAnswer);
         on_one_connection(
             Node::start(&config(&[server.address])),
-            |caller| {
-                caller.send(&[head("read", "3", 0), head("pay", "3", LENGTH)].concat(), &vec![b'x'; LENGTH]);
-                caller.send(&head("read", "0.6", 0), b"");
+            |client| {
+                client.send(&[head("read", "3", 0), head("pay", "3", LENGTH)].concat(), &vec![b'x'; LENGTH]);
+                client.send(&head("read", "0.6", 0), b"");
             },
-            |caller| answered_or_reset_within(&caller.stream, 3, TIME + LOST_AFTER),
+            |client| answered_or_reset_within(&client.stream, 3, TIME + LOST_AFTER),
         )
     });
 }
@@ -89,9 +89,9 @@
     const PAUSES: [Duration; 2] = [Duration::from_millis(100), Duration::from_millis(900)];
     in_time(|| {
         let node = Node::start(&config(&[answers_late(LENGTH, PAUSES)]));
-        let mut caller = node.caller();
-        caller.send(&[head("read", "3", 0), head("pay", "3", LENGTH)].concat(), &vec![b'x'; LENGTH]);
-        let statuses = [(); 2].map(|()| caller.answer().map(|answer| answer.status()));
+        let mut client = node.client();
+        client.send(&[head("read", "3", 0), head("pay", "3", LENGTH)].concat(), &vec![b'x'; LENGTH]);
+        let statuses = [(); 2].map(|()| client.answer().map(|answer| answer.status()));
         if statuses == [Some(200); 2] { Ok(()) } else { Err(format!("{statuses:?}")) }
     });
 }
@@ -102,24 +102,24 @@
 #[test_case(3000; "more than is looked at")]
 fn a_long_row_of_small_requests_is_served(count: usize) {
     in_time(|| {
-        let server = Server::start(Act::Serve(b"fine".to_vec()));
+        let server = Server::start(Behavior::Serve(b"fine".to_vec()));
         let node = Node::start(&config(&[server.address]));
-        let mut caller = node.caller();
-        caller.send(&(0..count).map(|_| head("read", "30", 0)).collect::<String>(), b"");
-        let statuses = (0..count).map(|_| caller.answer().map(|answer| answer.status()));
+        let mut client = node.client();
+        client.send(&(0..count).map(|_| head("read", "30", 0)).collect::<String>(), b"");
+        let statuses = (0..count).map(|_| client.answer().map(|answer| answer.status()));
         let lost: Vec<_> = statuses.enumerate().filter(|(_, status)| *status != Some(200)).collect();
         if lost.is_empty() { Ok(()) } else { Err(format!("{lost:?} of {count}")) }
     });
 }
 
 /// What the node's memory grows by, KiB, while so many clients do this and it has no server for their bodies.
-fn grown_by(clients: usize, act: impl Fn(TcpStream) + Sync) -> usize {
+fn grown_by(clients: usize, behavior: impl Fn(TcpStream) + Sync) -> usize {
     let node = Node::start(&config(&[]));
     let before = node.peak_memory();
     scope(|scope| {
         for _ in 0..clients {
-            let (stream, act) = (TcpStream::connect(node.address).unwrap(), &act);
-            scope.spawn(move || act(stream));
+            let (stream, behavior) = (TcpStream::connect(node.address).unwrap(), &behavior);
+            scope.spawn(move || behavior(stream));
         }
     });
     node.peak_memory() - before
@@ -158,7 +158,7 @@
 
 /// A server that gives so much of a large answer once it has the head, and the rest once it has the whole body.
 fn answers_early(length: usize, first: usize, answer: usize) -> SocketAddr {
-    let address = Server::nowhere();
+    let address = Server::unused_address();
     let listener = TcpListener::bind(address).unwrap();
     spawn(move || {
         for mut stream in listener.incoming().flatten() {
@@ -198,14 +198,14 @@
     const ANSWER: usize = 300_000;
     in_time(|| {
         let node = Node::start(&config(&[answers_early(LENGTH, first, ANSWER)]));
-        let mut caller = node.caller();
+        let mut client = node.client();
         let body = vec![b'x'; LENGTH];
-        caller.send(&head("pay", "3", LENGTH), &body[..LENGTH / 2]);
+        client.send(&head("pay", "3", LENGTH), &body[..LENGTH / 2]);
         sleep(Duration::from_millis(300));
         // Its answer is on the way.
-        let begun = caller.take(1000).len();
-        let _ = caller.stream.write_all(&body[LENGTH / 2..]);
-        let rest = caller.take(ANSWER - 1000).len();
+        let begun = client.take(1000).len();
+        let _ = client.stream.write_all(&body[LENGTH / 2..]);
+        let rest = client.take(ANSWER - 1000).len();
         if begun + rest == ANSWER { Ok(()) } else { Err(format!("{} of {ANSWER} bytes", begun + rest)) }
     });
 }
@@ -216,16 +216,16 @@
     const COUNT: usize = 40;
     const SIDE_BY_SIDE: usize = 4;
     in_time(|| {
-        let server = Server::start(Act::Silence);
+        let server = Server::start(Behavior::NoAnswer);
         let node = Node::start(&without_cancels(&config(&[server.address])));
         for length in 0..COUNT {
             let length = 70_000 + 8_000 * length;
-            let mut callers: Vec<_> = (0..SIDE_BY_SIDE).map(|_| node.caller()).collect();
-            for caller in &mut callers {
-                caller.send(&head("pay", "0.3", length), &vec![b'x'; length]);
+            let mut clients: Vec<_> = (0..SIDE_BY_SIDE).map(|_| node.client()).collect();
+            for client in &mut clients {
+                client.send(&head("pay", "0.3", length), &vec![b'x'; length]);
             }
-            for caller in callers {
-                answered_within(&caller.stream, 1, TIME + LOST_AFTER)?;
+            for client in clients {
+                answered_within(&client.stream, 1, TIME + LOST_AFTER)?;
             }
         }
         sleep(TIME);
@@ -243,13 +243,13 @@
     let mut config = config(&[takes_slowly(Duration::from_millis(60))]);
     config["limits"]["memory_mb"] = json!(memory_mb);
     let node = Node::start(&config);
-    let caller = node.caller();
-    let mut sending = caller.stream.try_clone().unwrap();
+    let client = node.client();
+    let mut sending = client.stream.try_clone().unwrap();
     spawn(move || sending.write_all(&[head("pay", "60", LENGTH).as_bytes(), &vec![b'x'; LENGTH]].concat()));
     let begun = Instant::now();
     let (mut all, mut end) = (Vec::new(), End::Open);
     while all.is_empty() && end == End::Open && begun.elapsed() < Duration::from_secs(12) {
-        (all, end) = all_within(&caller.stream, Duration::from_millis(50));
+        (all, end) = all_within(&client.stream, Duration::from_millis(50));
     }
     let all = String::from_utf8_lossy(&all);
     assert!(all.is_empty() && end == End::Open, "{end:?} after {:?}: {all}", begun.elapsed());
@@ -261,11 +261,11 @@
     const LENGTH: usize = 30 * MB;
     in_time(|| {
         let node = Node::start(&config(&[takes_slowly(Duration::from_millis(2))]));
-        let mut caller = node.caller();
+        let mut client = node.client();
         let begun = Instant::now();
-        caller.send(&head("pay", "0.6", LENGTH), &vec![b'x'; LENGTH]);
+        client.send(&head("pay", "0.6", LENGTH), &vec![b'x'; LENGTH]);
         println!("written after {:?}", begun.elapsed());
-        let ended = answered_within(&caller.stream, 1, TIME + LOST_AFTER);
+        let ended = answered_within(&client.stream, 1, TIME + LOST_AFTER);
         println!("answered after {:?}", begun.elapsed());
         ended
     });
@@ -275,7 +275,7 @@
 #[test]
 fn a_short_request_behind_a_body_whose_server_resets_is_answered_in_time() {
     in_time(|| {
-        let address = Server::nowhere();
+        let address = Server::unused_address();
         let listener = TcpListener::bind(address).unwrap();
         spawn(move || {
             for mut stream in listener.incoming().flatten() {
@@ -292,12 +292,12 @@
 fn a_request_behind_a_large_body_that_is_refused_is_answered_or_shut_unread() {
     const LENGTH: usize = 200_000;
     in_time(|| {
-        let server = Server::start(Act::Serve(b"fine".to_vec()));
+        let server = Server::start(Behavior::Serve(b"fine".to_vec()));
         let node = Node::start(&config(&[server.address]));
-        let mut caller = node.caller();
+        let mut client = node.client();
         let refused = head("pay", "3", LENGTH).replace("/pay/", "/unknown/");
         let all = [refused.as_bytes(), &vec![b'x'; LENGTH], head("read", "0.6", 0).as_bytes()].concat();
-        caller.send("", &all);
-        answered_or_reset_within(&caller.stream, 2, TIME + LOST_AFTER)
+        client.send("", &all);
+        answered_or_reset_within(&client.stream, 2, TIME + LOST_AFTER)
     });
 }
--- a/crates/pearfront-node/tests/endings/shutdown.rs
+++ b/crates/pearfront-node/tests/endings/shutdown.rs
@@ -1,6 +1,6 @@
 //! What a connection still owes when it is shut down, reset or closed.
 
-use crate::stand_ins::{Act, Caller, ESTABLISHED, Node, Platform, Server};
+use crate::stand_ins::{Behavior, Client, ESTABLISHED, Node, Platform, Server};
 use crate::stand_ins::{config, head, in_table, list, wait_for_table};
 use rustix::process::{Pid, PidfdFlags, PidfdGetfdFlags, pidfd_getfd, pidfd_open};
 use socket2::{Domain, SockRef, Socket, Type};
@@ -27,15 +27,15 @@
 #[test]
 fn no_connection_holds_back_small_writes() {
     const KINDS: usize = 4;
-    let server = Server::start(Act::Silence);
+    let server = Server::start(Behavior::NoAnswer);
     let mut config = config(&[server.address]);
     config["settings"]["limits"]["probes"] = serde_json::json!(false);
     let node = Node::start_for_operators(config);
     node.discovery.publish(2, list(2, false, &[]));
     node.discovery.wait_for(2);
-    let (mut caller, mut operator) = (node.caller(), node.operator());
-    caller.send(&head("pay", "60", 0), b"");
-    server.wait_for("job 1");
+    let (mut client, mut operator) = (node.client(), node.operator());
+    client.send(&head("pay", "60", 0), b"");
+    server.wait_for("request 1");
     operator.send("GET /_ready HTT", b"");
     // Each has been let in once what came on it has been read.
     let is_read = |socket: &Socket| socket.peek(&mut [MaybeUninit::uninit()]).is_err();
@@ -54,12 +54,12 @@
 // A client that takes nothing of its answer any more: its connection is closed, and the server's, whose rest nobody waits for.
 #[test]
 fn an_answer_that_is_not_taken_ends_with_both_connections() {
-    let server = Server::start(Act::Serve(vec![b'x'; 32 * 1024 * 1024]));
+    let server = Server::start(Behavior::Serve(vec![b'x'; 32 * 1024 * 1024]));
     let node = Node::start(&config(&[server.address]));
-    let mut caller = node.caller();
-    caller.send(&head("read", "60", 0), b"");
-    server.wait_for("job 1");
-    let (own, at_node) = (caller.stream.local_addr().unwrap(), caller.stream.peer_addr().unwrap());
+    let mut client = node.client();
+    client.send(&head("read", "60", 0), b"");
+    server.wait_for("request 1");
+    let (own, at_node) = (client.stream.local_addr().unwrap(), client.stream.peer_addr().unwrap());
     wait_for_table(&format!("{} {} {ESTABLISHED} ", in_table(at_node), in_table(own)), false);
     server.wait_for("closed 1");
     let counters = node.end();
@@ -71,10 +71,10 @@
 fn ask_while_it_closes(clients: usize) -> Option<usize> {
     const UP: &str = "GET /up HTTP/1.1\r\n\r\n";
     let node = Node::start_for_operators(config(&[]));
-    let mut all: Vec<_> = (0..clients).map(|_| node.caller()).collect();
+    let mut all: Vec<_> = (0..clients).map(|_| node.client()).collect();
     all.iter_mut().for_each(|client| assert_eq!(client.ask(UP, b"").status(), 200));
     assert_eq!(node.call("PUT /_lameduck/on"), 200);
-    let is_open = |client: &Caller| {
+    let is_open = |client: &Client| {
         let peeked = SockRef::from(&client.stream).peek(&mut [MaybeUninit::uninit()]);
         peeked.is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
     };
@@ -114,20 +114,20 @@
 // on it is not left unread.
 #[test]
 fn a_request_behind_a_drain_that_was_taken_back_is_answered() {
-    let server = Server::start(Act::Hold(b"fine".to_vec()));
+    let server = Server::start(Behavior::Hold(b"fine".to_vec()));
     let node = Node::start_for_operators(config(&[server.address]));
-    let mut caller = node.caller();
-    caller.send(&head("read", "10", 0), b"");
-    server.wait_for("job 1");
+    let mut client = node.client();
+    client.send(&head("read", "10", 0), b"");
+    server.wait_for("request 1");
     assert_eq!(node.call("PUT /_lameduck/on"), 200);
     // Longer than a drain reads requests on connections that stay open.
     sleep(Duration::from_secs(2));
     assert_eq!(node.call("PUT /_lameduck/off"), 200);
-    server.go_on();
-    let answer = caller.answer().unwrap();
+    server.release();
+    let answer = client.answer().unwrap();
     assert_eq!(answer.status(), 200);
     let is_last = answer.headers.get("connection").is_some_and(|word| word == "close");
-    let mut next = if is_last { node.caller() } else { caller };
+    let mut next = if is_last { node.client() } else { client };
     next.stream.set_read_timeout(Some(Duration::from_millis(1100))).unwrap();
     next.send(&head("read", "0.6", 0), b"");
     assert_eq!(next.answer().map(|answer| answer.status()), Some(200), "never read");
@@ -138,26 +138,26 @@
 #[test]
 fn a_process_that_ends_takes_what_waits_for_a_next_one_that_died() {
     const LOST: Duration = Duration::from_millis(1000);
-    let server = Server::start(Act::Hold(Vec::new()));
+    let server = Server::start(Behavior::Hold(Vec::new()));
     let (platform, config) = (Platform::new(), config(&[server.address]));
     let old = platform.start(&config);
     old.wait_for_call("GET /_ready", 200);
     // Without a client it would have ended before.
-    let mut first = old.caller();
+    let mut first = old.client();
     first.send(&head("pay", "3", 0), b"");
-    server.wait_for("job 1");
+    server.wait_for("request 1");
     let new = platform.start(&config);
     new.wait_for_call("GET /_ready", 200);
     old.signal("-TERM");
     // No more connections are expected from then on.
     sleep(Duration::from_millis(700));
     new.kill();
-    let mut client = old.caller();
+    let mut client = old.client();
     client.stream.set_read_timeout(Some(LOST)).unwrap();
     client.send(&head("read", "0.5", 0), b"");
     let answer = client.answer();
-    server.go_on();
-    old.ended();
+    server.release();
+    old.wait_for_end();
     assert!(answer.is_some(), "no answer after {LOST:?} to a request of 0.5 s");
 }
 
@@ -165,12 +165,12 @@
 // the one on which its client, as the protocol has it, sent that once more.
 #[test]
 fn a_connection_opened_late_in_a_drain_has_its_first_request_answered() {
-    let server = Server::start(Act::Serve(Vec::new()));
+    let server = Server::start(Behavior::Serve(Vec::new()));
     let node = Node::start_for_operators(config(&[server.address]));
     assert_eq!(node.call("PUT /_lameduck/on"), 200);
     sleep(Duration::from_millis(2300));
     let asks = |_| {
-        let mut client = node.caller();
+        let mut client = node.client();
         sleep(Duration::from_millis(10));
         client.send(&head("read", "1", 0), b"");
         client.answer().map(|answer| answer.status())
--- a/crates/pearfront-node/tests/endings/stale.rs
+++ b/crates/pearfront-node/tests/endings/stale_list.rs
@@ -1,6 +1,6 @@
 //! A list that is too old to go by: discovery is there, but answers each call with an error, and servers drain meanwhile.
 
-use crate::stand_ins::{Act, Node, Server, config, head, in_time};
+use crate::stand_ins::{Behavior, Node, Server, config, head, in_time};
 use serde_json::json;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
@@ -18,7 +18,7 @@
 #[test_case(true; "it goes on to serve")]
 fn a_server_that_drains_behind_a_crowded_discovery_gets_nothing_after_the_grace(serves: bool) {
     in_time(|| {
-        let servers: Vec<Server> = (0..3).map(|_| Server::start(Act::Serve(Vec::new()))).collect();
+        let servers: Vec<Server> = (0..3).map(|_| Server::start(Behavior::Serve(Vec::new()))).collect();
         let drains = &servers[0];
         let addresses: Vec<_> = servers.iter().map(|server| server.address).collect();
         let mut file = config(&addresses);
@@ -27,21 +27,21 @@
         let node = Node::start(&file);
         node.discovery.publish(2, crate::stand_ins::list(2, false, &[]));
         node.discovery.wait_for(2);
-        let mut caller = node.caller();
-        let mut ask = || caller.ask(&head("read", "5", 0), b"").status();
-        while drains.jobs().is_empty() {
+        let mut client = node.client();
+        let mut ask = || client.ask(&head("read", "5", 0), b"").status();
+        while drains.requests().is_empty() {
             assert_eq!(ask(), 200);
         }
-        node.discovery.crowd();
+        node.discovery.refuse_calls();
         drains.drain(serves);
         let told = Instant::now();
         while told.elapsed() < Duration::from_millis(TOLD + GRACE + SLACK) {
             ask();
             sleep(Duration::from_millis(5));
         }
-        let before = drains.jobs().len();
+        let before = drains.requests().len();
         let served = (0..300).filter(|_| ask() == 200).count();
-        let after = drains.jobs().len();
+        let after = drains.requests().len();
         node.end();
         if served < 300 {
             return Err(format!("{} of 300 requests were not served by the servers that stay", 300 - served));
--- a/crates/pearfront-node/tests/endings/unended.rs
+++ b/crates/pearfront-node/tests/endings/stalled_connections.rs
@@ -2,7 +2,9 @@
 //! found.
 
 use super::deadline::{End, all_within, answered_within, on_one_connection, over};
-use crate::stand_ins::{Act, Caller, ESTABLISHED, Node, Platform, Server, config, head, in_table, in_time};
+use crate::stand_ins::{
+    Behavior, Client, ESTABLISHED, Node, Platform, Server, config, head, in_table, in_time,
+};
 use serde_json::json;
 use socket2::{Domain, Socket, Type};
 use std::io::{Read, Write};
@@ -36,7 +38,7 @@
 #[test_case(0, 150; "behind many heads")]
 fn a_short_request_far_behind_a_long_one_is_answered_or_shut_unread_in_its_time(length: usize, count: usize) {
     in_time(|| {
-        let server = Server::start(Act::Silence);
+        let server = Server::start(Behavior::NoAnswer);
         let mut all = head("read", "3", 0).into_bytes();
         for _ in 0..count {
             all.extend(head("pay", "3", length).into_bytes());
@@ -45,8 +47,8 @@
         all.extend(head("read", "0.6", 0).into_bytes());
         on_one_connection(
             Node::start(&config(&[server.address])),
-            |caller| caller.send("", &all),
-            |caller| answered_or_reset_within(&caller.stream, count + 2, TIME + LOST_AFTER),
+            |client| client.send("", &all),
+            |client| answered_or_reset_within(&client.stream, count + 2, TIME + LOST_AFTER),
         )
     });
 }
@@ -55,11 +57,11 @@
 pub fn short_behind_a_body(node: Node, length: usize) -> Result<(), String> {
     on_one_connection(
         node,
-        |caller| {
-            caller.send(&head("pay", "3", length), &vec![b'x'; length]);
-            caller.send(&head("read", "0.6", 0), b"");
+        |client| {
+            client.send(&head("pay", "3", length), &vec![b'x'; length]);
+            client.send(&head("read", "0.6", 0), b"");
         },
-        |caller| answered_or_reset_within(&caller.stream, 2, TIME + LOST_AFTER),
+        |client| answered_or_reset_within(&client.stream, 2, TIME + LOST_AFTER),
     )
 }
 
@@ -76,13 +78,13 @@
 #[test_case("\r\n"; "with a line end behind it")]
 fn the_last_answer_on_a_connection_comes_whole(behind: &str) {
     const LENGTH: usize = 1_000_000;
-    let server = Server::start(Act::Serve(vec![b'x'; LENGTH]));
+    let server = Server::start(Behavior::Serve(vec![b'x'; LENGTH]));
     let node = Node::start(&config(&[server.address]));
-    let mut caller = node.caller_with_buffer(16 * 1024);
+    let mut client = node.client_with_buffer(16 * 1024);
     let request = head("read", "3", 0).replace("Host:", "Connection: close\r\nHost:");
-    caller.send(&request, behind.as_bytes());
+    client.send(&request, behind.as_bytes());
     sleep(TIME);
-    let length = caller.answer().map(|answer| answer.body.len());
+    let length = client.answer().map(|answer| answer.body.len());
     assert_eq!(length, Some(LENGTH));
     over(node);
 }
@@ -94,14 +96,14 @@
 #[test_case(0, 300; "many zeros before a size")]
 fn a_body_in_chunks_with_a_long_line_is_served_in_its_time(spaces: usize, zeros: usize) {
     in_time(|| {
-        let server = Server::start(Act::Serve(b"fine".to_vec()));
+        let server = Server::start(Behavior::Serve(b"fine".to_vec()));
         let node = Node::start(&config(&[server.address]));
-        let mut caller = node.caller();
+        let mut client = node.client();
         let coding = format!("Transfer-Encoding: {}chunked", " ".repeat(spaces));
         let body = format!("{}7\r\na\r\n\r\nbc\r\n0\r\n\r\n", "0".repeat(zeros));
-        caller.send(&head("pay", "0.6", 0).replace("Content-Length: 0", &coding), body.as_bytes());
-        answered_within(&caller.stream, 1, TIME + LOST_AFTER)?;
-        match server.jobs().iter().map(|job| job.body.len()).collect::<Vec<_>>()[..] {
+        client.send(&head("pay", "0.6", 0).replace("Content-Length: 0", &coding), body.as_bytes());
+        answered_within(&client.stream, 1, TIME + LOST_AFTER)?;
+        match server.requests().iter().map(|request| request.body.len()).collect::<Vec<_>>()[..] {
             [7] => Ok(()),
             ref other => Err(format!("{other:?}")),
         }
@@ -113,14 +115,14 @@
 #[test_case(300; "much")]
 fn white_space_before_a_length_hides_no_request_behind_the_body(spaces: usize) {
     in_time(|| {
-        let server = Server::start(Act::Silence);
+        let server = Server::start(Behavior::NoAnswer);
         let length = format!("Content-Length: {}", " ".repeat(spaces));
         let first = head("pay", "0.6", 5).replace("Content-Length: ", &length);
         let all = [first.as_str(), "hello", &head("read", "3", 0), &head("read", "0.6", 0)].concat();
         on_one_connection(
             Node::start(&config(&[server.address])),
-            |caller| caller.send(&all, b""),
-            |caller| answered_or_reset_within(&caller.stream, 3, TIME + LOST_AFTER),
+            |client| client.send(&all, b""),
+            |client| answered_or_reset_within(&client.stream, 3, TIME + LOST_AFTER),
         )
     });
 }
@@ -130,11 +132,11 @@
 #[test_case("-0.1"; "less than none")]
 fn a_request_of_no_time_behind_a_long_one_is_answered_or_shut_unread_at_once(left: &str) {
     in_time(|| {
-        let server = Server::start(Act::Silence);
+        let server = Server::start(Behavior::NoAnswer);
         on_one_connection(
             Node::start(&config(&[server.address])),
-            |caller| caller.send(&[head("read", "3", 0), head("read", left, 0)].concat(), b""),
-            |caller| answered_or_reset_within(&caller.stream, 2, LOST_AFTER),
+            |client| client.send(&[head("read", "3", 0), head("read", left, 0)].concat(), b""),
+            |client| answered_or_reset_within(&client.stream, 2, LOST_AFTER),
         )
     });
 }
@@ -146,21 +148,21 @@
     in_time(|| {
         let (address, _listener) = super::deadline::takes_nothing();
         let node = Node::start(&config(&[address]));
-        let mut caller = node.caller();
-        caller.send(&head("pay", "6", 12 * 1024 * 1024), b"");
+        let mut client = node.client();
+        client.send(&head("pay", "6", 12 * 1024 * 1024), b"");
         // Until the node has read all that it can pass on.
-        caller.stream.set_write_timeout(Some(Duration::from_millis(300))).unwrap();
-        while caller.stream.write_all(&[b'x'; 16 * 1024]).is_ok() {}
-        answered_within(&caller.stream, 1, OWED)
+        client.stream.set_write_timeout(Some(Duration::from_millis(300))).unwrap();
+        while client.stream.write_all(&[b'x'; 16 * 1024]).is_ok() {}
+        answered_within(&client.stream, 1, OWED)
     });
 }
 
 /// Bytes that the kernel holds of what the node has sent to this client.
-fn sent_and_not_read(caller: &TcpStream) -> u64 {
+fn sent_and_not_read(client: &TcpStream) -> u64 {
     let words = format!(
         "{} {} {ESTABLISHED} ",
-        in_table(caller.peer_addr().unwrap()),
-        in_table(caller.local_addr().unwrap())
+        in_table(client.peer_addr().unwrap()),
+        in_table(client.local_addr().unwrap())
     );
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
     let line = table.split_once(&words).expect("an open connection").1;
@@ -174,19 +176,19 @@
     const PAUSE: Duration = Duration::from_millis(2500);
     // How often is looked, 50 ms apart, whether the kernel has taken an answer whole.
     const LOOKS: usize = 10;
-    let server = Server::start(Act::Serve(vec![b'x'; LENGTH]));
+    let server = Server::start(Behavior::Serve(vec![b'x'; LENGTH]));
     let node = Node::start_for_operators(config(&[server.address]));
-    let mut caller = node.caller_with_buffer(16 * 1024);
+    let mut client = node.client_with_buffer(16 * 1024);
     let (mut count, mut held, mut is_taken) = (0, 0, true);
     // Until the kernel does not take an answer whole.
     while is_taken {
-        caller.send(&head("read", "60", 0), b"");
+        client.send(&head("read", "60", 0), b"");
         count += 1;
-        server.wait_for(&format!("job {count}"));
+        server.wait_for(&format!("request {count}"));
         let before = held;
         is_taken = (0..LOOKS).any(|_| {
             sleep(Duration::from_millis(50));
-            held = sent_and_not_read(&caller.stream);
+            held = sent_and_not_read(&client.stream);
             // Of the first ones a part is with the client's kernel.
             count <= 2 || held >= before + LENGTH as u64
         });
@@ -194,7 +196,7 @@
     assert_eq!(node.call("PUT /_lameduck/on"), 200);
     sleep(PAUSE);
     let whole =
-        (0..count).take_while(|_| caller.answer().is_some_and(|answer| answer.body.len() == LENGTH)).count();
+        (0..count).take_while(|_| client.answer().is_some_and(|answer| answer.body.len() == LENGTH)).count();
     assert_eq!(whole, count);
 }
 
@@ -204,22 +206,22 @@
 #[test_case(true; "with a request that crosses it")]
 fn the_last_answer_in_a_drain_comes_whole(crosses: bool) {
     const LENGTH: usize = 1_000_000;
-    let server = Server::start(Act::Hold(vec![b'x'; LENGTH]));
+    let server = Server::start(Behavior::Hold(vec![b'x'; LENGTH]));
     let node = Node::start_for_operators(config(&[server.address]));
-    let mut caller = node.caller_with_buffer(16 * 1024);
-    caller.send(&head("read", "5", 0), b"");
-    server.wait_for("job 1");
+    let mut client = node.client_with_buffer(16 * 1024);
+    client.send(&head("read", "5", 0), b"");
+    server.wait_for("request 1");
     assert_eq!(node.call("PUT /_lameduck/on"), 200);
     sleep(2 * TIME);
-    server.go_on();
+    server.release();
     // Its head is on the way then.
-    let first = String::from_utf8(caller.take(100)).unwrap();
+    let first = String::from_utf8(client.take(100)).unwrap();
     assert!(first.contains("connection: close\r\n"), "{first}");
     if crosses {
-        caller.send(&head("read", "5", 0), b"");
+        client.send(&head("read", "5", 0), b"");
     }
     sleep(TIME);
-    let length = caller.take(usize::MAX).len();
+    let length = client.take(usize::MAX).len();
     assert!(length >= LENGTH, "{length} bytes");
 }
 
@@ -229,17 +231,17 @@
 #[test_case(50_000; "longer than what is looked at")]
 fn a_request_does_not_make_way_for_one_whose_body_is_still_coming(length: usize) {
     in_time(|| {
-        let server = Server::start(Act::Hold(b"fine".to_vec()));
+        let server = Server::start(Behavior::Hold(b"fine".to_vec()));
         let node = Node::start(&config(&[server.address]));
-        let mut caller = node.caller();
+        let mut client = node.client();
         let body = vec![b'x'; length];
         let (begun, rest) = body.split_at(length * 9 / 10);
-        caller.send(&[head("read", "3", 0), head("pay", "0.6", length)].concat(), begun);
+        client.send(&[head("read", "3", 0), head("pay", "0.6", length)].concat(), begun);
         sleep(2 * TIME);
-        server.go_on();
-        let status = caller.answer().map(|answer| answer.status());
-        caller.stream.write_all(rest).unwrap();
-        let behind = caller.answer().map(|answer| answer.status());
+        server.release();
+        let status = client.answer().map(|answer| answer.status());
+        client.stream.write_all(rest).unwrap();
+        let behind = client.answer().map(|answer| answer.status());
         match (status, behind) {
             (Some(200), Some(200)) => Ok(()),
             other => Err(format!("{other:?}")),
@@ -253,20 +255,20 @@
 fn clients_that_read_none_of_their_small_answers_do_not_keep_others_out() {
     const STALLED: Duration = Duration::from_secs(15 + 5);
     const EACH: usize = 100;
-    let server = Server::start(Act::Serve(vec![b'x'; 60_000]));
+    let server = Server::start(Behavior::Serve(vec![b'x'; 60_000]));
     let mut config = config(&[server.address]);
     config["limits"]["sockets"] = json!(48);
     let node = Node::start(&config);
     let crowd: Vec<TcpStream> = (0..24)
         .map(|_| {
-            let mut stream = node.caller_with_buffer(16 * 1024).stream;
+            let mut stream = node.client_with_buffer(16 * 1024).stream;
             // One that is shut unread has no answer.
             let _ = stream.write_all((0..EACH).map(|_| head("read", "60", 0)).collect::<String>().as_bytes());
             // Until no more of them are begun.
             loop {
-                let before = server.jobs().len();
+                let before = server.requests().len();
                 sleep(Duration::from_millis(80));
-                if server.jobs().len() == before {
+                if server.requests().len() == before {
                     return stream;
                 }
             }
@@ -276,7 +278,7 @@
     let mut last = None;
     while begun.elapsed() < STALLED {
         sleep(Duration::from_millis(500));
-        let mut other = node.caller();
+        let mut other = node.client();
         if other.stream.write_all(head("read", "0.6", 0).as_bytes()).is_ok() {
             last = other.answer().map(|answer| answer.status());
         }
@@ -293,7 +295,7 @@
 #[test_case(true; "and stands still")]
 fn what_comes_in_a_hand_over_is_answered_whatever_the_next_process_does(stands_still: bool) {
     in_time(|| {
-        let server = Server::start(Act::Serve(b"fine".to_vec()));
+        let server = Server::start(Behavior::Serve(b"fine".to_vec()));
         let platform = Platform::new();
         let config = config(&[server.address]);
         let old = platform.start(&config);
@@ -307,9 +309,9 @@
         }
         old.signal("-TERM");
         sleep(Duration::from_millis(300));
-        let mut caller = old.caller();
-        caller.send(&head("read", "0.6", 0), b"");
-        answered_within(&caller.stream, 1, TIME + LOST_AFTER)
+        let mut client = old.client();
+        client.send(&head("read", "0.6", 0), b"");
+        answered_within(&client.stream, 1, TIME + LOST_AFTER)
     });
 }
 
@@ -318,13 +320,13 @@
 const LARGE_BODY: usize = 24 * 1024 * 1024;
 
 /// A client's large request, of which a server reads the head alone; after that pause it answers whole. With both connections.
-fn answered_behind_its_head(pause: Duration) -> (Node, Caller, TcpStream) {
+fn answered_behind_its_head(pause: Duration) -> (Node, Client, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut config = config(&[listener.local_addr().unwrap()]);
     config["settings"]["limits"]["probes"] = json!(false);
     let node = Node::start(&config);
-    let caller = node.caller();
-    let mut sending = caller.stream.try_clone().unwrap();
+    let client = node.client();
+    let mut sending = client.stream.try_clone().unwrap();
     spawn(move || {
         let _ = sending.write_all(head("book", "5", LARGE_BODY).as_bytes());
         let _ = sending.write_all(&vec![b'x'; LARGE_BODY]);
@@ -334,7 +336,7 @@
     sleep(pause);
     let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {LARGE_ANSWER}\r\n\r\n");
     server.write_all(&[answer.as_bytes(), &vec![b'y'; LARGE_ANSWER]].concat()).unwrap();
-    (node, caller, server)
+    (node, client, server)
 }
 
 // A server that answers whole and reads no more of the request than its head: the node's connection to it ends, although nothing
@@ -343,8 +345,8 @@
 fn a_connection_whose_server_leaves_a_body_unread_ends_behind_the_answer() {
     const UNTIL_NOTHING_MOVES: Duration = Duration::from_secs(1);
     const LONGEST_OPEN: Duration = Duration::from_secs(8);
-    let (node, mut caller, server) = answered_behind_its_head(UNTIL_NOTHING_MOVES);
-    assert_eq!(caller.answer().map(|answer| answer.body.len()), Some(LARGE_ANSWER));
+    let (node, mut client, server) = answered_behind_its_head(UNTIL_NOTHING_MOVES);
+    assert_eq!(client.answer().map(|answer| answer.body.len()), Some(LARGE_ANSWER));
     let ends = (in_table(server.peer_addr().unwrap()), in_table(server.local_addr().unwrap()));
     let is_open = || {
         let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
@@ -361,15 +363,15 @@
 // A server begins a large answer before it has the whole body, and then reads that: the answer comes whole.
 #[test]
 fn a_large_answer_that_begins_ahead_of_the_bodys_end_comes_whole() {
-    let (node, mut caller, mut server) = answered_behind_its_head(Duration::ZERO);
+    let (node, mut client, mut server) = answered_behind_its_head(Duration::ZERO);
     let reading = spawn(move || std::io::copy(&mut server, &mut std::io::sink()));
-    assert_eq!(caller.answer().map(|answer| answer.body.len()), Some(LARGE_ANSWER));
+    assert_eq!(client.answer().map(|answer| answer.body.len()), Some(LARGE_ANSWER));
     node.kill();
     let _ = reading.join().unwrap();
 }
 
 /// A client for which the node's kernel holds little of what is on its way, so that the node itself holds the rest.
-fn caller_for_whom_little_is_held(node: &Node) -> TcpStream {
+fn client_with_small_buffer(node: &Node) -> TcpStream {
     const SEGMENT: u32 = 536;
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(4 * 1024).unwrap();
@@ -390,15 +392,15 @@
     config["settings"]["limits"]["probes"] = json!(false);
     let node = Node::start(&config);
     for length in (0..COUNT).map(|number| SHORTEST + number * STEP) {
-        let mut caller = caller_for_whom_little_is_held(&node);
-        caller.write_all(head("read", "60", 0).as_bytes()).unwrap();
+        let mut client = client_with_small_buffer(&node);
+        client.write_all(head("read", "60", 0).as_bytes()).unwrap();
         let mut server = listener.accept().unwrap().0;
         assert!(server.read(&mut [0; 4096]).unwrap() > 0);
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", length + 1);
         server.write_all(&[answer.as_bytes(), &vec![b'y'; length]].concat()).unwrap();
         drop(server);
         // Slowly: the kernel takes no more most of the time.
-        while caller.read(&mut [0; 1024]).is_ok_and(|count| count > 0) {
+        while client.read(&mut [0; 1024]).is_ok_and(|count| count > 0) {
             sleep(Duration::from_millis(1));
         }
     }
--- a/crates/pearfront-node/tests/endings/system_calls.rs
+++ b/crates/pearfront-node/tests/endings/system_calls.rs
@@ -1,6 +1,6 @@
 //! System calls that fail as Linux documents, by the soak's shim, and a process that stands still.
 
-use crate::stand_ins::{Act, Node, Server, config, head};
+use crate::stand_ins::{Behavior, Node, Server, config, head};
 use pearfront_soak::shim::{Control, Fault, build};
 use std::path::PathBuf;
 use std::process::Command;
@@ -63,12 +63,12 @@
 #[test_case(Fault::NoBuffers, 50_000; "no buffers")]
 fn no_request_is_lost_by_a_call_that_may_be_repeated(fault: Fault, per_million: u32) {
     let shim = Shim::new(&format!("{fault:?}"), 7);
-    let server = Server::start(Act::Serve(b"fine".to_vec()));
+    let server = Server::start(Behavior::Serve(b"fine".to_vec()));
     let node = shim.start(&config(&[server.address]));
-    let mut caller = node.caller();
+    let mut client = node.client();
     shim.control.set(fault, per_million).unwrap();
     for _ in 0..REQUESTS {
-        assert_eq!(caller.ask(&head("pay", "5", 0), b"").status(), 200);
+        assert_eq!(client.ask(&head("pay", "5", 0), b"").status(), 200);
     }
     shim.control.set(fault, 0).unwrap();
     let counts = shim.control.counts();
@@ -99,22 +99,22 @@
 #[test_case(false; "on an open connection")]
 #[test_case(true; "on a new connection")]
 fn a_server_is_not_told_of_time_that_passed_while_the_process_stood_still(is_new: bool) {
-    let server = Server::start(Act::Serve(Vec::new()));
+    let server = Server::start(Behavior::Serve(Vec::new()));
     let node = Node::start(&config(&[server.address]));
-    let mut caller = node.caller();
-    assert_eq!(caller.ask(&head("read", "3", 0), b"").status(), 200);
+    let mut client = node.client();
+    assert_eq!(client.ask(&head("read", "3", 0), b"").status(), 200);
     // The process has to have been running for a moment.
     sleep(Duration::from_millis(200));
     node.signal("-STOP");
     node.wait_until_stopped();
     if is_new {
-        caller = node.caller();
+        client = node.client();
     }
-    caller.send(&head("read", "3", 0), b"");
+    client.send(&head("read", "3", 0), b"");
     sleep(Duration::from_millis(STOPPED));
     node.signal("-CONT");
-    assert_eq!(caller.answer().unwrap().status(), 200);
+    assert_eq!(client.answer().unwrap().status(), 200);
     node.end();
-    let told: f64 = server.jobs()[1].headers["x-expires-in"].parse().unwrap();
+    let told: f64 = server.requests()[1].headers["x-expires-in"].parse().unwrap();
     assert!(told * 1000.0 <= (WAITS - STOPPED + SLACK) as f64, "told {told} s");
 }
--- a/crates/pearfront-node/tests/endings/watch.rs
+++ b/crates/pearfront-node/tests/endings/watch.rs
@@ -1,5 +1,5 @@
 //! Orders of calls to discovery that fail, each in its own way, on sockets: the list behind them has to be with the node by
-//! when it counts as told.
+//! when it counts as state.
 
 use crate::stand_ins::{Message, Node, Server, config, in_table, in_time_unless_late, list, wait_for_table};
 use serde_json::json;
@@ -13,7 +13,7 @@
 
 /// What befalls a call; those behind the last one are answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Fate {
+enum CallFault {
     Silent,
     /// Half a list, and nothing more.
     Stalled,
@@ -23,7 +23,7 @@
     NotConnected,
 }
 
-use Fate::*;
+use CallFault::*;
 
 /// From when on a connection that found no way in does not matter: its next try comes after 1 s, which the kernel says.
 const WAY_FREE: Duration = Duration::from_millis(300);
@@ -34,11 +34,11 @@
 const CONNECTING: &str = "02";
 
 #[derive(Default)]
-struct Told {
-    /// What it has, and the fates of the calls to come.
+struct ServiceState {
+    /// What it has, and the faults of the calls to come.
     version: u64,
-    fates: Vec<Fate>,
-    /// Calls: the version that their caller knew, and when they came.
+    faults: Vec<CallFault>,
+    /// Calls: the version that their client knew, and when they came.
     calls: Vec<(u64, Instant)>,
     connections: usize,
     /// Connections that came before the so many-th get nothing more.
@@ -47,29 +47,29 @@
     was_late: bool,
 }
 
-/// A discovery whose calls fare as told.
+/// A discovery whose calls fare as state.
 struct Service {
     address: SocketAddr,
-    told: Arc<(Mutex<Told>, Condvar)>,
+    state: Arc<(Mutex<ServiceState>, Condvar)>,
 }
 
 impl Service {
-    fn start(version: u64, fates: &[Fate]) -> Self {
-        let address = Server::nowhere();
-        let told = Told { version, fates: fates.to_vec(), ..Told::default() };
-        let told: Arc<(Mutex<Told>, Condvar)> = Arc::new((Mutex::new(told), Condvar::new()));
+    fn start(version: u64, faults: &[CallFault]) -> Self {
+        let address = Server::unused_address();
+        let state = ServiceState { version, faults: faults.to_vec(), ..ServiceState::default() };
+        let state: Arc<(Mutex<ServiceState>, Condvar)> = Arc::new((Mutex::new(state), Condvar::new()));
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.bind(&address.into()).unwrap();
         socket.listen(1).unwrap();
         socket.set_nonblocking(true).unwrap();
-        let (shared, listener): (_, TcpListener) = (told.clone(), socket.into());
+        let (shared, listener): (_, TcpListener) = (state.clone(), socket.into());
         thread::spawn(move || {
             loop {
-                if shared.0.lock().unwrap().fates.first() == Some(&NotConnected) {
-                    let was_late = !shut_out(&listener, address);
-                    let mut told = shared.0.lock().unwrap();
-                    told.fates.remove(0);
-                    told.was_late |= was_late;
+                if shared.0.lock().unwrap().faults.first() == Some(&NotConnected) {
+                    let was_late = !block_first_connect(&listener, address);
+                    let mut state = shared.0.lock().unwrap();
+                    state.faults.remove(0);
+                    state.was_late |= was_late;
                 }
                 match listener.accept() {
                     Ok((stream, _)) => {
@@ -81,32 +81,34 @@
                 }
             }
         });
-        Self { address, told }
+        Self { address, state }
     }
 
     /// Waits for a call of one that knows this version; when it came.
     fn wait_for(&self, version: u64) -> Instant {
-        let known = |told: &Told| told.calls.iter().find(|(from, _)| *from >= version).map(|(_, at)| *at);
-        let missing = |told: &mut Told| known(told).is_none();
-        let patience = Duration::from_secs(30);
-        let told = self.told.1.wait_timeout_while(self.told.0.lock().unwrap(), patience, missing).unwrap().0;
-        known(&told).expect("a call behind the list")
+        let known =
+            |state: &ServiceState| state.calls.iter().find(|(from, _)| *from >= version).map(|(_, at)| *at);
+        let missing = |state: &mut ServiceState| known(state).is_none();
+        let timeout = Duration::from_secs(30);
+        let state =
+            self.state.1.wait_timeout_while(self.state.0.lock().unwrap(), timeout, missing).unwrap().0;
+        known(&state).expect("a call behind the list")
     }
 
     fn was_late(&self) -> bool {
-        self.told.0.lock().unwrap().was_late
+        self.state.0.lock().unwrap().was_late
     }
 
     /// It falls silent on what is open, has this to tell from now on, and the calls to come fare so. Says when that was.
-    fn change(&self, version: u64, fates: &[Fate]) -> Instant {
-        let mut told = self.told.0.lock().unwrap();
-        (told.version, told.fates, told.silent_before) = (version, fates.to_vec(), told.connections);
+    fn change(&self, version: u64, faults: &[CallFault]) -> Instant {
+        let mut state = self.state.0.lock().unwrap();
+        (state.version, state.faults, state.silent_before) = (version, faults.to_vec(), state.connections);
         Instant::now()
     }
 }
 
 /// Keeps the way full until a connection has tried it. Was it free again before that one's next try?
-fn shut_out(listener: &TcpListener, address: SocketAddr) -> bool {
+fn block_first_connect(listener: &TcpListener, address: SocketAddr) -> bool {
     let mut queued = Vec::new();
     loop {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
@@ -125,11 +127,11 @@
     is_first && tries.is_some_and(|tries| tries == "00000000")
 }
 
-fn serve(stream: TcpStream, (lock, changed): &(Mutex<Told>, Condvar)) {
+fn serve(stream: TcpStream, (lock, changed): &(Mutex<ServiceState>, Condvar)) {
     let place = {
-        let mut told = lock.lock().unwrap();
-        told.connections += 1;
-        told.connections
+        let mut state = lock.lock().unwrap();
+        state.connections += 1;
+        state.connections
     };
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     let mut writer = stream;
@@ -138,19 +140,19 @@
             call.start.split_once(key).unwrap().1.split(['&', ' ']).next().unwrap().parse().unwrap()
         };
         let (from, hold) = (number("from="), Duration::from_millis(number("hold_ms=")));
-        let mut told = lock.lock().unwrap();
-        told.calls.push((from, Instant::now()));
+        let mut state = lock.lock().unwrap();
+        state.calls.push((from, Instant::now()));
         changed.notify_all();
-        let fate = (!told.fates.is_empty()).then(|| told.fates.remove(0));
-        let news = |told: &mut Told| told.version <= from && place > told.silent_before;
-        let told = changed.wait_timeout_while(told, hold, news).unwrap().0;
-        if place <= told.silent_before {
+        let fault = (!state.faults.is_empty()).then(|| state.faults.remove(0));
+        let news = |state: &mut ServiceState| state.version <= from && place > state.silent_before;
+        let state = changed.wait_timeout_while(state, hold, news).unwrap().0;
+        if place <= state.silent_before {
             continue;
         }
-        let body = list(told.version, false, &[]).to_string();
-        drop(told);
+        let body = list(state.version, false, &[]).to_string();
+        drop(state);
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
-        match fate {
+        match fault {
             None => drop(writer.write_all(&[head.as_bytes(), body.as_bytes()].concat())),
             Some(Silent | NotConnected) => {}
             Some(Stalled) => {
@@ -175,7 +177,7 @@
     config
 }
 
-fn in_allowed(took: Duration, allowed: u64) -> Result<(), String> {
+fn known_within(took: Duration, allowed: u64) -> Result<(), String> {
     if took <= Duration::from_millis(allowed) { Ok(()) } else { Err(format!("known after {took:?}")) }
 }
 
@@ -186,16 +188,16 @@
 #[test_case(false, &[NotConnected]; "no way in, asked")]
 #[test_case(true, &[Stalled, Refused]; "stalled and refused, pushed")]
 #[test_case(false, &[Stalled, Refused]; "stalled and refused, asked")]
-fn a_change_is_known_in_time_whatever_befell_the_calls(pushed: bool, fates: &[Fate]) {
+fn a_change_is_known_in_time_whatever_befell_the_calls(pushed: bool, faults: &[CallFault]) {
     in_time_unless_late(|| {
         // The first call has its answer at once, and the one behind it is held when it falls silent.
         let service = Service::start(2, &[]);
         let node = Node::start(&file(pushed, service.address));
         service.wait_for(2);
-        let silent = service.change(3, fates);
+        let silent = service.change(3, faults);
         let known = service.wait_for(3);
         node.end();
-        (in_allowed(known - silent, 6000), service.was_late())
+        (known_within(known - silent, 6000), service.was_late())
     });
 }
 
@@ -204,15 +206,15 @@
 #[test_case(false, Silent; "silent, asked")]
 #[test_case(true, NotConnected; "no way in, pushed")]
 #[test_case(false, NotConnected; "no way in, asked")]
-fn what_a_service_that_moved_has_is_known_in_time(pushed: bool, fate: Fate) {
+fn what_a_service_that_moved_has_is_known_in_time(pushed: bool, fault: CallFault) {
     in_time_unless_late(|| {
-        let (old, new) = (Service::start(2, &[]), Service::start(3, &[fate]));
+        let (old, new) = (Service::start(2, &[]), Service::start(3, &[fault]));
         let node = Node::start(&file(pushed, old.address));
         old.wait_for(2);
-        let told = old.change(2, &[]);
+        let state = old.change(2, &[]);
         node.reload(&file(pushed, new.address).to_string());
         let known = new.wait_for(3);
         node.end();
-        (in_allowed(known - told, 4000), new.was_late())
+        (known_within(known - state, 4000), new.was_late())
     });
 }
--- a/crates/pearfront-node/tests/days/mod.rs
+++ b/crates/pearfront-node/tests/operations/mod.rs
@@ -1,7 +1,8 @@
 //! The operators' days on loopback: calls at the operators' address, a drain, an upgrade under load.
 
 use crate::stand_ins::{
-    Act, Discovery, Node, Platform, Server, config, entry, head, in_time_unless_late, list, run_faulty,
+    Behavior, Discovery, Node, Platform, Server, config, entry, head, in_time_unless_late, list,
+    run_expecting_failure,
 };
 use serde_json::json;
 use std::io::Write;
@@ -38,14 +39,14 @@
 
 // Callers that connect and finish no call, and clients that hold all descriptors, keep no operator waiting.
 #[test]
-fn an_operator_gets_in_beside_callers_that_never_finish_and_a_crowd_of_clients() {
-    let server = Server::start(Act::Silence);
+fn an_operator_gets_in_beside_clients_that_never_finish_and_a_crowd_of_clients() {
+    let server = Server::start(Behavior::NoAnswer);
     let mut config = config(&[server.address]);
     config["limits"]["sockets"] = json!(80);
     let node = Node::start_for_operators(config);
     let clients: Vec<_> = (0..60)
         .map(|_| {
-            let mut client = node.caller();
+            let mut client = node.client();
             client.send(&head("pay", "60", 0), b"");
             client
         })
@@ -79,26 +80,26 @@
 // Nothing of a drain is lost: idle clients are let go, what is under way is answered, whoever still comes is served.
 #[test]
 fn a_drained_node_lets_its_clients_go_and_runs_on() {
-    let server = Server::start(Act::Serve(b"fine".to_vec()));
+    let server = Server::start(Behavior::Serve(b"fine".to_vec()));
     let node = Node::start_for_operators(config(&[server.address]));
-    let (mut idle, mut used) = (node.caller(), node.caller());
+    let (mut idle, mut used) = (node.client(), node.client());
     assert_eq!(used.ask(&head("read", "5", 0), b"").status(), 200);
     assert_eq!(node.call("PUT /_lameduck/on"), 200);
     assert_eq!(idle.ask(UP, b"").status(), 503);
     assert!(idle.answer().is_none() && used.answer().is_none());
     // Now each answer is the last on its connection.
-    let mut late = node.caller();
+    let mut late = node.client();
     let answer = late.ask(&head("read", "5", 0), b"");
     assert_eq!((answer.status(), answer.headers["connection"].as_str()), (200, "close"));
     assert!(late.answer().is_none());
     assert_eq!(node.call("PUT /_lameduck/off"), 200);
-    let mut back = node.caller();
+    let mut back = node.client();
     assert_eq!(back.ask(UP, b"").status(), 200);
     assert_eq!(back.ask(&head("read", "5", 0), b"").status(), 200);
     assert_eq!(node.call("PUT /_lameduck/on"), 200);
     // An end on top of a drain is an end, and a drain on top of that no error.
     node.signal("-TERM");
-    assert_eq!(node.ended()["served"], 3);
+    assert_eq!(node.wait_for_end()["served"], 3);
 }
 
 /// How soon behind an answer a client sends its next request: one that rests for 50 ms in an upgrade may find its connection closed.
@@ -106,24 +107,24 @@
 
 // Two processes on one inherited socket: the new one says yes, the old one ends, no client meets a closed door.
 #[test]
-fn an_upgrade_loses_no_job_and_only_the_old_process_exits() {
+fn an_upgrade_loses_no_request_and_only_the_old_process_exits() {
     in_time_unless_late(|| {
-        let server = Server::start(Act::Serve(b"fine".to_vec()));
+        let server = Server::start(Behavior::Serve(b"fine".to_vec()));
         let (platform, config) = (Platform::new(), config(&[server.address]));
         let old = platform.start(&config);
         old.wait_for_call("GET /_ready", 200);
-        let mut client = old.caller();
-        let job = head("read", "5", 0);
-        assert_eq!(client.ask(&job, b"").status(), 200);
+        let mut client = old.client();
+        let request = head("read", "5", 0);
+        assert_eq!(client.ask(&request, b"").status(), 200);
         let new = platform.start(&config);
         new.wait_for_call("GET /_ready", 200);
-        assert_eq!(client.ask(&job, b"").status(), 200);
+        assert_eq!(client.ask(&request, b"").status(), 200);
         old.signal("-TERM");
         // The client goes on with what it has until it is told that this was the last on it, and comes again.
         let mut asked = 2;
         let mut answered = Instant::now();
         loop {
-            let sent = client.stream.write_all(job.as_bytes());
+            let sent = client.stream.write_all(request.as_bytes());
             let was_late = answered.elapsed() > NEXT;
             let Some(answer) = sent.ok().and_then(|()| client.answer()) else {
                 return (Err(format!("no answer behind {asked}")), was_late);
@@ -136,9 +137,9 @@
             }
         }
         assert!(client.answer().is_none());
-        let old = old.ended();
+        let old = old.wait_for_end();
         assert_eq!(new.call("GET /_ready"), 200);
-        assert_eq!(new.caller().ask(&head("read", "5", 0), b"").status(), 200);
+        assert_eq!(new.client().ask(&head("read", "5", 0), b"").status(), 200);
         assert_eq!((old["served"], new.end()["served"]), (asked, 1));
         (Ok(()), false)
     });
@@ -151,7 +152,7 @@
 #[test_case("ROUTER_INHERITED_FD", "900", "ROUTER_INHERITED_FD: descriptor 900 is not open"; "not open")]
 #[test_case("ROUTER_INHERITED_FD", "2", "ROUTER_INHERITED_FD: \"2\" is no descriptor"; "a standard stream")]
 fn what_operators_need_is_checked_before_a_client_is_let_in(key: &str, value: &str, problem: &str) {
-    let (output, bound) = run_faulty(&config(&[]).to_string(), |command| {
+    let (output, bound) = run_expecting_failure(&config(&[]).to_string(), |command| {
         command.env(key, value);
     });
     let said = String::from_utf8(output.stderr).unwrap();
@@ -161,18 +162,18 @@
 
 // Jobs end under the settings that they came under, and those that come after are taken by the new ones.
 #[test]
-fn new_settings_hold_for_new_jobs_and_old_ones_for_open_jobs() {
-    let server = Server::start(Act::Hold(b"fine".to_vec()));
+fn new_settings_hold_for_new_requests_and_old_ones_for_open_requests() {
+    let server = Server::start(Behavior::Hold(b"fine".to_vec()));
     let mut config = config(&[server.address]);
     let node = Node::start(&config);
-    let (mut dropped, mut changed) = (node.caller(), node.caller());
+    let (mut dropped, mut changed) = (node.client(), node.client());
     // Half of its body comes after the settings have changed.
     let half = head("pay", "60", 8);
     dropped.send(&head("read", "60", 0), b"");
-    server.wait_for("job 1");
+    server.wait_for("request 1");
     changed.send(&half, b"half");
-    // Another job's answer shows that what came before it has been read.
-    assert_eq!(node.caller().ask(UP, b"").status(), 200);
+    // Another request's answer shows that what came before it has been read.
+    assert_eq!(node.client().ask(UP, b"").status(), 200);
     let profiles = config["settings"]["profiles"].as_array_mut().unwrap();
     profiles.remove(0);
     profiles[1]["effect"] = json!("safe");
@@ -183,17 +184,17 @@
     node.reload(&config.to_string());
     // Its time is over: rejected while the profile is there, turned down once it has gone.
     node.wait_until(&head("read", "0", 0), 400);
-    let mut asked = node.caller();
-    // A POST of what is now safe does not fit any more, but the job that came before ends as it began.
+    let mut asked = node.client();
+    // A POST of what is now safe does not fit any more, but the request that came before ends as it began.
     assert_eq!(asked.ask(&head("pay", "5", 0), b"").status(), 400);
     changed.send("", b"done");
-    server.wait_for("job 2");
-    let mut new = node.caller();
+    server.wait_for("request 2");
+    let mut new = node.client();
     new.send(&head("read", "60", 0).replace("/read/", "/look/"), b"");
-    server.wait_for("job 3");
-    server.go_on();
-    for caller in [&mut dropped, &mut changed, &mut new] {
-        assert_eq!(caller.answer().unwrap().status(), 200);
+    server.wait_for("request 3");
+    server.release();
+    for client in [&mut dropped, &mut changed, &mut new] {
+        assert_eq!(client.answer().unwrap().status(), 200);
     }
     let counters = node.end();
     assert_eq!((counters["taken"], counters["served"]), (3, 3));
@@ -211,7 +212,7 @@
 #[test_case("\"tip_multiple\":4.0", "\"tip\":4.0", "config.settings.rules.tip_multiple is missing"; "short of a rule")]
 #[test_case("\"sockets\":1024", "\"sockets\":0", "config.limits.sockets is not above 0"; "no descriptors")]
 fn a_broken_file_changes_nothing(was: &str, is: &str, problem: &str) {
-    let server = Server::start(Act::Serve(Vec::new()));
+    let server = Server::start(Behavior::Serve(Vec::new()));
     let config = config(&[server.address]);
     let text = config.to_string();
     assert!(text.contains(was), "{text}");
@@ -225,7 +226,7 @@
     node.reload(&broken.replace("\"read\"", "\"other\""));
     node.reload(&broken.replace("\"read\"", "\"other\""));
     for _ in 0..20 {
-        assert_eq!(node.caller().ask(&head("read", "5", 0), b"").status(), 200);
+        assert_eq!(node.client().ask(&head("read", "5", 0), b"").status(), 200);
     }
     node.signal("-TERM");
     let log = node.log();
@@ -239,59 +240,59 @@
     (0..length).map(|at| (at % 251) as u8).collect()
 }
 
-// Its first bytes go out before the last are there, a caller that does not read holds its own server back, and the
+// Its first bytes go out before the last are there, a client that does not read holds its own server back, and the
 // node holds next to nothing of either.
 #[test]
 fn an_answer_of_the_largest_size_flows_past_a_slow_reader() {
     let body = large(LARGEST);
     let head_of = format!("HTTP/1.1 200 OK\r\nContent-Length: {LARGEST}\r\n\r\n");
     let (first, rest) = body.split_at(LARGEST - 1);
-    let server = Server::start(Act::Raw([head_of.as_bytes(), first].concat(), rest.to_vec()));
+    let server = Server::start(Behavior::Raw([head_of.as_bytes(), first].concat(), rest.to_vec()));
     let node = Node::start(&config(&[server.address]));
     let before = node.peak_memory();
-    let mut callers: Vec<_> = (0..8).map(|_| node.caller()).collect();
-    for caller in &mut callers {
-        caller.send(&head("read", "60", 0), b"");
+    let mut clients: Vec<_> = (0..8).map(|_| node.client()).collect();
+    for client in &mut clients {
+        client.send(&head("read", "60", 0), b"");
     }
-    server.wait_for("job 8");
+    server.wait_for("request 8");
     // Others are served meanwhile.
-    assert_eq!(node.caller().ask(UP, b"").status(), 200);
-    let reader = &mut callers[0];
+    assert_eq!(node.client().ask(UP, b"").status(), 200);
+    let reader = &mut clients[0];
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         head.extend(reader.take(1));
     }
     assert!(reader.take(first.len()) == first);
-    server.go_on();
+    server.release();
     assert_eq!(reader.take(1), rest);
     let grown = node.peak_memory() - before;
     assert!(grown < 4 * 1024, "{grown} KiB for eight answers");
-    drop(callers);
+    drop(clients);
     node.end();
 }
 
 #[test]
 fn a_body_of_the_largest_size_flows_to_a_server_once() {
-    let server = Server::start(Act::Serve(b"fine".to_vec()));
+    let server = Server::start(Behavior::Serve(b"fine".to_vec()));
     let mut config = config(&[server.address]);
     // Of which a body has 2.9 MiB at the most while its server takes nothing.
     config["limits"]["memory_mb"] = json!(96);
     let node = Node::start(&config);
     let before = node.peak_memory();
     let body = large(LARGEST);
-    let mut caller = node.caller();
-    assert_eq!(caller.ask(&head("pay", "20", LARGEST), &body).status(), 200);
-    // In chunks with extensions and a trailer, and another job right behind it.
+    let mut client = node.client();
+    assert_eq!(client.ask(&head("pay", "20", LARGEST), &body).status(), 200);
+    // In chunks with extensions and a trailer, and another request right behind it.
     let chunked = head("book", "20", 0).replace("Content-Length: 0", "Transfer-Encoding: chunked");
     let chunks = body[..300_000]
         .chunks(70_000)
         .flat_map(|chunk| [format!("{:X};of=\"it\"\r\n", chunk.len()).as_bytes(), chunk, b"\r\n"].concat());
     let chunks: Vec<u8> = chunks.chain(b"0\r\nX-Sum: 1\r\n\r\n".iter().copied()).collect();
-    caller.send(&chunked, &[chunks, head("read", "5", 0).into_bytes()].concat());
-    assert_eq!([caller.answer(), caller.answer()].map(|answer| answer.unwrap().status()), [200, 200]);
-    let jobs = server.jobs();
-    assert_eq!(jobs.len(), 3);
-    assert!(jobs[0].body == body && jobs[1].body == body[..300_000]);
+    client.send(&chunked, &[chunks, head("read", "5", 0).into_bytes()].concat());
+    assert_eq!([client.answer(), client.answer()].map(|answer| answer.unwrap().status()), [200, 200]);
+    let requests = server.requests();
+    assert_eq!(requests.len(), 3);
+    assert!(requests[0].body == body && requests[1].body == body[..300_000]);
     let grown = node.peak_memory() - before;
     assert!(grown < 4 * 1024, "{grown} KiB for a body");
     let counters = node.end();
@@ -299,52 +300,52 @@
 }
 
 // What has begun to flow is not there to be sent again; what never left is, also to a second server.
-#[test_case(Act::Error, 502; "it may have run")]
-#[test_case(Act::TurnAway, 503; "it never ran, and is not kept")]
-#[test_case(Act::TurnDown, 400; "nobody can use it")]
-fn a_body_that_flows_is_sent_once_whatever_becomes_of_it(act: Act, status: u16) {
-    let (odd, other) = (Server::start(act), Server::start(Act::Silence));
+#[test_case(Behavior::Error, 502; "it may have run")]
+#[test_case(Behavior::NeverRan, 503; "it never ran, and is not kept")]
+#[test_case(Behavior::BadRequest, 400; "nobody can use it")]
+fn a_body_that_flows_is_sent_once_whatever_becomes_of_it(behavior: Behavior, status: u16) {
+    let (odd, other) = (Server::start(behavior), Server::start(Behavior::NoAnswer));
     let node = Node::start(&config(&[odd.address]));
-    let mut caller = node.caller();
-    caller.send(&head("pay", "5", 200_000), &large(100_000));
+    let mut client = node.client();
+    client.send(&head("pay", "5", 200_000), &large(100_000));
     node.discovery.publish(2, list(2, false, &[entry("other", other.address, "Ready")]));
     node.discovery.wait_for(2);
-    assert_eq!(caller.ask("", &large(100_000)).status(), status);
+    assert_eq!(client.ask("", &large(100_000)).status(), status);
     let counters = node.end();
-    assert_eq!((odd.jobs().len(), other.jobs().len(), counters["attempts"]), (1, 0, 1));
+    assert_eq!((odd.requests().len(), other.requests().len(), counters["attempts"]), (1, 0, 1));
 }
 
-// Nothing of it has left where no connection came up: any job may go elsewhere then, also one that is not kept.
+// Nothing of it has left where no connection came up: any request may go elsewhere then, also one that is not kept.
 #[test]
 fn a_body_that_flows_goes_elsewhere_if_nothing_of_it_was_sent() {
-    let good = Server::start(Act::Serve(b"fine".to_vec()));
-    let node = Node::start(&config(&[Server::nowhere(), good.address]));
-    let (mut caller, body) = (node.caller(), large(100_000));
+    let good = Server::start(Behavior::Serve(b"fine".to_vec()));
+    let node = Node::start(&config(&[Server::unused_address(), good.address]));
+    let (mut client, body) = (node.client(), large(100_000));
     for _ in 0..20 {
-        assert_eq!(caller.ask(&head("pay", "5", body.len()), &body).status(), 200);
+        assert_eq!(client.ask(&head("pay", "5", body.len()), &body).status(), 200);
     }
     assert!(node.end()["attempt_unconnected"] > 0);
 }
 
-// A caller that stops in the middle of a body: no server is to blame, and nothing of it is held.
+// A client that stops in the middle of a body: no server is to blame, and nothing of it is held.
 #[test]
 fn a_body_that_stops_in_the_middle_is_given_up() {
-    let server = Server::start(Act::Serve(Vec::new()));
+    let server = Server::start(Behavior::Serve(Vec::new()));
     let node = Node::start(&config(&[server.address]));
-    let (mut stopped, mut left) = (node.caller(), node.caller());
+    let (mut stopped, mut left) = (node.client(), node.client());
     stopped.send(&head("pay", "60", 400_000), &large(200_000));
     left.send(&head("pay", "60", 400_000), &large(200_000));
     left.stream.shutdown(std::net::Shutdown::Both).unwrap();
     assert_eq!(stopped.answer().unwrap().status(), 400);
-    assert_eq!(node.caller().ask(&head("read", "5", 0), b"").status(), 200);
+    assert_eq!(node.client().ask(&head("read", "5", 0), b"").status(), 200);
     let counters = node.end();
     assert_eq!((counters["taken"], counters["client_left"], counters["attempt_unconnected"]), (3, 2, 0));
 }
 
 /// Two pieces of an answer with this head, and its body in this form.
-fn raw(head: &str, body: &[u8], at: usize) -> Act {
+fn raw(head: &str, body: &[u8], at: usize) -> Behavior {
     let all = [format!("{head}\r\n\r\n").as_bytes(), body].concat();
-    Act::Raw(all[..head.len() + 4 + at].to_vec(), all[head.len() + 4 + at..].to_vec())
+    Behavior::Raw(all[..head.len() + 4 + at].to_vec(), all[head.len() + 4 + at..].to_vec())
 }
 
 // All forms that an answer may have are passed on whole, in whatever pieces they come.
@@ -355,15 +356,15 @@
 fn all_forms_of_an_answer_are_passed_on(form: &str, body: &[u8], at: usize) {
     let server = Server::start(raw(form, body, at));
     let node = Node::start(&config(&[server.address]));
-    let mut caller = node.caller();
-    caller.send(&head("pay", "5", 0), b"");
-    server.wait_for("job 1");
-    server.go_on();
-    let answer = caller.answer().unwrap();
+    let mut client = node.client();
+    client.send(&head("pay", "5", 0), b"");
+    server.wait_for("request 1");
+    server.release();
+    let answer = client.answer().unwrap();
     assert_eq!((answer.status(), answer.body.as_slice()), (200, b"fine".as_slice()));
 }
 
-// Passed on in part, an answer must not look whole to its caller.
+// Passed on in part, an answer must not look whole to its client.
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 300000"; "with a length")]
 #[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked"; "in chunks")]
 fn an_answer_that_stops_midway_does_not_look_whole(form: &str) {
@@ -374,11 +375,11 @@
     };
     let server = Server::start(raw(form, &[part.as_slice(), b"1"].concat(), part.len()));
     let node = Node::start(&config(&[server.address]));
-    let mut caller = node.caller();
-    caller.send(&head("read", "5", 0), b"");
-    server.wait_for("job 1");
-    server.go_on();
-    let all = caller.take(1024 * 1024);
+    let mut client = node.client();
+    client.send(&head("read", "5", 0), b"");
+    server.wait_for("request 1");
+    server.release();
+    let all = client.take(1024 * 1024);
     assert!(all.starts_with(b"HTTP/1.1 200 OK"));
     assert!(all.len() < 250_000 && !all.ends_with(b"0\r\n\r\n"), "{} bytes", all.len());
     assert_eq!(node.end()["served"], 1);
@@ -386,48 +387,48 @@
 
 // Asked for, the word to go on comes before the body.
 #[test]
-fn a_caller_that_waits_for_the_word_to_go_on_gets_it() {
-    let server = Server::start(Act::Serve(Vec::new()));
+fn a_client_that_waits_for_the_word_to_go_on_gets_it() {
+    let server = Server::start(Behavior::Serve(Vec::new()));
     let node = Node::start(&config(&[server.address]));
-    let mut caller = node.caller();
-    caller.send(&head("pay", "5", 4).replace("Host:", "Expect: 100-continue\r\nHost:"), b"");
-    assert_eq!(caller.answer().unwrap().status(), 100);
-    assert_eq!(caller.ask("", b"body").status(), 200);
-    assert_eq!(server.jobs()[0].body, b"body");
+    let mut client = node.client();
+    client.send(&head("pay", "5", 4).replace("Host:", "Expect: 100-continue\r\nHost:"), b"");
+    assert_eq!(client.answer().unwrap().status(), 100);
+    assert_eq!(client.ask("", b"body").status(), 200);
+    assert_eq!(server.requests()[0].body, b"body");
 }
 
 // What the old process was told holds for the new one, which says yes only then; an id that is open at one is open at
 // both; and limits count over both.
 #[test]
 fn two_processes_are_one_node() {
-    let (gone, silent) = (Server::start(Act::Serve(Vec::new())), Server::start(Act::Silence));
+    let (gone, silent) = (Server::start(Behavior::Serve(Vec::new())), Server::start(Behavior::NoAnswer));
     let (platform, config) = (Platform::new(), config(&[gone.address]));
     let old = platform.start(&config);
     old.discovery.publish(2, list(2, true, &[entry("new", silent.address, "Ready")]));
     old.discovery.wait_for(2);
     old.wait_for_call("GET /_ready", 200);
-    let mut first = old.caller();
-    let job = head("pay", "60", 0);
-    first.send(&job, b"");
-    silent.wait_for("job 1");
+    let mut first = old.client();
+    let request = head("pay", "60", 0);
+    first.send(&request, b"");
+    silent.wait_for("request 1");
     // The discovery of the new one says nothing: it has the list from the old one alone.
-    let new = platform.start_with(&config, Discovery::fall_silent);
+    let new = platform.start_with(&config, Discovery::stop_answering);
     new.wait_for_call("GET /_ready", 200);
     old.signal("-STOP");
-    let mut second = new.caller();
-    assert_eq!(second.ask(&job, b"").status(), 400);
+    let mut second = new.client();
+    assert_eq!(second.ask(&request, b"").status(), 400);
     second.send(&head("pay", "60", 0), b"");
-    silent.wait_for("job 2");
-    assert!(gone.jobs().is_empty());
-    // Killed outright in the middle of its job: what it had is free for the new one.
+    silent.wait_for("request 2");
+    assert!(gone.requests().is_empty());
+    // Killed outright in the middle of its request: what it had is free for the new one.
     old.kill();
     assert!(first.answer().is_none());
     // Sent again by its client, its id is free once the end of the old process has been seen.
-    let mut third = new.caller();
-    let again = job.replace("X-Expires-In: 60", "X-Expires-In: 0");
+    let mut third = new.client();
+    let again = request.replace("X-Expires-In: 60", "X-Expires-In: 0");
     while third.ask(&again, b"").status() == 400 {}
-    third.send(&job, b"");
-    silent.wait_for("job 3");
+    third.send(&request, b"");
+    silent.wait_for("request 3");
 }
 
 // Whatever stands where the other process should be, the node starts as if it were alone.
@@ -438,14 +439,14 @@
 #[test_case(Some("{\"hello\":{\"version\":1}}\n{\"list\":{\"generation\":0,\"reset\":true,\"instances\":[]}}\n"); "a stale list")]
 #[test_case(Some("what do you mean?\n"); "noise")]
 fn a_hand_over_that_can_not_be_read_is_as_good_as_none(said: Option<&'static str>) {
-    let server = Server::start(Act::Serve(b"fine".to_vec()));
+    let server = Server::start(Behavior::Serve(b"fine".to_vec()));
     let platform = Platform::new();
     if let Some(said) = said {
-        platform.say(said);
+        platform.greet_next_process(said);
     }
     let node = platform.start(&config(&[server.address]));
     node.wait_for_call("GET /_ready", 200);
-    assert_eq!(node.caller().ask(&head("pay", "5", 0), b"").status(), 200);
+    assert_eq!(node.client().ask(&head("pay", "5", 0), b"").status(), 200);
     // The next one finds this one, and one more upgrade after that.
     let next = platform.start(&config(&[server.address]));
     next.wait_for_call("GET /_ready", 200);
@@ -453,72 +454,73 @@
     let last = platform.start(&config(&[server.address]));
     last.wait_for_call("GET /_ready", 200);
     next.end();
-    assert_eq!(last.caller().ask(&head("pay", "5", 0), b"").status(), 200);
+    assert_eq!(last.client().ask(&head("pay", "5", 0), b"").status(), 200);
 }
 
 // A new process that dies before its yes changes nothing for the old one.
 #[test]
 fn a_new_process_that_dies_before_its_yes_leaves_the_old_one_as_it_was() {
-    let server = Server::start(Act::Serve(b"fine".to_vec()));
+    let server = Server::start(Behavior::Serve(b"fine".to_vec()));
     let (platform, config) = (Platform::new(), config(&[server.address]));
     let old = platform.start(&config);
     old.wait_for_call("GET /_ready", 200);
-    let new = platform.start_with(&config, Discovery::fall_silent);
+    let new = platform.start_with(&config, Discovery::stop_answering);
     let _ = new.operator();
     new.kill();
-    let mut client = old.caller();
+    let mut client = old.client();
     assert_eq!(client.ask(&head("read", "5", 0), b"").status(), 200);
     // With no other process on its socket it serves to its end.
     old.signal("-TERM");
-    assert_eq!(old.caller().ask(&head("read", "5", 0), b"").status(), 200);
-    assert_eq!(old.ended()["served"], 2);
+    assert_eq!(old.client().ask(&head("read", "5", 0), b"").status(), 200);
+    assert_eq!(old.wait_for_end()["served"], 2);
 }
 
 // Who says that much is coming and brings nothing has no part in what the module counts, and costs no server anything.
 #[test]
 fn a_large_body_that_never_begins_reaches_no_server() {
-    let server = Server::start(Act::Serve(Vec::new()));
+    let server = Server::start(Behavior::Serve(Vec::new()));
     let node = Node::start(&config(&[server.address]));
-    let mut caller = node.caller();
-    caller.send(&head("pay", "60", 1_000_000), b"little");
-    assert_eq!(caller.answer().unwrap().status(), 400);
+    let mut client = node.client();
+    client.send(&head("pay", "60", 1_000_000), b"little");
+    assert_eq!(client.answer().unwrap().status(), 400);
     let counters = node.end();
-    assert_eq!((counters["taken"], counters["connections"], server.jobs().len()), (0, 0, 0));
+    assert_eq!((counters["taken"], counters["connections"], server.requests().len()), (0, 0, 0));
 }
 
 // Half a whole list would say that the servers of its other half are gone. Asked for again at once, it is well.
 #[test_case(true; "breaks off")]
 #[test_case(false; "stalls")]
 fn a_list_that_stops_in_its_middle_is_taken_in_no_part_and_asked_for_again(ends: bool) {
-    let (old, new) = (Server::start(Act::Serve(b"old".to_vec())), Server::start(Act::Serve(b"new".to_vec())));
+    let (old, new) =
+        (Server::start(Behavior::Serve(b"old".to_vec())), Server::start(Behavior::Serve(b"new".to_vec())));
     let node = Node::start_with(&config(&[old.address]), |discovery| {
         // The old server goes, and another one comes to where nobody was.
         discovery.publish(2, list(2, true, &[entry("new", new.address, "Ready")]));
         discovery.cut_next(ends);
     });
     node.discovery.wait_for(2);
-    assert_eq!(node.caller().ask(&head("pay", "5", 0), b"").body, b"new");
+    assert_eq!(node.client().ask(&head("pay", "5", 0), b"").body, b"new");
     // No watch ended for it: the second call came without a pause.
     assert_eq!(node.end()["lists_failed"], 0);
 }
 
-// In whatever pieces a job comes, it is one.
+// In whatever pieces a request comes, it is one.
 #[test]
-fn a_job_that_comes_byte_by_byte_is_taken() {
-    let server = Server::start(Act::Serve(b"fine".to_vec()));
+fn a_request_that_comes_byte_by_byte_is_taken() {
+    let server = Server::start(Behavior::Serve(b"fine".to_vec()));
     let node = Node::start(&config(&[server.address]));
-    let mut caller = node.caller();
-    caller.stream.set_nodelay(true).unwrap();
-    let job = [head("book", "5", 4).as_bytes(), b"body", head("read", "5", 0).as_bytes()].concat();
-    job.iter().for_each(|byte| caller.send("", &[*byte]));
-    assert_eq!([caller.answer(), caller.answer()].map(|answer| answer.unwrap().status()), [200, 200]);
-    assert_eq!(server.jobs()[0].body, b"body");
+    let mut client = node.client();
+    client.stream.set_nodelay(true).unwrap();
+    let request = [head("book", "5", 4).as_bytes(), b"body", head("read", "5", 0).as_bytes()].concat();
+    request.iter().for_each(|byte| client.send("", &[*byte]));
+    assert_eq!([client.answer(), client.answer()].map(|answer| answer.unwrap().status()), [200, 200]);
+    assert_eq!(server.requests()[0].body, b"body");
 }
 
 // Settings that come in the middle of a drain hold once it is taken back, and take nothing of it back themselves.
 #[test]
 fn new_settings_come_through_in_the_middle_of_a_drain() {
-    let server = Server::start(Act::Serve(Vec::new()));
+    let server = Server::start(Behavior::Serve(Vec::new()));
     let mut config = config(&[server.address]);
     let node = Node::start_for_operators(config.clone());
     config["admin"] = json!(node.admin.to_string());
@@ -528,9 +530,9 @@
     node.wait_until(&head("read", "0", 0), 400);
     assert_eq!(node.call("GET /_ready"), 503);
     assert_eq!(node.call("PUT /_lameduck/off"), 200);
-    let mut caller = node.caller();
-    assert_eq!(caller.ask(&head("read", "5", 0).replace("/read/", "/look/"), b"").status(), 200);
-    assert_eq!(caller.ask(UP, b"").status(), 200);
+    let mut client = node.client();
+    assert_eq!(client.ask(&head("read", "5", 0).replace("/read/", "/look/"), b"").status(), 200);
+    assert_eq!(client.ask(UP, b"").status(), 200);
 }
 
 // A drain is told to a process: in the middle of an upgrade the other one goes on.
@@ -544,8 +546,8 @@
     assert_eq!(old.call("PUT /_lameduck/on"), 200);
     assert_eq!([&old, &new].map(|node| node.call("GET /_ready")), [503, 200]);
     old.signal("-TERM");
-    assert_eq!(old.ended()["failed"], 0);
-    assert_eq!(new.caller().ask(UP, b"").status(), 200);
+    assert_eq!(old.wait_for_end()["failed"], 0);
+    assert_eq!(new.client().ask(UP, b"").status(), 200);
 }
 
 // Two nodes told of one operators' address: the second one lets no client in.
@@ -553,7 +555,7 @@
 fn an_operators_address_that_is_in_use_is_named() {
     let node = Node::start_for_operators(config(&[]));
     let address = node.admin.to_string();
-    let (output, bound) = run_faulty(&config(&[]).to_string(), |command| {
+    let (output, bound) = run_expecting_failure(&config(&[]).to_string(), |command| {
         command.env("ROUTER_ADMIN", &address);
     });
     let said = String::from_utf8(output.stderr).unwrap();
@@ -563,31 +565,31 @@
 
 // The same from outside, with a length too far into its line to be seen.
 #[test]
-fn a_job_hidden_behind_a_length_that_is_far_away_is_not_sent() {
-    let server = Server::start(Act::Serve(Vec::new()));
+fn a_request_hidden_behind_a_length_that_is_far_away_is_not_sent() {
+    let server = Server::start(Behavior::Serve(Vec::new()));
     let node = Node::start(&config(&[server.address]));
-    let mut caller = node.caller();
+    let mut client = node.client();
     let far = format!("Content-Length:{:400}1", "");
-    assert_eq!(caller.ask(&head("pay", "5", 0).replace("Content-Length: 0", &far), b"1").status(), 200);
+    assert_eq!(client.ask(&head("pay", "5", 0).replace("Content-Length: 0", &far), b"1").status(), 200);
     let both = "Transfer-Encoding: chunked\r\nContent-Length: 5";
     let hidden = format!("0\r\n\r\n{}", head("pay", "5", 0));
     let outer = head("pay", "5", 0).replace("Content-Length: 0", both);
-    assert_eq!(caller.ask(&outer, hidden.as_bytes()).status(), 400);
-    assert!(caller.answer().is_none());
-    assert_eq!(server.jobs().len(), 1);
+    assert_eq!(client.ask(&outer, hidden.as_bytes()).status(), 400);
+    assert!(client.answer().is_none());
+    assert_eq!(server.requests().len(), 1);
 }
 
 // A list of thousands is read in one go; whoever calls meanwhile is answered behind it, and the list is taken whole.
 #[test]
 fn an_operator_is_answered_beside_a_large_list() {
-    let server = Server::start(Act::Serve(b"fine".to_vec()));
+    let server = Server::start(Behavior::Serve(b"fine".to_vec()));
     let node = Node::start_for_operators(config(&[]));
-    let nowhere = Server::nowhere();
+    let nowhere = Server::unused_address();
     let mut lines: Vec<_> = (0..5000).map(|at| entry(&format!("n{at}"), nowhere, "Terminating")).collect();
     lines.push(entry("last", server.address, "Ready"));
     node.discovery.publish(2, list(2, true, &lines));
     while !node.discovery.is_known(2) {
         assert_eq!(node.call("GET /_ready"), 200);
     }
-    assert_eq!(node.caller().ask(&head("pay", "5", 0), b"").body, b"fine");
+    assert_eq!(node.client().ask(&head("pay", "5", 0), b"").body, b"fine");
 }
--- a/crates/pearfront-node/tests/readiness/mod.rs
+++ b/crates/pearfront-node/tests/readiness/mod.rs
@@ -1,7 +1,7 @@
 //! How soon a process that was just started is ready, whatever discovery does meanwhile. The whole distribution is
 //! `make bench-readiness`; here each way is played once.
 
-use crate::stand_ins::{Act, Discovery, Node, Platform, Server, config, head, in_time};
+use crate::stand_ins::{Behavior, Discovery, Node, Platform, Server, config, head, in_time};
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
@@ -14,7 +14,7 @@
 fn there(_: &Discovery) {}
 
 fn is_down(discovery: &Discovery) {
-    discovery.reset_open(true);
+    discovery.reset_open_connections(true);
 }
 
 fn within(begun: Instant) -> Result<(), String> {
@@ -24,14 +24,14 @@
 
 // Alone it says yes and serves from the list in its file, without waiting for discovery.
 #[test_case(there; "there")]
-#[test_case(Discovery::fall_silent; "silent")]
+#[test_case(Discovery::stop_answering; "silent")]
 #[test_case(is_down; "down")]
 fn a_process_alone_is_ready_and_serves_whatever_discovery_does(before: fn(&Discovery)) {
-    let server = Server::start(Act::Serve(Vec::new()));
+    let server = Server::start(Behavior::Serve(Vec::new()));
     in_time(|| {
         let begun = Instant::now();
         let node = Node::start_with(&config(&[server.address]), before);
-        assert_eq!(node.caller().ask(&head("read", "5", 0), b"").status(), 200);
+        assert_eq!(node.client().ask(&head("read", "5", 0), b"").status(), 200);
         let took = within(begun);
         node.end();
         took
@@ -41,7 +41,7 @@
 fn nobody(_: &Platform) {}
 
 fn hangs_up(platform: &Platform) {
-    platform.say("");
+    platform.greet_next_process("");
 }
 
 // No other process serves the listener, or one that ends before it has said a word: what clients have sent waits for this one
@@ -49,12 +49,12 @@
 #[test_case(nobody; "nobody else")]
 #[test_case(hangs_up; "one that hangs up")]
 fn a_process_that_is_alone_on_a_shared_listener_waits_for_no_list(other: fn(&Platform)) {
-    let server = Server::start(Act::Serve(Vec::new()));
+    let server = Server::start(Behavior::Serve(Vec::new()));
     in_time(|| {
         let platform = Platform::new();
         other(&platform);
         let begun = Instant::now();
-        let node = platform.start_with(&config(&[server.address]), Discovery::fall_silent);
+        let node = platform.start_with(&config(&[server.address]), Discovery::stop_answering);
         node.wait_for_call("GET /_ready", 200);
         let took = begun.elapsed();
         node.end();
@@ -65,12 +65,12 @@
 // The process that it was to follow ends before it is ready: from then on it is alone, and waits for no list either.
 #[test]
 fn a_process_whose_other_ends_waits_for_no_list() {
-    let server = Server::start(Act::Serve(Vec::new()));
+    let server = Server::start(Behavior::Serve(Vec::new()));
     in_time(|| {
         let platform = Platform::new();
         let old = platform.start(&config(&[server.address]));
         old.wait_for_call("GET /_ready", 200);
-        let new = platform.start_with(&config(&[server.address]), Discovery::fall_silent);
+        let new = platform.start_with(&config(&[server.address]), Discovery::stop_answering);
         platform.wait_until_asked();
         let begun = Instant::now();
         old.kill();
@@ -84,13 +84,13 @@
 // Where another process may serve the same listener, the list comes first, but it is not waited for without end: behind the
 // process before it, and without one.
 #[test_case(there, false; "there")]
-#[test_case(Discovery::fall_silent, false; "silent")]
+#[test_case(Discovery::stop_answering, false; "silent")]
 #[test_case(is_down, false; "down")]
 #[test_case(there, true; "there, in a hand-over")]
-#[test_case(Discovery::fall_silent, true; "silent, in a hand-over")]
+#[test_case(Discovery::stop_answering, true; "silent, in a hand-over")]
 #[test_case(is_down, true; "down, in a hand-over")]
 fn a_process_on_a_shared_listener_is_ready_whatever_discovery_does(before: fn(&Discovery), hand_over: bool) {
-    let server = Server::start(Act::Serve(Vec::new()));
+    let server = Server::start(Behavior::Serve(Vec::new()));
     in_time(|| {
         let platform = Platform::new();
         let old = hand_over.then(|| platform.start(&config(&[server.address])));
@@ -100,7 +100,7 @@
         new.wait_for_call("GET /_ready", 200);
         let took = within(begun);
         old.into_iter().for_each(|old| drop(old.end()));
-        assert_eq!(new.caller().ask(&head("read", "5", 0), b"").status(), 200);
+        assert_eq!(new.client().ask(&head("read", "5", 0), b"").status(), 200);
         new.end();
         took
     });
