--- a/crates/pearfront-node/tests/stand_ins/mod.rs
+++ b/crates/pearfront-node/tests/stand_ins/mod.rs
@@ -1,9 +1,9 @@
-//! Small stand-ins for what a node talks to: callers, servers and discovery, all on loopback addresses of the test's
-//! own. They wait for what must come and never measure time.
+//! Small stand-ins for what a node talks to: clients, servers and discovery, all on loopback addresses of the test's
+//! own. They wait for events and never measure time. Used by all modules of the `node` test target.
 
-mod machine;
+mod machine_delay;
 
-pub use machine::{in_time, in_time_by, in_time_unless_late};
+pub use machine_delay::{in_time, in_time_by, in_time_unless_late};
 use serde_json::{Value, json};
 use socket2::{Domain, Socket, Type};
 use std::collections::BTreeMap;
@@ -18,21 +18,21 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longest anything is waited for that must come: only a broken node needs it.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Time-out for events that must happen; only a faulty node reaches it.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// An address that nobody else on this machine uses: tests run side by side.
+/// A loopback address that no other test uses: tests run in parallel.
 fn fresh_address() -> SocketAddr {
     static COUNT: AtomicU32 = AtomicU32::new(1);
     let process = std::process::id();
     let [.., high, low] = process.to_be_bytes();
     let count = COUNT.fetch_add(1, Ordering::Relaxed);
     let [.., a, b] = (count as u16).to_be_bytes();
-    // Loopback network, process, and a port for each.
+    // Loopback network by process id, and a port per call.
     SocketAddr::from((Ipv4Addr::new(127, 64 + (high & 63), low, 1 + a), 20_000 + u16::from(b)))
 }
 
-/// One message: its first line, its headers (names in lower case) and its body.
+/// An HTTP message: start line, headers (names in lower case) and body.
 #[derive(Debug, Clone, Default)]
 pub struct Message {
     pub start: String,
@@ -45,7 +45,7 @@
         self.start.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or_default()
     }
 
-    /// Reads one; nothing where the other side ended before it was whole.
+    /// Reads one message; `None` if the connection ended before it was complete.
     pub fn read(from: &mut impl BufRead) -> Option<Message> {
         let mut message = Message { start: line(from)?, ..Message::default() };
         loop {
@@ -87,13 +87,13 @@
     line.ends_with('\n').then(|| line.trim_end().to_string())
 }
 
-/// An answer with a length.
-fn whole(status: &str, body: &[u8]) -> Vec<u8> {
+/// An HTTP answer with a `Content-Length`.
+fn response(status: &str, body: &[u8]) -> Vec<u8> {
     let head = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n", body.len());
     [head.as_bytes(), body].concat()
 }
 
-/// Serves each connection to this address on a thread of its own.
+/// Serves each connection to this address on its own thread.
 fn listen(address: SocketAddr, each: impl Fn(TcpStream) + Send + Sync + 'static) {
     serve_each(TcpListener::bind(address).unwrap(), each);
 }
@@ -108,90 +108,90 @@
     });
 }
 
-/// What a server does with a job.
+/// What a server does with a request.
 #[derive(Debug, Clone)]
-pub enum Act {
+pub enum Behavior {
     Serve(Vec<u8>),
-    /// Serves it, with this load report.
-    Report(&'static str),
+    /// Serves the request, with this load report.
+    ServeWithReport(&'static str),
     Error,
-    /// Says that the job is none.
-    TurnDown,
-    /// Says that it never ran the job.
-    TurnAway,
-    /// Says 503, but not that.
-    Unproven,
-    /// Half an answer, then the end.
-    Cut,
-    /// Serves it, and resets the connection so long behind the last byte. It tells of the reset, and first if it was held up
-    /// on the way to it.
+    /// Answers 400: the request is invalid.
+    BadRequest,
+    /// Answers 503 with the header that proves that the request never ran.
+    NeverRan,
+    /// Answers 503 without that proof.
+    Unavailable,
+    /// Sends half an answer and closes the connection.
+    TruncatedAnswer,
+    /// Serves the request and resets the connection this long after the last byte. Records the reset, and before that whether
+    /// it came late.
     ServeAndReset(Vec<u8>, Duration),
-    /// An answer whose end nobody can tell.
+    /// An answer whose end cannot be determined: it has neither a length nor chunks.
     Unframed,
     Close,
-    /// Serves the first job on a connection, and closes it at the next.
+    /// Serves the first request on a connection and closes it on the next.
     ServeOnce,
-    /// Serves each job with how many have come; if that is within `AGAIN` of its last answer, it first says that again
-    /// on the connection that it went out on.
-    SayTwice,
-    /// Serves jobs at once; questions how it is only once it is told to go on.
+    /// Answers each request with the number of requests received. A request within `REPEAT_WITHIN` of the last answer makes it
+    /// first repeat that answer on the connection on which it was sent.
+    AnswerTwice,
+    /// Serves requests at once, but answers probes only after `release`.
     HoldProbes,
-    /// An answer that is none.
-    Nonsense,
-    /// No answer until the node closes the connection.
-    Silence,
-    /// Serves it once it is told to go on.
+    /// Sends bytes that are not an HTTP answer.
+    InvalidAnswer,
+    /// Does not answer until the node closes the connection.
+    NoAnswer,
+    /// Serves the request after `release`.
     Hold(Vec<u8>),
-    /// These bytes as they are, and the same after it was told to go on; then the end, unless the first part is all.
+    /// Sends the first bytes unchanged, the second after `release`, then closes the connection unless the second part is empty.
     Raw(Vec<u8>, Vec<u8>),
 }
 
-/// Among what a server has seen: that it drains, and that it still serves all the same.
+/// Events of a server: it drains, or it drains but still serves requests.
 const DRAINING: &str = "draining";
 const DRAINING_AND_SERVING: &str = "draining and serving";
 
-type Seen = Arc<(Mutex<Vec<String>>, Condvar)>;
+type Events = Arc<(Mutex<Vec<String>>, Condvar)>;
 
-/// Longest between an answer and its being said again, or a reset behind it: below what a connection has to have been quiet
-/// for.
-const AGAIN: Duration = Duration::from_millis(6);
+/// Maximum time between an answer and its repetition, or the reset after it: shorter than the time for which a connection
+/// must have been quiet before it is reused.
+const REPEAT_WITHIN: Duration = Duration::from_millis(6);
 
-/// Among what a server has seen: that its reset came later than `AGAIN` behind the beginning of its answer.
-const HELD_UP: &str = "held up";
+/// Event of a server: its reset came later than `REPEAT_WITHIN` after the start of its answer.
+const LATE_RESET: &str = "late reset";
 
-/// The last answer of a server that says it twice, where it went, and when at the earliest.
-type Said = Mutex<Option<(TcpStream, Vec<u8>, Instant)>>;
+/// Last answer of a server that repeats answers: its connection, its bytes and the earliest time at which it was sent.
+type LastAnswer = Mutex<Option<(TcpStream, Vec<u8>, Instant)>>;
 
 pub struct Server {
     pub address: SocketAddr,
-    jobs: Arc<Mutex<Vec<Message>>>,
-    /// What happened, in words, for `wait_for`.
-    seen: Seen,
+    requests: Arc<Mutex<Vec<Message>>>,
+    /// Names of the events that have happened, for `wait_for`.
+    events: Events,
 }
 
 impl Server {
-    /// A server that does the same with every job.
-    pub fn start(act: Act) -> Self {
+    /// A server that treats every request alike.
+    pub fn start(behavior: Behavior) -> Self {
         let address = fresh_address();
-        Self::behind(TcpListener::bind(address).unwrap(), address, act)
+        Self::on_listener(TcpListener::bind(address).unwrap(), address, behavior)
     }
 
-    /// The same behind a listener that is there already.
-    pub fn behind(listener: TcpListener, address: SocketAddr, act: Act) -> Self {
-        let server = Self { address, jobs: Arc::default(), seen: Seen::default() };
-        let (jobs, seen) = (server.jobs.clone(), server.seen.clone());
-        let said = Said::default();
+    /// Like `start`, on an existing listener.
+    pub fn on_listener(listener: TcpListener, address: SocketAddr, behavior: Behavior) -> Self {
+        let server = Self { address, requests: Arc::default(), events: Events::default() };
+        let (requests, events) = (server.requests.clone(), server.events.clone());
+        let last_answer = LastAnswer::default();
         serve_each(listener, move |stream| {
-            // A probe's connection may end at any time: it is not what a test waits for.
-            if serve(stream, &act, &jobs, &seen, &said) {
-                tell(&seen, "closed");
+            // Connections of probes may end at any time: tests do not wait for them.
+            if serve(stream, &behavior, &requests, &events, &last_answer) {
+                record_event(&events, "closed");
             }
         });
         server
     }
 
-    /// A machine that has vanished: connections to it never come up, as its queue for them stays full.
-    pub fn vanished() -> (SocketAddr, Socket, Vec<Socket>) {
+    /// An unreachable machine: connections to it are never established because the accept queue stays full.
+    pub fn unreachable() -> (SocketAddr, Socket, Vec<Socket>) {
         let address = fresh_address();
         let new = || Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         let listener = new();
@@ -207,220 +207,230 @@
         }
     }
 
-    /// An address at which nobody listens.
-    pub fn nowhere() -> SocketAddr {
+    /// An address without a listener.
+    pub fn unused_address() -> SocketAddr {
         fresh_address()
     }
 
-    pub fn jobs(&self) -> Vec<Message> {
-        self.jobs.lock().unwrap().clone()
+    pub fn requests(&self) -> Vec<Message> {
+        self.requests.lock().unwrap().clone()
     }
 
     pub fn wait_for(&self, what: &str) {
-        wait_in(&self.seen, what);
+        wait_for_event(&self.events, what);
     }
 
-    /// From now on it says to whoever probes it that it drains, and turns away what is new unless it still serves that.
+    /// Reports to probes from now on that it drains; unless `serves`, it also refuses new requests.
     pub fn drain(&self, serves: bool) {
-        self.seen.0.lock().unwrap().push(if serves { DRAINING_AND_SERVING } else { DRAINING }.into());
+        self.events.0.lock().unwrap().push(if serves { DRAINING_AND_SERVING } else { DRAINING }.into());
     }
 
-    /// How often it was held up between an answer and its reset. Asked once it has told of all resets.
-    pub fn held_up(&self) -> usize {
-        self.seen.0.lock().unwrap().iter().filter(|seen| seen.starts_with(HELD_UP)).count()
+    /// Number of late resets; complete once all resets have been recorded.
+    pub fn late_resets(&self) -> usize {
+        self.events.0.lock().unwrap().iter().filter(|event| event.starts_with(LATE_RESET)).count()
     }
 
     pub fn has(&self, what: &str) -> bool {
-        self.seen.0.lock().unwrap().iter().any(|seen| seen == what)
+        self.events.0.lock().unwrap().iter().any(|event| event == what)
     }
 
-    /// Lets a server that holds its jobs answer them.
-    pub fn go_on(&self) {
-        self.seen.0.lock().unwrap().push("go on".into());
-        self.seen.1.notify_all();
+    /// Lets a server that holds requests or probes answer them.
+    pub fn release(&self) {
+        self.events.0.lock().unwrap().push("released".into());
+        self.events.1.notify_all();
     }
 }
 
-fn wait_in((lock, changed): &(Mutex<Vec<String>>, Condvar), what: &str) {
-    let missing = |seen: &mut Vec<String>| !seen.iter().any(|seen| seen == what);
-    let (seen, _) = changed.wait_timeout_while(lock.lock().unwrap(), PATIENCE, missing).unwrap();
-    assert!(seen.iter().any(|seen| seen == what), "{what} never came, but {seen:?}");
+fn wait_for_event((lock, changed): &(Mutex<Vec<String>>, Condvar), what: &str) {
+    let missing = |events: &mut Vec<String>| !events.iter().any(|event| event == what);
+    let (events, _) = changed.wait_timeout_while(lock.lock().unwrap(), WAIT_TIMEOUT, missing).unwrap();
+    assert!(events.iter().any(|event| event == what), "{what} never came, but {events:?}");
 }
 
-/// Notes what happened, and for the how many-th time.
-fn tell(seen: &Seen, what: &str) {
-    let mut all = seen.0.lock().unwrap();
-    let times = all.iter().filter(|seen| seen.starts_with(what)).count() + 1;
+/// Records an event with its running number.
+fn record_event(events: &Events, what: &str) {
+    let mut all = events.0.lock().unwrap();
+    let times = all.iter().filter(|event| event.starts_with(what)).count() + 1;
     all.push(format!("{what} {times}"));
-    seen.1.notify_all();
+    events.1.notify_all();
 }
 
-/// Waits with a question's answer until the server is told to go on, or the node gives the question up.
-fn hold_probe(reader: &mut BufReader<TcpStream>, seen: &Seen) {
-    tell(seen, "probe");
+/// Delays the answer to a probe until `release`, or until the node cancels the probe.
+fn hold_probe(reader: &mut BufReader<TcpStream>, events: &Events) {
+    record_event(events, "probe");
     reader.get_ref().set_read_timeout(Some(Duration::from_millis(5))).unwrap();
-    let told = || seen.0.lock().unwrap().iter().any(|seen| seen == "go on");
-    while !told() {
+    let is_released = || events.0.lock().unwrap().iter().any(|event| event == "released");
+    while !is_released() {
         if reader.fill_buf().is_ok_and(<[u8]>::is_empty) {
-            tell(seen, "probe over");
+            record_event(events, "probe over");
             break;
         }
     }
     reader.get_ref().set_read_timeout(None).unwrap();
 }
 
-/// Serves a connection to its end; whether a job ever came on it.
-fn serve(stream: TcpStream, act: &Act, jobs: &Mutex<Vec<Message>>, seen: &Seen, said: &Said) -> bool {
-    let mut had_job = false;
+/// Serves a connection to its end; returns whether it carried a request.
+fn serve(
+    stream: TcpStream,
+    behavior: &Behavior,
+    requests: &Mutex<Vec<Message>>,
+    events: &Events,
+    last_answer: &LastAnswer,
+) -> bool {
+    let mut had_request = false;
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     let mut writer = stream;
     while let Some(message) = Message::read(&mut reader) {
-        let has_seen = |what: &str| seen.0.lock().unwrap().iter().any(|seen| seen == what);
+        let has_seen = |what: &str| events.0.lock().unwrap().iter().any(|event| event == what);
         let (drains, serves) = (has_seen(DRAINING), has_seen(DRAINING_AND_SERVING));
         if message.start.contains(" /metrics/load ") || message.start.contains(" /alive ") {
             if drains || serves {
-                let _ = writer.write_all(&whole("503 Draining", b""));
+                let _ = writer.write_all(&response("503 Draining", b""));
                 continue;
             }
-            if matches!(act, Act::HoldProbes) {
-                hold_probe(&mut reader, seen);
+            if matches!(behavior, Behavior::HoldProbes) {
+                hold_probe(&mut reader, events);
             }
-            let _ = writer.write_all(&whole("200 OK", b"TEXT inflight=1, util=0.50"));
+            let _ = writer.write_all(&response("200 OK", b"TEXT inflight=1, util=0.50"));
             continue;
         }
-        jobs.lock().unwrap().push(message);
-        tell(seen, "job");
+        requests.lock().unwrap().push(message);
+        record_event(events, "request");
         if drains {
-            let _ = writer.write_all(&whole("503 Draining\r\nX-Never-Ran: 1", b""));
+            let _ = writer.write_all(&response("503 Draining\r\nX-Never-Ran: 1", b""));
             continue;
         }
-        let (answer, goes_on) = match act {
-            Act::Serve(body) => (whole("200 OK", body), true),
-            Act::HoldProbes => (whole("200 OK", b""), true),
-            Act::Report(report) => (whole(&format!("200 OK\r\nEndpoint-Load-Metrics: {report}"), b""), true),
-            Act::Error => (whole("500 Oops", b""), true),
-            Act::TurnDown => (whole("400 Bad Request", b""), true),
-            Act::TurnAway => (whole("503 Full\r\nX-Never-Ran: 1", b""), true),
-            Act::Unproven => (whole("503 Full", b""), true),
-            Act::ServeAndReset(body, _) => {
+        let (answer, goes_on) = match behavior {
+            Behavior::Serve(body) => (response("200 OK", body), true),
+            Behavior::HoldProbes => (response("200 OK", b""), true),
+            Behavior::ServeWithReport(report) => {
+                (response(&format!("200 OK\r\nEndpoint-Load-Metrics: {report}"), b""), true)
+            }
+            Behavior::Error => (response("500 Oops", b""), true),
+            Behavior::BadRequest => (response("400 Bad Request", b""), true),
+            Behavior::NeverRan => (response("503 Full\r\nX-Never-Ran: 1", b""), true),
+            Behavior::Unavailable => (response("503 Full", b""), true),
+            Behavior::ServeAndReset(body, _) => {
                 let _ = socket2::SockRef::from(&writer).set_linger(Some(Duration::ZERO));
-                (whole("200 OK", body), false)
+                (response("200 OK", body), false)
+            }
+            Behavior::TruncatedAnswer => {
+                (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_vec(), false)
             }
-            Act::Cut => (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_vec(), false),
-            Act::Unframed => (b"HTTP/1.1 200 OK\r\n\r\nall?".to_vec(), false),
-            Act::SayTwice => {
-                let answer = whole("200 OK", jobs.lock().unwrap().len().to_string().as_bytes());
-                let mut said = said.lock().unwrap();
-                if let Some((mut at, again, since)) = said.take()
-                    && since.elapsed() < AGAIN
+            Behavior::Unframed => (b"HTTP/1.1 200 OK\r\n\r\nall?".to_vec(), false),
+            Behavior::AnswerTwice => {
+                let answer = response("200 OK", requests.lock().unwrap().len().to_string().as_bytes());
+                let mut last_answer = last_answer.lock().unwrap();
+                if let Some((mut at, again, since)) = last_answer.take()
+                    && since.elapsed() < REPEAT_WITHIN
                 {
                     let _ = at.write_all(&again);
                     wait_until_delivered(&at);
-                    tell(seen, "said twice");
+                    record_event(events, "answered twice");
                 }
-                *said = Some((writer.try_clone().unwrap(), answer.clone(), Instant::now()));
+                *last_answer = Some((writer.try_clone().unwrap(), answer.clone(), Instant::now()));
                 (answer, true)
             }
-            Act::ServeOnce if had_job => (Vec::new(), false),
-            Act::ServeOnce => (whole("200 OK", b""), true),
-            Act::Close => (Vec::new(), false),
-            Act::Nonsense => (b"what do you mean?\r\n\r\n".to_vec(), false),
-            Act::Silence => (Vec::new(), true),
-            Act::Raw(first, rest) => {
+            Behavior::ServeOnce if had_request => (Vec::new(), false),
+            Behavior::ServeOnce => (response("200 OK", b""), true),
+            Behavior::Close => (Vec::new(), false),
+            Behavior::InvalidAnswer => (b"what do you mean?\r\n\r\n".to_vec(), false),
+            Behavior::NoAnswer => (Vec::new(), true),
+            Behavior::Raw(first, rest) => {
                 let _ = writer.write_all(first);
                 if !rest.is_empty() {
-                    wait_in(seen, "go on");
+                    wait_for_event(events, "released");
                 }
                 (rest.clone(), rest.is_empty())
             }
-            Act::Hold(body) => {
-                wait_in(seen, "go on");
-                (whole("200 OK", body), true)
+            Behavior::Hold(body) => {
+                wait_for_event(events, "released");
+                (response("200 OK", body), true)
             }
         };
-        had_job = true;
+        had_request = true;
         let begun = Instant::now();
         let _ = writer.write_all(&answer);
         if !goes_on {
-            if let Act::ServeAndReset(_, pause) = act {
+            if let Behavior::ServeAndReset(_, pause) = behavior {
                 thread::sleep(*pause);
                 drop((reader, writer));
-                tell_of_reset(begun.elapsed(), seen);
+                record_reset(begun.elapsed(), events);
             }
             break;
         }
     }
-    had_job
+    had_request
 }
 
-/// Tells of a reset that was done so long after its answer was begun to be written.
-fn tell_of_reset(took: Duration, seen: &Seen) {
-    if took > AGAIN {
-        tell(seen, HELD_UP);
+/// Records a reset that took place this long after the start of its answer.
+fn record_reset(took: Duration, events: &Events) {
+    if took > REPEAT_WITHIN {
+        record_event(events, LATE_RESET);
     }
-    tell(seen, "reset");
+    record_event(events, "reset");
 }
 
-/// Discovery's list, and what it does with calls.
+/// Discovery's list and how it treats calls.
 #[derive(Default)]
-struct Listed {
+struct DiscoveryState {
     version: u64,
     body: String,
     calls: Vec<String>,
     silent: bool,
     unanswered: usize,
-    /// Connections that came before the so many-th get nothing more.
+    /// The first connections, up to this number, get no more answers.
     silent_before: usize,
-    /// Each connection is reset as it comes.
+    /// New connections are reset at once.
     down: bool,
-    /// Each call is answered 503, also one that is out.
+    /// Every call is answered with 503, including pending ones.
     crowded: bool,
     connections: Vec<TcpStream>,
-    /// How many bytes of the next list go out, and whether its connection ends behind them.
+    /// Truncates the next list: number of bytes that are sent, and whether the connection is then closed.
     cut: Option<(usize, bool)>,
 }
 
 pub struct Discovery {
     pub address: SocketAddr,
-    listed: Arc<(Mutex<Listed>, Condvar)>,
+    listed: Arc<(Mutex<DiscoveryState>, Condvar)>,
 }
 
 impl Discovery {
     pub fn start() -> Self {
         let address = fresh_address();
-        let listed: Arc<(Mutex<Listed>, Condvar)> = Arc::default();
+        let listed: Arc<(Mutex<DiscoveryState>, Condvar)> = Arc::default();
         let shared = listed.clone();
         listen(address, move |stream| watch(stream, &shared));
         Self { address, listed }
     }
 
-    /// All connections that are open now say nothing any more; new ones are answered.
-    pub fn silence_open(&self) {
+    /// Stops answering on the connections open now; new ones are answered.
+    pub fn silence_open_connections(&self) {
         let mut listed = self.listed.0.lock().unwrap();
         listed.silent_before = listed.connections.len();
         self.listed.1.notify_all();
     }
 
-    /// From now on each call is answered that there are too many.
-    pub fn crowd(&self) {
+    /// Answers every call with 503 from now on.
+    pub fn refuse_calls(&self) {
         self.listed.0.lock().unwrap().crowded = true;
         self.listed.1.notify_all();
     }
 
-    /// All connections that are open now are reset; as long as it is down, so are those that come.
-    pub fn reset_open(&self, down: bool) {
+    /// Resets all open connections, and new ones too while discovery is down.
+    pub fn reset_open_connections(&self, down: bool) {
         let mut listed = self.listed.0.lock().unwrap();
         listed.down = down;
         listed.connections.drain(..).for_each(reset);
     }
 
-    /// Answers again, and has this to tell from the first moment on.
-    pub fn come_back(&self, version: u64, body: impl ToString) {
+    /// Ends an outage, with this list available from the start.
+    pub fn recover(&self, version: u64, body: impl ToString) {
         self.publish(version, body);
         self.listed.0.lock().unwrap().down = false;
     }
 
-    /// Publishes a body as version `version`, answered to calls that know less.
+    /// Publishes a body as version `version`; calls that know an older version get it.
     pub fn publish(&self, version: u64, body: impl ToString) {
         let mut listed = self.listed.0.lock().unwrap();
         listed.version = version;
@@ -428,51 +438,51 @@
         self.listed.1.notify_all();
     }
 
-    /// The next list stops in its middle, and its connection ends there or stays.
+    /// Truncates the next list in the middle; its connection is then closed or stays open.
     pub fn cut_next(&self, ends: bool) {
         let mut listed = self.listed.0.lock().unwrap();
         listed.cut = Some((listed.body.len() / 2, ends));
     }
 
-    /// From now on no call is answered.
-    pub fn fall_silent(&self) {
+    /// Answers no call from now on.
+    pub fn stop_answering(&self) {
         self.listed.0.lock().unwrap().silent = true;
         self.listed.1.notify_all();
     }
 
-    /// Waits until so many calls have come since it fell silent.
+    /// Waits until this many calls have arrived since it stopped answering.
     pub fn wait_for_unanswered(&self, count: usize) {
-        let missing = |listed: &mut Listed| listed.unanswered < count;
+        let missing = |listed: &mut DiscoveryState| listed.unanswered < count;
         let waited =
-            self.listed.1.wait_timeout_while(self.listed.0.lock().unwrap(), PATIENCE, missing).unwrap();
+            self.listed.1.wait_timeout_while(self.listed.0.lock().unwrap(), WAIT_TIMEOUT, missing).unwrap();
         assert!(waited.0.unanswered >= count, "{:?}", waited.0.calls);
     }
 
-    /// Does a watch know this version?
+    /// Whether a watch has reported this version.
     pub fn is_known(&self, version: u64) -> bool {
         let call = format!("from={version}&");
         self.listed.0.lock().unwrap().calls.iter().any(|seen| seen.contains(&call))
     }
 
-    /// Waits until a watch knows this version: what it says is with the node then.
+    /// Waits until a watch reports this version: the node has applied it by then.
     pub fn wait_for(&self, version: u64) {
         let call = format!("from={version}&");
-        let known = |listed: &Listed| listed.calls.iter().any(|seen| seen.contains(&call));
-        let missing = |listed: &mut Listed| !known(listed);
+        let known = |listed: &DiscoveryState| listed.calls.iter().any(|seen| seen.contains(&call));
+        let missing = |listed: &mut DiscoveryState| !known(listed);
         let listed =
-            self.listed.1.wait_timeout_while(self.listed.0.lock().unwrap(), PATIENCE, missing).unwrap().0;
+            self.listed.1.wait_timeout_while(self.listed.0.lock().unwrap(), WAIT_TIMEOUT, missing).unwrap().0;
         assert!(known(&listed), "no call for {call}, but {:?}", listed.calls);
     }
 }
 
-/// Ends a connection at once, whoever else holds it.
+/// Resets a connection at once, even if other handles to it exist.
 fn reset(stream: TcpStream) {
     let socket = socket2::SockRef::from(&stream);
     let _ = socket.set_linger(Some(Duration::ZERO));
     let _ = socket.shutdown(std::net::Shutdown::Both);
 }
 
-fn watch(stream: TcpStream, (lock, changed): &(Mutex<Listed>, Condvar)) {
+fn watch(stream: TcpStream, (lock, changed): &(Mutex<DiscoveryState>, Condvar)) {
     let place = {
         let mut listed = lock.lock().unwrap();
         if listed.down {
@@ -494,15 +504,16 @@
         listed.calls.push(call.start.clone());
         listed.unanswered += usize::from(listed.silent);
         changed.notify_all();
-        let is_silent = |listed: &Listed| listed.silent || place <= listed.silent_before;
+        let is_silent = |listed: &DiscoveryState| listed.silent || place <= listed.silent_before;
         if is_silent(&listed) {
             continue;
         }
-        let news = |listed: &mut Listed| listed.version <= from && !is_silent(listed) && !listed.crowded;
+        let news =
+            |listed: &mut DiscoveryState| listed.version <= from && !is_silent(listed) && !listed.crowded;
         let mut listed = changed.wait_timeout_while(listed, hold, news).unwrap().0;
         if listed.crowded {
             drop(listed);
-            let _ = writer.write_all(&whole("503 Busy", b""));
+            let _ = writer.write_all(&response("503 Busy", b""));
             continue;
         }
         if is_silent(&listed) {
@@ -510,7 +521,7 @@
         }
         if let Some((length, ends)) = listed.cut.filter(|_| listed.version > from) {
             listed.cut = None;
-            let answer = whole("200 OK", listed.body.as_bytes());
+            let answer = response("200 OK", listed.body.as_bytes());
             let _ = writer.write_all(&answer[..answer.len() - listed.body.len() + length]);
             if ends {
                 return;
@@ -520,21 +531,21 @@
         let nothing = json!({"generation": from, "reset": false, "instances": []}).to_string();
         let body = if listed.version > from { listed.body.clone() } else { nothing };
         drop(listed);
-        let _ = writer.write_all(&whole("200 OK", body.as_bytes()));
+        let _ = writer.write_all(&response("200 OK", body.as_bytes()));
     }
 }
 
-/// The kernel's word for a connection that neither side has ended.
+/// State code of an established connection in `/proc/net/tcp`.
 pub const ESTABLISHED: &str = "01";
 
-/// An address as the kernel's table of connections has it.
+/// An address as written in `/proc/net/tcp`.
 pub fn in_table(address: SocketAddr) -> String {
     let SocketAddr::V4(address) = address else { panic!("no such addresses here") };
     format!("{:08X}:{:04X}", u32::from_le_bytes(address.ip().octets()), address.port())
 }
 
-/// Waits until that table says of a line with these words whether it is there. The longest time that one look took, and the pause
-/// behind it: what came and went within may not have been seen.
+/// Waits until `/proc/net/tcp` contains a line with this text, or no longer does. Returns the longest interval between two reads:
+/// a state that came and went within it may have been missed.
 pub fn wait_for_table(words: &str, is_there: bool) -> Duration {
     let mut longest = Duration::ZERO;
     for _ in 0..4000 {
@@ -548,8 +559,8 @@
     panic!("{words:?} is there: {}", !is_there);
 }
 
-/// Waits until the kernel at the other end has all that was written: on a busy machine what is written later to another
-/// connection may come before it.
+/// Waits until the peer's kernel has received all that was written: on a busy machine, data written later to another
+/// connection may arrive before it.
 fn wait_until_delivered(stream: &TcpStream) {
     let (Ok(own), Ok(other)) = (stream.local_addr(), stream.peer_addr()) else { return };
     let line = format!("{} {} {ESTABLISHED} ", in_table(own), in_table(other));
@@ -562,7 +573,7 @@
     }
 }
 
-/// A line of discovery's list.
+/// An entry of discovery's list.
 pub fn entry(id: &str, address: SocketAddr, lifecycle: &str) -> Value {
     json!({"instanceId": id, "hostPort": address.to_string(), "zone": "a", "machineType": "m", "cell": 1,
         "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0})
@@ -572,7 +583,7 @@
     json!({"generation": generation, "reset": whole, "instances": instances})
 }
 
-/// A node's file, knowing these servers, all in one cell.
+/// A node's configuration that knows these servers, all in one cell.
 pub fn config(servers: &[SocketAddr]) -> Value {
     let line = |(at, server): (usize, &SocketAddr)| entry(&format!("s{at}"), *server, "Ready");
     let known: Vec<Value> = servers.iter().enumerate().map(line).collect();
@@ -594,15 +605,15 @@
 /// A running node.
 pub struct Node {
     pub address: SocketAddr,
-    /// Where operators call it, if it was told.
+    /// Address for operators, if configured.
     pub admin: SocketAddr,
     pub discovery: Discovery,
     child: Option<Child>,
     file: PathBuf,
 }
 
-/// The platform's part of an upgrade: a listening socket that every process inherits as descriptor 7, and a folder
-/// that all share.
+/// The platform's part of an upgrade: a listening socket that every process inherits as descriptor 7, and a shared
+/// folder.
 pub struct Platform {
     listener: TcpListener,
     folder: PathBuf,
@@ -616,12 +627,12 @@
         Self { listener: TcpListener::bind(address).unwrap(), folder }
     }
 
-    /// One more process of the node, told of operators' address by its variable.
+    /// Starts another process of the node, with the operators' address in its environment.
     pub fn start(&self, config: &Value) -> Node {
         self.start_with(config, |_| {})
     }
 
-    /// The same with its discovery told something before.
+    /// Like `start`, with discovery prepared by `before`.
     pub fn start_with(&self, config: &Value, before: impl Fn(&Discovery)) -> Node {
         let (address, admin, discovery) =
             (self.listener.local_addr().unwrap(), fresh_address(), Discovery::start());
@@ -636,13 +647,13 @@
         shell.stdin(OwnedFd::from(self.listener.try_clone().unwrap()));
         shell.stdout(Stdio::null()).stderr(Stdio::piped());
         let child = shell.spawn().unwrap();
-        machine::watch(child.id());
+        machine_delay::watch_process(child.id());
         Node { address, admin, discovery, child: Some(child), file }
     }
 }
 
 impl Platform {
-    /// Waits until a process has been asked by the next one: the kernel then has a second socket by the name of the first's.
+    /// Waits until the next process has connected to the running one: the kernel then lists a second socket under the same name.
     pub fn wait_until_asked(&self) {
         let name = self.folder.join("pearfront-n0.sock").display().to_string();
         let sockets = || std::fs::read_to_string("/proc/net/unix").unwrap().matches(&name).count();
@@ -655,8 +666,8 @@
         panic!("no process asked another");
     }
 
-    /// Says this to the node's next process, as if another one were there.
-    pub fn say(&self, what: &'static str) {
+    /// Sends these bytes to the node's next process, in place of a running one.
+    pub fn greet_next_process(&self, what: &'static str) {
         let listener = UnixListener::bind(self.folder.join("pearfront-n0.sock")).unwrap();
         thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
@@ -672,7 +683,7 @@
     }
 }
 
-/// A file that only this test has.
+/// Writes a file that only this test uses.
 fn write_file(text: &str) -> PathBuf {
     let address = fresh_address().to_string().replace([':', '.'], "-");
     let file = std::env::temp_dir().join(format!("pearfront-node-{address}.json"));
@@ -688,8 +699,8 @@
     command
 }
 
-/// Runs a node that can't start, with variables changed by `change`; what it said, and whether it bound its address.
-pub fn run_faulty(text: &str, change: impl Fn(&mut Command)) -> (Output, bool) {
+/// Runs a node that cannot start, with environment changed by `change`; returns its output and whether it bound its address.
+pub fn run_expecting_failure(text: &str, change: impl Fn(&mut Command)) -> (Output, bool) {
     let (listen, file) = (fresh_address(), write_file(text));
     let mut command = command(listen, fresh_address(), &file);
     change(&mut command);
@@ -703,12 +714,12 @@
         Self::start_with(config, |_| {})
     }
 
-    /// A node that operators can call, told of it by its file.
+    /// A node with an operators' address in its configuration.
     pub fn start_for_operators(config: Value) -> Self {
         Self::start_for_operators_in(config, |_| {})
     }
 
-    /// The same with its process started with other variables.
+    /// Like `start_for_operators`, with a changed environment.
     pub fn start_for_operators_in(mut config: Value, change: impl Fn(&mut Command)) -> Self {
         let admin = fresh_address();
         config["admin"] = json!(admin.to_string());
@@ -717,12 +728,12 @@
         node
     }
 
-    /// A node whose discovery has been told something before.
+    /// A node whose discovery was prepared by `before`.
     pub fn start_with(config: &Value, before: impl Fn(&Discovery)) -> Self {
         Self::start_how(config, before, |_| {})
     }
 
-    /// A node whose process is started with other variables.
+    /// A node whose process has a changed environment.
     pub fn start_in(config: &Value, change: impl Fn(&mut Command)) -> Self {
         Self::start_how(config, |_| {}, change)
     }
@@ -734,11 +745,11 @@
         let mut command = command(address, discovery.address, &file);
         change(&mut command);
         let child = command.spawn().unwrap();
-        machine::watch(child.id());
+        machine_delay::watch_process(child.id());
         let node = Self { address, admin: fresh_address(), discovery, child: Some(child), file };
         for _ in 0..2000 {
             if TcpStream::connect(address).is_ok() {
-                assert_eq!(node.caller().ask("GET /up HTTP/1.1\r\n\r\n", &[]).status(), 200);
+                assert_eq!(node.client().ask("GET /up HTTP/1.1\r\n\r\n", &[]).status(), 200);
                 return node;
             }
             thread::sleep(Duration::from_millis(10));
@@ -746,43 +757,43 @@
         panic!("the node never listened");
     }
 
-    pub fn caller(&self) -> Caller {
-        Caller::new(TcpStream::connect(self.address).unwrap())
+    pub fn client(&self) -> Client {
+        Client::new(TcpStream::connect(self.address).unwrap())
     }
 
-    /// A caller whose kernel holds only so many bytes for it, as is said before it connects: where a window that the other side
-    /// knows of is made smaller, what comes is dropped, and comes again only by timers that double.
-    pub fn caller_with_buffer(&self, bytes: usize) -> Caller {
+    /// A client with a small receive buffer, set before it connects: shrinking a window that the peer already knows drops
+    /// segments, which are then resent only by timers that double.
+    pub fn client_with_buffer(&self, bytes: usize) -> Client {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.set_recv_buffer_size(bytes).unwrap();
         socket.connect(&self.address.into()).unwrap();
-        Caller::new(socket.into())
+        Client::new(socket.into())
     }
 
-    /// An operator's call, on a connection of its own: its status.
+    /// Makes an operator's call on a new connection; returns its status.
     pub fn call(&self, call: &str) -> u16 {
-        let mut caller = self.operator();
-        caller.send(&format!("{call} HTTP/1.1\r\nHost: admin\r\n\r\n"), b"");
-        caller.answer().map_or(0, |answer| answer.status())
+        let mut client = self.operator();
+        client.send(&format!("{call} HTTP/1.1\r\nHost: admin\r\n\r\n"), b"");
+        client.answer().map_or(0, |answer| answer.status())
     }
 
-    pub fn operator(&self) -> Caller {
+    pub fn operator(&self) -> Client {
         for _ in 0..2000 {
             if let Ok(stream) = TcpStream::connect(self.admin) {
-                return Caller::new(stream);
+                return Client::new(stream);
             }
             thread::sleep(Duration::from_millis(10));
         }
         panic!("no operator was ever let in");
     }
 
-    /// Waits until a job of this head is answered so.
+    /// Waits until a request with this head gets this status.
     pub fn wait_until(&self, head: &str, status: u16) {
-        // A connection each: one may be the last on its connection.
-        assert!((0..2000).any(|_| self.caller().ask(head, b"").status() == status), "never {status}: {head}");
+        // A new connection each time: an answer may be the last one on its connection.
+        assert!((0..2000).any(|_| self.client().ask(head, b"").status() == status), "never {status}: {head}");
     }
 
-    /// Waits until an operator's call is answered so.
+    /// Waits until an operator's call gets this status.
     pub fn wait_for_call(&self, call: &str, status: u16) {
         for _ in 0..2000 {
             if self.call(call) == status {
@@ -793,14 +804,14 @@
         panic!("{call} was never answered {status}");
     }
 
-    /// Kills it outright, as a platform does that has waited long enough.
+    /// Kills the process, as a platform does after its grace period.
     pub fn kill(mut self) {
         let mut child = self.child.take().unwrap();
         child.kill().unwrap();
         child.wait().unwrap();
     }
 
-    /// The most memory that it ever held, KiB.
+    /// Peak resident memory, KiB.
     pub fn peak_memory(&self) -> usize {
         let status = format!("/proc/{}/status", self.child.as_ref().unwrap().id());
         let status = std::fs::read_to_string(status).unwrap();
@@ -808,7 +819,7 @@
         peak.trim().trim_end_matches(" kB").parse().unwrap()
     }
 
-    /// Replaces the node's file and tells it so.
+    /// Replaces the node's configuration and sends SIGHUP.
     pub fn reload(&self, text: &str) {
         std::fs::write(&self.file, text).unwrap();
         self.signal("-HUP");
@@ -818,7 +829,7 @@
         self.child.as_ref().unwrap().id()
     }
 
-    /// Waits until it stands still.
+    /// Waits until the process is stopped.
     pub fn wait_until_stopped(&self) {
         let state = format!("/proc/{}/stat", self.pid());
         let stopped = || std::fs::read_to_string(&state).unwrap().contains(") T ");
@@ -836,27 +847,27 @@
         assert!(Command::new("kill").args([signal, &id]).status().unwrap().success());
     }
 
-    /// Ends the node as a planned restart would; its counters.
+    /// Ends the node as a planned restart does; returns its counters.
     pub fn end(self) -> BTreeMap<String, u64> {
         self.signal("-TERM");
-        self.ended()
+        self.wait_for_end()
     }
 
-    /// Waits for the node to end by itself; its counters.
-    pub fn ended(self) -> BTreeMap<String, u64> {
+    /// Waits until the node exits; returns its counters.
+    pub fn wait_for_end(self) -> BTreeMap<String, u64> {
         let log = self.log();
-        // Shown where the test fails.
+        // Printed if the test fails.
         println!("{log}");
         let counters = log.lines().last().and_then(|line| line.split_once("counters: ")).expect(&log).1;
         let pair =
             |pair: &str| pair.split_once('=').map(|(name, value)| (name.into(), value.parse().unwrap()));
         let counters: BTreeMap<String, u64> = counters.split(' ').filter_map(pair).collect();
-        // Whatever happened, no job is left behind.
+        // No request may be left open.
         assert_eq!(counters["jobs_held"], 0, "{log}");
         counters
     }
 
-    /// Waits for the node to end by itself; all that it said.
+    /// Waits until the node exits; returns its log.
     pub fn log(mut self) -> String {
         let output = self.child.take().unwrap().wait_with_output().unwrap();
         let log = String::from_utf8(output.stderr).unwrap();
@@ -875,19 +886,19 @@
     }
 }
 
-/// A caller's connection.
-pub struct Caller {
+/// A client connection to the node.
+pub struct Client {
     pub stream: TcpStream,
     reader: BufReader<TcpStream>,
 }
 
-impl Caller {
+impl Client {
     fn new(stream: TcpStream) -> Self {
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         Self { reader: BufReader::new(stream.try_clone().unwrap()), stream }
     }
 
-    /// A connection, if one is to be had.
+    /// Connects, if the address accepts connections.
     pub fn connect(address: SocketAddr) -> Option<Self> {
         TcpStream::connect(address).ok().map(Self::new)
     }
@@ -896,14 +907,14 @@
         self.stream.write_all(&[head.as_bytes(), body].concat()).unwrap();
     }
 
-    /// So many bytes of what comes; fewer if the node closed the connection before.
+    /// Reads this many bytes; fewer if the node closes the connection first.
     pub fn take(&mut self, count: usize) -> Vec<u8> {
         let mut bytes = Vec::new();
         let _ = (&mut self.reader).take(count as u64).read_to_end(&mut bytes);
         bytes
     }
 
-    /// The answer; nothing if the node closed the connection without a whole one.
+    /// Reads an answer; `None` if the node closed the connection before it was complete.
     pub fn answer(&mut self) -> Option<Message> {
         Message::read(&mut self.reader)
     }
@@ -914,8 +925,8 @@
     }
 }
 
-/// A job's head: `read` (idempotent), `book` (keyed) or `pay` (non-idempotent), with so many seconds left. Its id is
-/// new.
+/// The head of a request with a new id and this many seconds left: `read` (idempotent), `book` (keyed) or `pay`
+/// (non-idempotent).
 pub fn head(profile: &str, left: &str, length: usize) -> String {
     static COUNT: AtomicU32 = AtomicU32::new(1);
     let id = COUNT.fetch_add(1, Ordering::Relaxed);
