--- a/crates/pearfront-node/tests/endings/pipelining.rs
+++ b/crates/pearfront-node/tests/endings/pipelining.rs
@@ -1,5 +1,5 @@
-//! Requests behind one another on a connection: each has its answer by the end of its time, or lies unread on a connection that is
-//! reset by then, so that its client may send it again. Whatever the answer before it does.
+//! Pipelined requests on a connection: each is answered by its deadline, or its connection is reset by then with the request
+//! unread, so that the client may retry it, whatever happens to the answer before it.
 
 use super::deadline::{End, all_within, answered_within, drips, on_one_connection, over};
 use crate::stand_ins::{Behavior, Client, Node, Server, config, head, in_time, in_time_by};
@@ -9,22 +9,22 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// How long the client of the short requests here waits, and how much later than the long one its request comes.
+/// Time that the client of a short request waits, and the delay of that request after the long one.
 const TIME: Duration = Duration::from_millis(400);
 const LATER: Duration = Duration::from_millis(100);
-/// How late a machine may be where the node answers 4 ms ahead of the time.
+/// Tolerated machine delay where the node answers 4 ms before the deadline.
 const MARGIN: Duration = Duration::from_millis(3);
-/// What is passed on while it comes.
+/// Size of an answer that is streamed, bytes.
 const LARGE: usize = 200_000;
 
-/// Sends a long request, and a little later one whose client waits so long.
+/// Sends a long request, and a little later one with this deadline.
 fn long_and_later(client: &mut Client, time: &str) {
     client.send(&head("read", "3", 0), b"");
     sleep(LATER);
     client.send(&head("read", time, 0), b"");
 }
 
-// A short request behind an answer that does not come to its end is not read: its connection is reset in its time.
+// A short request behind an answer that does not finish is not read: its connection is reset by its deadline.
 #[test_case(0, Duration::ZERO; "that stalls")]
 #[test_case(100, Duration::from_millis(50); "that drips")]
 #[test_case(20, Duration::from_millis(250); "that drips slowly")]
@@ -43,7 +43,7 @@
     });
 }
 
-// The same behind a flow that comes to its end in time: it is answered on the same connection.
+// Behind an answer that finishes in time, the request is answered on the same connection.
 #[test]
 fn a_request_behind_an_answer_that_comes_to_its_end_is_answered() {
     const DRIPS: usize = 4;
@@ -63,7 +63,7 @@
     });
 }
 
-// Many requests in one write, of which none can be served: the last one has its answer in its time as well.
+// Many requests in one write, none of which can be served: the last one is also answered in time.
 #[test]
 fn many_requests_in_one_write_are_all_answered_before_their_time_is_over() {
     const COUNT: usize = 40;
@@ -78,7 +78,8 @@
     });
 }
 
-// Rounds of the module that are further apart than a request's time is long: the owner of its time answers it, and before its end.
+// With rounds of the decision module longer than a request's deadline, the connection's own timer must answer, before the
+// deadline.
 #[test]
 fn a_request_that_the_module_does_not_answer_is_answered_before_its_time_is_over() {
     in_time_by(MARGIN, || {
@@ -101,7 +102,7 @@
     });
 }
 
-// An answer that its server breaks off: its connection was held open for those that lay unread behind it.
+// When a server aborts an answer, the connection used to stay open for the unread requests behind it.
 #[test]
 fn a_request_behind_an_answer_that_its_server_breaks_off_is_shut_unread_at_once() {
     in_time(|| {
@@ -111,7 +112,7 @@
         let node = Node::start(&config(&[server.address]));
         let mut client = node.client();
         client.send(&[head("read", "9", 0), head("read", "9", 0)].concat(), b"");
-        // What the client has not taken by the reset is dropped.
+        // Data that the client has not read is lost in the reset.
         (&client.stream).read_exact(&mut vec![0; LARGE]).unwrap();
         sleep(LATER);
         server.release();
--- a/crates/pearfront-node/tests/endings/resume.rs
+++ b/crates/pearfront-node/tests/endings/resume.rs
@@ -1,4 +1,4 @@
-//! A drain that is taken back: clients' connections that are still open are served as before it.
+//! A cancelled drain: clients' connections that are still open are served as before it.
 
 use crate::stand_ins::{Behavior, Client, Node, Server, config, entry, head, list};
 use socket2::SockRef;
@@ -8,17 +8,17 @@
 use std::time::Duration;
 use test_case::test_case;
 
-/// In a drain nothing new may come on a client's connection 2 s after the word: longer than that.
+/// Longer than the 2 s after the start of a drain in which a client's connection may still carry new requests.
 const DRAINED: Duration = Duration::from_millis(2300);
-/// How long a client waits, and when its answer is lost: 0.5 s later.
+/// Time that a client waits, and when its answer counts as lost: 0.5 s later.
 const TIME: &str = "1";
 const LOST: Duration = Duration::from_millis(1500);
-/// Long enough for a connection to be accepted, and less than what a new one is left alone for.
+/// Long enough for a connection to be accepted, and less than the time for which a new one is left alone.
 const ACCEPTED: Duration = Duration::from_millis(50);
-/// More than is kept whole of a body or an answer.
+/// Larger than what is buffered of a body or an answer, bytes.
 const LARGE: usize = 300_000;
 
-/// What is on its way on a client's connection from before a drain until it has been taken back.
+/// What is in progress on a client's connection from before a drain until the drain is cancelled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Across {
     Attempt,
@@ -26,7 +26,7 @@
     Held,
     Body,
     Answer,
-    /// Nothing, as it was opened right before the drain was taken back.
+    /// Nothing: the connection was opened right before the drain was cancelled.
     Nothing,
 }
 
@@ -42,7 +42,7 @@
         })
     }
 
-    /// Begins the request that is to last over the drain.
+    /// Starts the request that lasts throughout the drain.
     fn begin(self, client: &mut Client, server: &Server) {
         match self {
             Across::Nothing => return,
@@ -64,7 +64,7 @@
     }
 }
 
-/// Has the node neither ended it nor written to it?
+/// Whether the node has neither closed the connection nor written to it.
 fn is_open_and_silent(client: &Client) -> bool {
     client.stream.set_nonblocking(true).unwrap();
     let peeked = SockRef::from(&client.stream).peek(&mut [MaybeUninit::uninit()]);
@@ -72,7 +72,7 @@
     peeked.is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
 }
 
-/// Asks as clients do: where the node has closed the connection, once more on a new one.
+/// Sends a request as clients do: if the node has closed the connection, once more on a new one.
 fn ask_in_time(node: &Node, client: &mut Client) -> u16 {
     client.stream.set_read_timeout(Some(LOST)).unwrap();
     client.send(&head("read", TIME, 0), b"");
@@ -84,7 +84,7 @@
     answer.unwrap_or_else(|| node.client().ask(&head("read", TIME, 0), b"")).status()
 }
 
-// A request on a connection that was in use while a drain was taken back was never read: it reached no server, and had no answer.
+// A request on a connection that was in use while a drain was cancelled was never read: it reached no server and had no answer.
 #[test_case(Across::Attempt; "its request is at a server")]
 #[test_case(Across::Held; "its request is held")]
 #[test_case(Across::Body; "its body is on its way")]
@@ -117,7 +117,8 @@
     assert_eq!(status, 200);
 }
 
-// What came while the process stood still was closed over when it went on in a drain: the runtime had not been told of it yet.
+// Requests that arrived while the process was stopped were lost when it resumed in a drain: their connections were closed
+// before the runtime had reported the data.
 #[test]
 fn requests_that_came_while_a_draining_process_stood_still_are_answered() {
     const CLIENTS: usize = 20;
@@ -136,7 +137,7 @@
     assert_eq!(answered, CLIENTS);
 }
 
-// The end of reading looked into a body that no server took, and its request had no time from then on.
+// In a drain, the end of reading looked into a body that no server read, and its request then had no deadline any more.
 #[test]
 fn a_body_that_is_not_taken_has_its_answer_in_time_in_a_drain() {
     const LONG: Duration = Duration::from_millis(3500);
@@ -150,7 +151,8 @@
     assert_eq!(status, Some(503));
 }
 
-// A request that was answered before its body had been read: what came behind that body, once a drain had been taken back, lay there.
+// A request was answered before its body had been read: requests behind that body were never read after the drain was
+// cancelled.
 #[test]
 fn a_request_behind_a_body_that_outlives_a_drain_and_its_answer_is_answered() {
     let node = Node::start_for_operators(config(&[]));
--- a/crates/pearfront-node/tests/endings/retries.rs
+++ b/crates/pearfront-node/tests/endings/retries.rs
@@ -1,16 +1,17 @@
-//! Repeats whose connection comes up late: what was true when they were decided has to hold when they are written.
+//! Retries whose connection is established late: the conditions under which they were allowed must still hold when they are
+//! sent.
 
 use crate::stand_ins::{Behavior, Node, Server, config, entry, head, list};
 use serde_json::json;
 use std::thread::sleep;
 use std::time::Duration;
 
-/// How long repeats of a keyed request are dropped by its group, ms.
+/// Window in which the group discards repeats of a keyed request, ms.
 const WINDOW: u64 = 300;
-/// How long the way to the second server stays shut; the kernel's next try comes 1 s after the first.
+/// How long the second server stays unreachable; the kernel retries the connection 1 s after the first attempt.
 const SHUT: Duration = Duration::from_millis(600);
 
-// A keyed request may have run. Its repeat is decided within the window, and its connection comes up behind it.
+// A keyed request may have run. Its retry is decided within the window, but its connection is established after it.
 #[test]
 fn a_keyed_request_is_not_repeated_on_a_connection_that_comes_up_behind_the_window() {
     let first = Server::start(Behavior::Raw(Vec::new(), b"HTTP/1.1 2".to_vec()));
--- a/crates/pearfront-node/tests/endings/shutdown.rs
+++ b/crates/pearfront-node/tests/endings/shutdown.rs
@@ -1,4 +1,4 @@
-//! What a connection still owes when it is shut down, reset or closed.
+//! Data and requests that must not be lost when a connection is shut down, reset or closed.
 
 use crate::stand_ins::{Behavior, Client, ESTABLISHED, Node, Platform, Server};
 use crate::stand_ins::{config, head, in_table, list, wait_for_table};
@@ -9,7 +9,7 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-/// The connections that a node has open, whichever side made them.
+/// A node's open connections, in both directions.
 fn connections(node: &Node) -> Vec<Socket> {
     let process = pidfd_open(Pid::from_raw(node.pid() as i32).unwrap(), PidfdFlags::empty()).unwrap();
     let open = std::fs::read_dir(format!("/proc/{}/fd", node.pid())).unwrap();
@@ -22,8 +22,8 @@
     sockets.map(Socket::from).filter(is_connection).collect()
 }
 
-// Small writes that the system holds back go with a reset. The client's, the server's, discovery's and the operators'
-// connection: none holds any back.
+// A reset discards small writes that the kernel delays. Therefore none of the connections to clients, servers, discovery and
+// operators may delay them.
 #[test]
 fn no_connection_holds_back_small_writes() {
     const KINDS: usize = 4;
@@ -37,7 +37,7 @@
     client.send(&head("pay", "60", 0), b"");
     server.wait_for("request 1");
     operator.send("GET /_ready HTT", b"");
-    // Each has been let in once what came on it has been read.
+    // Each connection has been accepted once its data has been read.
     let is_read = |socket: &Socket| socket.peek(&mut [MaybeUninit::uninit()]).is_err();
     let all = (0..4000).find_map(|_| {
         sleep(Duration::from_millis(5));
@@ -51,7 +51,7 @@
     node.kill();
 }
 
-// A client that takes nothing of its answer any more: its connection is closed, and the server's, whose rest nobody waits for.
+// A client that stops reading its answer: its connection is closed, and so is the server's, since nobody waits for the rest.
 #[test]
 fn an_answer_that_is_not_taken_ends_with_both_connections() {
     let server = Server::start(Behavior::Serve(vec![b'x'; 32 * 1024 * 1024]));
@@ -66,8 +66,8 @@
     assert_eq!((counters["flows"], counters["taken"]), (1, 1), "{counters:?}");
 }
 
-/// Drains a node whose clients rest, and stops it while it closes them: a request goes out on each that is still open then.
-/// How many of them had no answer; nothing if it was not in the middle of it.
+/// Drains a node with idle clients and stops it while it closes them; then sends a request on each connection that is still
+/// open. Returns how many had no answer, or `None` if the node was not stopped in between.
 fn ask_while_it_closes(clients: usize) -> Option<usize> {
     const UP: &str = "GET /up HTTP/1.1\r\n\r\n";
     let node = Node::start_for_operators(config(&[]));
@@ -98,9 +98,9 @@
     (!all.is_empty()).then_some(lost)
 }
 
-// A request is there before its connection is shut down, although it was not when the connection was chosen to be closed:
-// it is answered, as the last look for unread bytes is right before the shutdown. The node has one thread: where it stopped
-// in the very instant between the two, that is one connection.
+// A request that arrives after its connection was chosen to be closed, but before the shutdown, is answered: the last check for
+// unread bytes comes right before the shutdown. The node has one thread, so stopping it between those two can lose one
+// connection at most.
 #[test]
 fn a_request_that_comes_before_the_shutdown_is_answered() {
     const PLAYS: usize = 40;
@@ -110,8 +110,8 @@
     assert!(lost.iter().all(|lost| *lost <= 1), "{lost:?}");
 }
 
-// A connection that is busy through a drain is kept once the drain is taken back, or its client is told that it ends: what comes
-// on it is not left unread.
+// A connection that is busy throughout a drain stays in use once the drain is cancelled, or its client is told that it ends:
+// requests on it must not remain unread.
 #[test]
 fn a_request_behind_a_drain_that_was_taken_back_is_answered() {
     let server = Server::start(Behavior::Hold(b"fine".to_vec()));
@@ -134,7 +134,8 @@
     node.end();
 }
 
-// The next process said yes and died while this one ends: what came to the socket of both meanwhile was taken by nobody for 1.6 s.
+// The next process became ready and died while this one ended: connections to their shared socket were accepted by neither for
+// 1.6 s.
 #[test]
 fn a_process_that_ends_takes_what_waits_for_a_next_one_that_died() {
     const LOST: Duration = Duration::from_millis(1000);
@@ -142,14 +143,14 @@
     let (platform, config) = (Platform::new(), config(&[server.address]));
     let old = platform.start(&config);
     old.wait_for_call("GET /_ready", 200);
-    // Without a client it would have ended before.
+    // Without a client the process would have exited earlier.
     let mut first = old.client();
     first.send(&head("pay", "3", 0), b"");
     server.wait_for("request 1");
     let new = platform.start(&config);
     new.wait_for_call("GET /_ready", 200);
     old.signal("-TERM");
-    // No more connections are expected from then on.
+    // From then on no more connections are expected.
     sleep(Duration::from_millis(700));
     new.kill();
     let mut client = old.client();
@@ -161,8 +162,8 @@
     assert!(answer.is_some(), "no answer after {LOST:?} to a request of 0.5 s");
 }
 
-// Late in a drain a new connection was closed over its first request, which was not there at once but 10 ms later; and so was
-// the one on which its client, as the protocol has it, sent that once more.
+// Late in a drain, a new connection was closed before its first request, which came 10 ms later; so was the connection on which
+// the client, following the protocol, retried.
 #[test]
 fn a_connection_opened_late_in_a_drain_has_its_first_request_answered() {
     let server = Server::start(Behavior::Serve(Vec::new()));
--- a/crates/pearfront-node/tests/endings/stale_list.rs
+++ b/crates/pearfront-node/tests/endings/stale_list.rs
@@ -1,4 +1,4 @@
-//! A list that is too old to go by: discovery is there, but answers each call with an error, and servers drain meanwhile.
+//! An outdated server list: discovery answers each call with an error while servers begin to drain.
 
 use crate::stand_ins::{Behavior, Node, Server, config, head, in_time};
 use serde_json::json;
@@ -6,14 +6,14 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// A change counts as told so long after discovery had it, ms, whatever became of the calls.
+/// Time after which a change counts as announced, ms, whatever happened to the calls.
 const TOLD: u64 = 6000;
 const GRACE: u64 = 400;
-/// What the protocol gives beyond each limit, ms.
+/// Tolerance that the protocol adds to each limit, ms.
 const SLACK: u64 = 50;
 
-// Discovery is crowded: each call is answered 503. One server begins to drain; it says so to whoever probes it or brings it a
-// request, or to a probe alone, the list does not. Once the drain counts as told and the grace is over no request may go there.
+// Discovery is overloaded and answers each call with 503. A server begins to drain and says so to probes and requests, or to
+// probes only; the list does not. Once the drain counts as announced and the grace period is over, no request may go there.
 #[test_case(false; "it turns requests away")]
 #[test_case(true; "it goes on to serve")]
 fn a_server_that_drains_behind_a_crowded_discovery_gets_nothing_after_the_grace(serves: bool) {
--- a/crates/pearfront-node/tests/endings/system_calls.rs
+++ b/crates/pearfront-node/tests/endings/system_calls.rs
@@ -1,4 +1,4 @@
-//! System calls that fail as Linux documents, by the soak's shim, and a process that stands still.
+//! System calls that fail as Linux documents, injected by the soak's shim, and a process that is stopped for a while.
 
 use crate::stand_ins::{Behavior, Node, Server, config, head};
 use pearfront_soak::shim::{Control, Fault, build};
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use test_case::test_case;
 
-/// Requests of one play, one behind another.
+/// Requests per run, one after another.
 const REQUESTS: usize = 400;
 
 struct Shim {
@@ -41,7 +41,7 @@
     }
 }
 
-// Operators' calls went without an answer or a word in the log where a read of them failed so.
+// Operators' calls had no answer and no log line if reading them failed in this way.
 #[test_case(Fault::Interrupted, 50_000; "interrupted")]
 #[test_case(Fault::Short, 200_000; "short")]
 #[test_case(Fault::NoBuffers, 50_000; "no buffers")]
@@ -57,7 +57,7 @@
     assert_eq!(answered, CALLS, "{:?}", shim.control.counts());
 }
 
-// One call in twenty fails so, or is cut short: each request has its answer, on a kept connection that stays.
+// System calls fail or are cut short at this rate: each request is answered, on a kept connection that stays open.
 #[test_case(Fault::Interrupted, 50_000; "interrupted")]
 #[test_case(Fault::Short, 200_000; "short")]
 #[test_case(Fault::NoBuffers, 50_000; "no buffers")]
@@ -77,7 +77,7 @@
     assert_eq!((counters["attempt_served"], counters["failed"]), (REQUESTS as u64, 0));
 }
 
-// One in three of the first sockets can't be had: the process starts all the same.
+// One in three of the first socket calls fails: the process still starts.
 #[test]
 fn a_start_outlasts_sockets_that_can_not_be_had() {
     for seed in 1..=10 {
@@ -89,13 +89,14 @@
     }
 }
 
-/// How long the process stands still, and how long its client waits, ms.
+/// How long the process is stopped, and how long its client waits, ms.
 const STOPPED: u64 = 1200;
 const WAITS: u64 = 3000;
-/// What a server may be told beyond what is left, ms.
+/// By how much the time announced to a server may exceed the remaining time, ms.
 const SLACK: u64 = 200;
 
-// A request comes while the process stands still: its time runs from then, not from when it is read, or its connection accepted.
+// The deadline of a request that arrives while the process is stopped counts from its arrival, not from when it is read or its
+// connection is accepted.
 #[test_case(false; "on an open connection")]
 #[test_case(true; "on a new connection")]
 fn a_server_is_not_told_of_time_that_passed_while_the_process_stood_still(is_new: bool) {
@@ -103,7 +104,7 @@
     let node = Node::start(&config(&[server.address]));
     let mut client = node.client();
     assert_eq!(client.ask(&head("read", "3", 0), b"").status(), 200);
-    // The process has to have been running for a moment.
+    // The process must have been running for a moment.
     sleep(Duration::from_millis(200));
     node.signal("-STOP");
     node.wait_until_stopped();
--- a/crates/pearfront-node/tests/endings/watch.rs
+++ b/crates/pearfront-node/tests/endings/watch.rs
@@ -1,5 +1,4 @@
-//! Orders of calls to discovery that fail, each in its own way, on sockets: the list behind them has to be with the node by
-//! when it counts as state.
+//! Sequences of failing discovery calls over real sockets: a change must be known to the node when it counts as announced.
 
 use crate::stand_ins::{Message, Node, Server, config, in_table, in_time_unless_late, list, wait_for_table};
 use serde_json::json;
@@ -11,43 +10,43 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// What befalls a call; those behind the last one are answered.
+/// How a call fails; calls after the last failure are answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CallFault {
     Silent,
-    /// Half a list, and nothing more.
+    /// Half a list, then silence.
     Stalled,
-    /// 503, and the end.
+    /// A 503, then a close.
     Refused,
-    /// It finds no way in. The way is free soon, but not for this connection.
+    /// The connection is not established: the accept queue is full. It soon has room, but not for this connection.
     NotConnected,
 }
 
 use CallFault::*;
 
-/// From when on a connection that found no way in does not matter: its next try comes after 1 s, which the kernel says.
+/// Time after which a failed connection no longer matters: the kernel retries it only after 1 s.
 const WAY_FREE: Duration = Duration::from_millis(300);
-/// Longest pause between two looks for that connection: it is seen at the second one at the latest, and the way is free within
-/// its first second.
+/// Longest interval between two checks for that connection: the second check sees it at the latest, and the queue has room
+/// within its first second.
 const LOOKS_APART: Duration = Duration::from_millis(300);
-/// The kernel's word for a connection that is coming up.
+/// State code of a connection being established in `/proc/net/tcp`.
 const CONNECTING: &str = "02";
 
 #[derive(Default)]
 struct ServiceState {
-    /// What it has, and the faults of the calls to come.
+    /// Version of its list, and the failures of the calls to come.
     version: u64,
     faults: Vec<CallFault>,
-    /// Calls: the version that their client knew, and when they came.
+    /// Calls: the version that their sender knew, and when they arrived.
     calls: Vec<(u64, Instant)>,
     connections: usize,
-    /// Connections that came before the so many-th get nothing more.
+    /// The first connections, up to this number, get no more answers.
     silent_before: usize,
-    /// A way was free only when the connection that found none had tried again, or had been given up.
+    /// The queue had room only after the refused connection had retried or been given up.
     was_late: bool,
 }
 
-/// A discovery whose calls fare as state.
+/// A discovery service whose calls fail in the given way.
 struct Service {
     address: SocketAddr,
     state: Arc<(Mutex<ServiceState>, Condvar)>,
@@ -84,7 +83,7 @@
         Self { address, state }
     }
 
-    /// Waits for a call of one that knows this version; when it came.
+    /// Waits for a call that reports this version; returns when it arrived.
     fn wait_for(&self, version: u64) -> Instant {
         let known =
             |state: &ServiceState| state.calls.iter().find(|(from, _)| *from >= version).map(|(_, at)| *at);
@@ -99,7 +98,8 @@
         self.state.0.lock().unwrap().was_late
     }
 
-    /// It falls silent on what is open, has this to tell from now on, and the calls to come fare so. Says when that was.
+    /// Stops answering on open connections, publishes this version, and lets the coming calls fail in this way. Returns when
+    /// that was.
     fn change(&self, version: u64, faults: &[CallFault]) -> Instant {
         let mut state = self.state.0.lock().unwrap();
         (state.version, state.faults, state.silent_before) = (version, faults.to_vec(), state.connections);
@@ -107,7 +107,8 @@
     }
 }
 
-/// Keeps the way full until a connection has tried it. Was it free again before that one's next try?
+/// Keeps the accept queue full until a connection has tried it. Returns whether the queue had room before that connection's
+/// retry.
 fn block_first_connect(listener: &TcpListener, address: SocketAddr) -> bool {
     let mut queued = Vec::new();
     loop {
@@ -121,7 +122,7 @@
     let is_first = wait_for_table(&words, true) <= LOOKS_APART;
     thread::sleep(WAY_FREE);
     queued.iter().for_each(|_| drop(listener.accept().unwrap()));
-    // What the kernel says of it: its queues, its timer, and how often it was sent again.
+    // Columns of the table: queues, timer, number of retransmissions.
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
     let tries = table.split_once(&words).and_then(|(_, rest)| rest.split_whitespace().nth(2));
     is_first && tries.is_some_and(|tries| tries == "00000000")
@@ -167,7 +168,7 @@
     }
 }
 
-/// A node's file with this discovery.
+/// A node's configuration with this discovery.
 fn file(pushed: bool, discovery: SocketAddr) -> serde_json::Value {
     let mut config = config(&[]);
     config["settings"]["discovery"] = json!(if pushed { "pushed" } else { "on_request" });
@@ -181,7 +182,7 @@
     if took <= Duration::from_millis(allowed) { Ok(()) } else { Err(format!("known after {took:?}")) }
 }
 
-// The call that is held has no answer, and those behind it fare so: 6 s later the change is there.
+// The pending call gets no answer, and the following ones fail in this way: the change is known within 6 s.
 #[test_case(true, &[Silent]; "silent, pushed")]
 #[test_case(false, &[Silent]; "silent, asked")]
 #[test_case(true, &[NotConnected]; "no way in, pushed")]
@@ -190,7 +191,7 @@
 #[test_case(false, &[Stalled, Refused]; "stalled and refused, asked")]
 fn a_change_is_known_in_time_whatever_befell_the_calls(pushed: bool, faults: &[CallFault]) {
     in_time_unless_late(|| {
-        // The first call has its answer at once, and the one behind it is held when it falls silent.
+        // The first call is answered at once, and the second one is pending when the service stops answering.
         let service = Service::start(2, &[]);
         let node = Node::start(&file(pushed, service.address));
         service.wait_for(2);
@@ -201,7 +202,8 @@
     });
 }
 
-// The service has moved while a call is out, and the first call at the new place fares so: 4 s behind SIGHUP.
+// The service moves while a call is pending, and the first call at the new address fails in this way: its list is known within
+// 4 s of SIGHUP.
 #[test_case(true, Silent; "silent, pushed")]
 #[test_case(false, Silent; "silent, asked")]
 #[test_case(true, NotConnected; "no way in, pushed")]
--- a/crates/pearfront-node/tests/operations/mod.rs
+++ b/crates/pearfront-node/tests/operations/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' days on loopback: calls at the operators' address, a drain, an upgrade under load.
+//! Operator actions on loopback: calls to the operators' address, drains, reloads, upgrades under load, and streamed bodies.
 
 use crate::stand_ins::{
     Behavior, Discovery, Node, Platform, Server, config, entry, head, in_time_unless_late, list,
@@ -11,7 +11,7 @@
 
 const UP: &str = "GET /up HTTP/1.1\r\n\r\n";
 
-// Each call can be repeated, and what is none changes nothing.
+// Calls are idempotent, and an invalid call changes nothing.
 #[test]
 fn operators_are_answered_and_what_is_no_call_changes_nothing() {
     let node = Node::start_for_operators(config(&[]));
@@ -37,7 +37,7 @@
     }
 }
 
-// Callers that connect and finish no call, and clients that hold all descriptors, keep no operator waiting.
+// Connections that never complete a call, and clients that hold all descriptors, must not delay an operator.
 #[test]
 fn an_operator_gets_in_beside_clients_that_never_finish_and_a_crowd_of_clients() {
     let server = Server::start(Behavior::NoAnswer);
@@ -53,14 +53,15 @@
         .collect();
     let stuck: Vec<_> = (0..20).map(|_| node.operator()).collect();
     assert_eq!(node.call("GET /_ready"), 200);
-    // They are closed without an answer, the first ones to make room.
+    // They are closed without an answer, the oldest first, to make room.
     for mut stuck in stuck {
         assert!(stuck.answer().is_none());
     }
     drop(clients);
 }
 
-// Those that come behind a whole call in one go, more than may be open, had it dropped: no answer, no drain, no word in the log.
+// Connections that arrived in the same batch after a complete call, more than may be open, used to evict it: no answer, no
+// drain, nothing in the log.
 #[test]
 fn a_whole_call_is_carried_out_whoever_comes_behind_it() {
     let node = Node::start_for_operators(config(&[]));
@@ -77,7 +78,7 @@
     assert_eq!((answer, ready), (Some(200), 503));
 }
 
-// Nothing of a drain is lost: idle clients are let go, what is under way is answered, whoever still comes is served.
+// A drain loses no request: idle clients are closed, open requests are answered, and late ones are served.
 #[test]
 fn a_drained_node_lets_its_clients_go_and_runs_on() {
     let server = Server::start(Behavior::Serve(b"fine".to_vec()));
@@ -87,7 +88,7 @@
     assert_eq!(node.call("PUT /_lameduck/on"), 200);
     assert_eq!(idle.ask(UP, b"").status(), 503);
     assert!(idle.answer().is_none() && used.answer().is_none());
-    // Now each answer is the last on its connection.
+    // From now on each answer is the last on its connection.
     let mut late = node.client();
     let answer = late.ask(&head("read", "5", 0), b"");
     assert_eq!((answer.status(), answer.headers["connection"].as_str()), (200, "close"));
@@ -97,15 +98,16 @@
     assert_eq!(back.ask(UP, b"").status(), 200);
     assert_eq!(back.ask(&head("read", "5", 0), b"").status(), 200);
     assert_eq!(node.call("PUT /_lameduck/on"), 200);
-    // An end on top of a drain is an end, and a drain on top of that no error.
+    // A shutdown during a drain still shuts down, and a drain during a shutdown is no error.
     node.signal("-TERM");
     assert_eq!(node.wait_for_end()["served"], 3);
 }
 
-/// How soon behind an answer a client sends its next request: one that rests for 50 ms in an upgrade may find its connection closed.
+/// Maximum time between an answer and the client's next request: a connection that is idle for 50 ms during an upgrade may be
+/// closed.
 const NEXT: Duration = Duration::from_millis(40);
 
-// Two processes on one inherited socket: the new one says yes, the old one ends, no client meets a closed door.
+// Two processes share an inherited socket: the new one becomes ready, the old one ends, and no client is refused.
 #[test]
 fn an_upgrade_loses_no_request_and_only_the_old_process_exits() {
     in_time_unless_late(|| {
@@ -120,7 +122,7 @@
         new.wait_for_call("GET /_ready", 200);
         assert_eq!(client.ask(&request, b"").status(), 200);
         old.signal("-TERM");
-        // The client goes on with what it has until it is told that this was the last on it, and comes again.
+        // The client uses its connection until an answer says that it was the last one, then connects again.
         let mut asked = 2;
         let mut answered = Instant::now();
         loop {
@@ -145,7 +147,7 @@
     });
 }
 
-// An address or a descriptor that can't be had is one line, and no client is let in.
+// An unusable address or descriptor is reported in one line, and no client is accepted.
 #[test_case("ROUTER_ADMIN", "here", "ROUTER_ADMIN: \"here\" is no address and port"; "malformed")]
 #[test_case("ROUTER_ADMIN", "192.0.2.1:1", "admin: 192.0.2.1:1: Cannot assign requested address (os error 99)"; "not ours")]
 #[test_case("ROUTER_INHERITED_FD", "seven", "ROUTER_INHERITED_FD: \"seven\" is no descriptor"; "no number")]
@@ -160,19 +162,19 @@
     assert_eq!(said, format!("pearfront-node: {problem}\n"));
 }
 
-// Jobs end under the settings that they came under, and those that come after are taken by the new ones.
+// Requests end under the settings they started with; later requests use the new ones.
 #[test]
 fn new_settings_hold_for_new_requests_and_old_ones_for_open_requests() {
     let server = Server::start(Behavior::Hold(b"fine".to_vec()));
     let mut config = config(&[server.address]);
     let node = Node::start(&config);
     let (mut dropped, mut changed) = (node.client(), node.client());
-    // Half of its body comes after the settings have changed.
+    // Half of its body is sent after the settings have changed.
     let half = head("pay", "60", 8);
     dropped.send(&head("read", "60", 0), b"");
     server.wait_for("request 1");
     changed.send(&half, b"half");
-    // Another request's answer shows that what came before it has been read.
+    // The answer to another request shows that everything sent before it has been read.
     assert_eq!(node.client().ask(UP, b"").status(), 200);
     let profiles = config["settings"]["profiles"].as_array_mut().unwrap();
     profiles.remove(0);
@@ -182,10 +184,10 @@
         "outer_limit": 6e9, "gain": 1.0}));
     config["settings"]["limits"]["most_shots"] = json!(1);
     node.reload(&config.to_string());
-    // Its time is over: rejected while the profile is there, turned down once it has gone.
+    // Its deadline has passed: rejected while the profile exists, refused as invalid once it is gone.
     node.wait_until(&head("read", "0", 0), 400);
     let mut asked = node.client();
-    // A POST of what is now safe does not fit any more, but the request that came before ends as it began.
+    // A POST no longer fits the profile, which is now safe, but the earlier request ends under its old settings.
     assert_eq!(asked.ask(&head("pay", "5", 0), b"").status(), 400);
     changed.send("", b"done");
     server.wait_for("request 2");
@@ -200,7 +202,7 @@
     assert_eq!((counters["taken"], counters["served"]), (3, 3));
 }
 
-// Whatever is wrong with a file, nothing of it is taken over, and one line names the key.
+// An invalid file is rejected as a whole, and one line names the faulty key.
 #[test_case("", "", "EOF while parsing a value"; "empty")]
 #[test_case("\"settings\":{", "...", "EOF while parsing"; "cut in the middle")]
 #[test_case("\"most_shots\":3", "\"most_shots\":0", "config.settings.limits.most_shots is not above 0"; "no attempts")]
@@ -217,7 +219,7 @@
     let text = config.to_string();
     assert!(text.contains(was), "{text}");
     let node = Node::start(&config);
-    // Beside the fault it drops a profile.
+    // Besides the fault, the file drops a profile.
     let broken = match is {
         "..." => text.split(was).next().unwrap().to_string(),
         _ if was.is_empty() => String::new(),
@@ -233,15 +235,15 @@
     assert!(log.contains("configuration stays as it was: ") && log.contains(problem), "{log}");
 }
 
-/// The most that a body or an answer may have.
+/// Largest body or answer that the node accepts, bytes.
 const LARGEST: usize = 32 * 1024 * 1024;
 
 fn large(length: usize) -> Vec<u8> {
     (0..length).map(|at| (at % 251) as u8).collect()
 }
 
-// Its first bytes go out before the last are there, a client that does not read holds its own server back, and the
-// node holds next to nothing of either.
+// The first bytes are sent before the last ones arrive, a client that does not read applies back-pressure to its own server,
+// and the node buffers almost nothing of either.
 #[test]
 fn an_answer_of_the_largest_size_flows_past_a_slow_reader() {
     let body = large(LARGEST);
@@ -255,7 +257,7 @@
         client.send(&head("read", "60", 0), b"");
     }
     server.wait_for("request 8");
-    // Others are served meanwhile.
+    // Other clients are served in the meantime.
     assert_eq!(node.client().ask(UP, b"").status(), 200);
     let reader = &mut clients[0];
     let mut head = Vec::new();
@@ -275,14 +277,14 @@
 fn a_body_of_the_largest_size_flows_to_a_server_once() {
     let server = Server::start(Behavior::Serve(b"fine".to_vec()));
     let mut config = config(&[server.address]);
-    // Of which a body has 2.9 MiB at the most while its server takes nothing.
+    // Of this, a body may use at most 2.9 MiB while its server reads nothing.
     config["limits"]["memory_mb"] = json!(96);
     let node = Node::start(&config);
     let before = node.peak_memory();
     let body = large(LARGEST);
     let mut client = node.client();
     assert_eq!(client.ask(&head("pay", "20", LARGEST), &body).status(), 200);
-    // In chunks with extensions and a trailer, and another request right behind it.
+    // In chunks with extensions and a trailer, followed directly by another request.
     let chunked = head("book", "20", 0).replace("Content-Length: 0", "Transfer-Encoding: chunked");
     let chunks = body[..300_000]
         .chunks(70_000)
@@ -299,7 +301,7 @@
     assert_eq!((counters["flows_in"], counters["attempts"]), (2, 3));
 }
 
-// What has begun to flow is not there to be sent again; what never left is, also to a second server.
+// A body that has begun to stream cannot be sent again; one that was never sent can, also to a second server.
 #[test_case(Behavior::Error, 502; "it may have run")]
 #[test_case(Behavior::NeverRan, 503; "it never ran, and is not kept")]
 #[test_case(Behavior::BadRequest, 400; "nobody can use it")]
@@ -315,7 +317,7 @@
     assert_eq!((odd.requests().len(), other.requests().len(), counters["attempts"]), (1, 0, 1));
 }
 
-// Nothing of it has left where no connection came up: any request may go elsewhere then, also one that is not kept.
+// If no connection was established, nothing was sent: any request may go to another server, also one whose body is not kept.
 #[test]
 fn a_body_that_flows_goes_elsewhere_if_nothing_of_it_was_sent() {
     let good = Server::start(Behavior::Serve(b"fine".to_vec()));
@@ -327,7 +329,7 @@
     assert!(node.end()["attempt_unconnected"] > 0);
 }
 
-// A client that stops in the middle of a body: no server is to blame, and nothing of it is held.
+// A client that stops in the middle of a body: no server is blamed, and nothing of the request is held.
 #[test]
 fn a_body_that_stops_in_the_middle_is_given_up() {
     let server = Server::start(Behavior::Serve(Vec::new()));
@@ -342,13 +344,13 @@
     assert_eq!((counters["taken"], counters["client_left"], counters["attempt_unconnected"]), (3, 2, 0));
 }
 
-/// Two pieces of an answer with this head, and its body in this form.
+/// An answer with this head and body, split into two pieces.
 fn raw(head: &str, body: &[u8], at: usize) -> Behavior {
     let all = [format!("{head}\r\n\r\n").as_bytes(), body].concat();
     Behavior::Raw(all[..head.len() + 4 + at].to_vec(), all[head.len() + 4 + at..].to_vec())
 }
 
-// All forms that an answer may have are passed on whole, in whatever pieces they come.
+// Every valid form of an answer is forwarded completely, however it is split.
 #[test_case("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4", b"fine", 2; "1xx ahead")]
 #[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked", b"2;x=\"y\"\r\nfi\r\n2\r\nne\r\n0\r\nX-Sum: 1\r\n\r\n", 9; "chunks with extensions and a trailer")]
 #[test_case("HTTP/1.1 200 OK\r\nConnection: close", b"fine", 2; "ended by its connection")]
@@ -364,7 +366,7 @@
     assert_eq!((answer.status(), answer.body.as_slice()), (200, b"fine".as_slice()));
 }
 
-// Passed on in part, an answer must not look whole to its client.
+// A partially forwarded answer must not look complete to its client.
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 300000"; "with a length")]
 #[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked"; "in chunks")]
 fn an_answer_that_stops_midway_does_not_look_whole(form: &str) {
@@ -385,7 +387,7 @@
     assert_eq!(node.end()["served"], 1);
 }
 
-// Asked for, the word to go on comes before the body.
+// A client that expects `100 Continue` gets it before its body is read.
 #[test]
 fn a_client_that_waits_for_the_word_to_go_on_gets_it() {
     let server = Server::start(Behavior::Serve(Vec::new()));
@@ -397,8 +399,8 @@
     assert_eq!(server.requests()[0].body, b"body");
 }
 
-// What the old process was told holds for the new one, which says yes only then; an id that is open at one is open at
-// both; and limits count over both.
+// The new process takes over the old one's list and becomes ready only then; ids of open requests, and limits, count across
+// both processes.
 #[test]
 fn two_processes_are_one_node() {
     let (gone, silent) = (Server::start(Behavior::Serve(Vec::new())), Server::start(Behavior::NoAnswer));
@@ -411,7 +413,7 @@
     let request = head("pay", "60", 0);
     first.send(&request, b"");
     silent.wait_for("request 1");
-    // The discovery of the new one says nothing: it has the list from the old one alone.
+    // The new process's discovery does not answer: its list can come from the old process only.
     let new = platform.start_with(&config, Discovery::stop_answering);
     new.wait_for_call("GET /_ready", 200);
     old.signal("-STOP");
@@ -420,10 +422,10 @@
     second.send(&head("pay", "60", 0), b"");
     silent.wait_for("request 2");
     assert!(gone.requests().is_empty());
-    // Killed outright in the middle of its request: what it had is free for the new one.
+    // Killed during its request: what it held becomes free for the new process.
     old.kill();
     assert!(first.answer().is_none());
-    // Sent again by its client, its id is free once the end of the old process has been seen.
+    // When the client retries, its id is free once the end of the old process has been noticed.
     let mut third = new.client();
     let again = request.replace("X-Expires-In: 60", "X-Expires-In: 0");
     while third.ask(&again, b"").status() == 400 {}
@@ -431,7 +433,7 @@
     silent.wait_for("request 3");
 }
 
-// Whatever stands where the other process should be, the node starts as if it were alone.
+// Whatever answers in place of the other process, the node starts as if it were alone.
 #[test_case(None; "nothing")]
 #[test_case(Some(""); "one that hangs up")]
 #[test_case(Some("{\"hello\":{\"version\":2}}\n"); "one of another version")]
@@ -447,7 +449,7 @@
     let node = platform.start(&config(&[server.address]));
     node.wait_for_call("GET /_ready", 200);
     assert_eq!(node.client().ask(&head("pay", "5", 0), b"").status(), 200);
-    // The next one finds this one, and one more upgrade after that.
+    // The next process finds this one, and so does the process of a further upgrade.
     let next = platform.start(&config(&[server.address]));
     next.wait_for_call("GET /_ready", 200);
     node.end();
@@ -457,7 +459,7 @@
     assert_eq!(last.client().ask(&head("pay", "5", 0), b"").status(), 200);
 }
 
-// A new process that dies before its yes changes nothing for the old one.
+// A new process that dies before it is ready changes nothing for the old one.
 #[test]
 fn a_new_process_that_dies_before_its_yes_leaves_the_old_one_as_it_was() {
     let server = Server::start(Behavior::Serve(b"fine".to_vec()));
@@ -469,13 +471,14 @@
     new.kill();
     let mut client = old.client();
     assert_eq!(client.ask(&head("read", "5", 0), b"").status(), 200);
-    // With no other process on its socket it serves to its end.
+    // With no other process on its socket, it serves until it exits.
     old.signal("-TERM");
     assert_eq!(old.client().ask(&head("read", "5", 0), b"").status(), 200);
     assert_eq!(old.wait_for_end()["served"], 2);
 }
 
-// Who says that much is coming and brings nothing has no part in what the module counts, and costs no server anything.
+// A client that announces a large body and sends none of it is not counted by the decision module and takes no server
+// connection.
 #[test]
 fn a_large_body_that_never_begins_reaches_no_server() {
     let server = Server::start(Behavior::Serve(Vec::new()));
@@ -487,24 +490,24 @@
     assert_eq!((counters["taken"], counters["connections"], server.requests().len()), (0, 0, 0));
 }
 
-// Half a whole list would say that the servers of its other half are gone. Asked for again at once, it is well.
+// Half of a full list would remove the servers of its other half. The node discards it and asks again at once.
 #[test_case(true; "breaks off")]
 #[test_case(false; "stalls")]
 fn a_list_that_stops_in_its_middle_is_taken_in_no_part_and_asked_for_again(ends: bool) {
     let (old, new) =
         (Server::start(Behavior::Serve(b"old".to_vec())), Server::start(Behavior::Serve(b"new".to_vec())));
     let node = Node::start_with(&config(&[old.address]), |discovery| {
-        // The old server goes, and another one comes to where nobody was.
+        // The old server is removed, and a new one is added.
         discovery.publish(2, list(2, true, &[entry("new", new.address, "Ready")]));
         discovery.cut_next(ends);
     });
     node.discovery.wait_for(2);
     assert_eq!(node.client().ask(&head("pay", "5", 0), b"").body, b"new");
-    // No watch ended for it: the second call came without a pause.
+    // No watch failed over it: the second call followed without a back-off.
     assert_eq!(node.end()["lists_failed"], 0);
 }
 
-// In whatever pieces a request comes, it is one.
+// A request may arrive in pieces of any size.
 #[test]
 fn a_request_that_comes_byte_by_byte_is_taken() {
     let server = Server::start(Behavior::Serve(b"fine".to_vec()));
@@ -517,7 +520,7 @@
     assert_eq!(server.requests()[0].body, b"body");
 }
 
-// Settings that come in the middle of a drain hold once it is taken back, and take nothing of it back themselves.
+// Settings loaded during a drain apply once it is cancelled, and do not cancel it themselves.
 #[test]
 fn new_settings_come_through_in_the_middle_of_a_drain() {
     let server = Server::start(Behavior::Serve(Vec::new()));
@@ -535,7 +538,7 @@
     assert_eq!(client.ask(UP, b"").status(), 200);
 }
 
-// A drain is told to a process: in the middle of an upgrade the other one goes on.
+// A drain applies to one process: during an upgrade the other one continues.
 #[test]
 fn a_drain_in_the_middle_of_an_upgrade_is_the_old_ones_alone() {
     let (platform, config) = (Platform::new(), config(&[]));
@@ -550,7 +553,7 @@
     assert_eq!(new.client().ask(UP, b"").status(), 200);
 }
 
-// Two nodes told of one operators' address: the second one lets no client in.
+// Two nodes with the same operators' address: the second one accepts no client.
 #[test]
 fn an_operators_address_that_is_in_use_is_named() {
     let node = Node::start_for_operators(config(&[]));
@@ -563,7 +566,7 @@
     assert_eq!(said, format!("pearfront-node: admin: {address}: Address already in use (os error 98)\n"));
 }
 
-// The same from outside, with a length too far into its line to be seen.
+// Request smuggling with a length that lies too far into its header line to be noticed.
 #[test]
 fn a_request_hidden_behind_a_length_that_is_far_away_is_not_sent() {
     let server = Server::start(Behavior::Serve(Vec::new()));
@@ -579,7 +582,8 @@
     assert_eq!(server.requests().len(), 1);
 }
 
-// A list of thousands is read in one go; whoever calls meanwhile is answered behind it, and the list is taken whole.
+// A list with thousands of entries is read in one go; an operator is answered right after it, and the list is applied
+// completely.
 #[test]
 fn an_operator_is_answered_beside_a_large_list() {
     let server = Server::start(Behavior::Serve(b"fine".to_vec()));
--- a/crates/pearfront-node/tests/readiness/mod.rs
+++ b/crates/pearfront-node/tests/readiness/mod.rs
@@ -1,14 +1,14 @@
-//! How soon a process that was just started is ready, whatever discovery does meanwhile. The whole distribution is
-//! `make bench-readiness`; here each way is played once.
+//! Time until a newly started process is ready, for each behaviour of discovery. `make bench-readiness` measures the whole
+//! distribution; here each case runs once.
 
 use crate::stand_ins::{Behavior, Discovery, Node, Platform, Server, config, head, in_time};
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// Nothing on the way to the first yes may take longer; nine in ten restarted processes have 10 s on a fifth of a core.
+/// Maximum time to readiness; the requirement for nine in ten restarted processes is 10 s on a fifth of a core.
 const AT_MOST: Duration = Duration::from_secs(3);
 
-/// One that has nobody to wait for is ready long before the longest wait for a list.
+/// Maximum for a process without another one to wait for: well below the longest wait for a list.
 const ALONE: Duration = Duration::from_millis(1500);
 
 fn there(_: &Discovery) {}
@@ -22,7 +22,7 @@
     if took <= AT_MOST { Ok(()) } else { Err(format!("ready after {took:?}")) }
 }
 
-// Alone it says yes and serves from the list in its file, without waiting for discovery.
+// Alone, a process is ready and serves from the list in its configuration, without waiting for discovery.
 #[test_case(there; "there")]
 #[test_case(Discovery::stop_answering; "silent")]
 #[test_case(is_down; "down")]
@@ -44,8 +44,8 @@
     platform.greet_next_process("");
 }
 
-// No other process serves the listener, or one that ends before it has said a word: what clients have sent waits for this one
-// alone, and it waits for no list.
+// No other process serves the listener, or it ends before it sends anything: queued clients depend on this process alone, so it
+// must not wait for a list.
 #[test_case(nobody; "nobody else")]
 #[test_case(hangs_up; "one that hangs up")]
 fn a_process_that_is_alone_on_a_shared_listener_waits_for_no_list(other: fn(&Platform)) {
@@ -62,7 +62,7 @@
     });
 }
 
-// The process that it was to follow ends before it is ready: from then on it is alone, and waits for no list either.
+// The process that it was to replace ends before this one is ready: from then on it is alone and must not wait for a list.
 #[test]
 fn a_process_whose_other_ends_waits_for_no_list() {
     let server = Server::start(Behavior::Serve(Vec::new()));
@@ -81,8 +81,8 @@
     });
 }
 
-// Where another process may serve the same listener, the list comes first, but it is not waited for without end: behind the
-// process before it, and without one.
+// If another process may serve the same listener, the list comes first, but the wait is bounded: with a predecessor and without
+// one.
 #[test_case(there, false; "there")]
 #[test_case(Discovery::stop_answering, false; "silent")]
 #[test_case(is_down, false; "down")]
