--- a/crates/pearfront-node/tests/endings/connection_limits.rs
+++ b/crates/pearfront-node/tests/endings/connection_limits.rs
@@ -1,4 +1,4 @@
-//! Clients that hold all the descriptors that they can get, each kind in its own way, while discovery is down.
+//! Clients that hold as many descriptors as they can get, each kind in its own way, partly while discovery is down.
 
 use crate::stand_ins::{
     Behavior, Client, Node, Platform, Server, config, entry, head, in_time, in_time_unless_late, list,
@@ -12,14 +12,14 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// What the clients do that hold them.
+/// What the clients do with the connections that they hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ClientKind {
     Idle,
     PartialHead,
-    /// Asks for an answer of 8 MiB and reads nothing of it.
+    /// Requests an answer of 8 MiB and reads nothing of it.
     ReadsNothing,
-    /// Sends a body of which nothing is kept, a byte at a time.
+    /// Sends an unbuffered body one byte at a time.
     SendsSlowly,
 }
 
@@ -28,7 +28,7 @@
 impl ClientKind {
     fn begin(self, address: SocketAddr) -> Option<TcpStream> {
         let mut stream = TcpStream::connect(address).ok()?;
-        // Its close is a reset, which leaves nothing in the kernel's table: tests beside it read that.
+        // Closing it sends a reset, which leaves no entry in the kernel's table: other tests read that table.
         SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
         let first = match self {
             Idle => String::new(),
@@ -41,13 +41,13 @@
         Some(stream)
     }
 
-    /// Does what it does, as long as the node lets it.
+    /// Continues its behaviour; returns whether the node still keeps the connection.
     fn keeps_connection(self, stream: &mut TcpStream) -> bool {
         if self == SendsSlowly && stream.write(b"x").is_err() {
             return false;
         }
         if self == ReadsNothing {
-            // What it does not read can't be looked at for its end: the node's kernel closes it.
+            // Unread data hides the end of the connection; the error of the reset shows it.
             return stream.take_error().is_ok_and(|error| error.is_none());
         }
         match stream.peek(&mut [0]) {
@@ -57,7 +57,7 @@
     }
 }
 
-/// Holds so many connections until it is stopped, each opened anew as the node closes it.
+/// Holds this many connections until it is stopped, and reopens each one that the node closes.
 fn hold_connections(address: SocketAddr, kind: ClientKind, count: usize, stopped: &AtomicBool) {
     let mut open: Vec<TcpStream> = Vec::new();
     while !stopped.load(Ordering::Relaxed) {
@@ -72,7 +72,7 @@
     std::fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, Iterator::count)
 }
 
-/// Notes the most descriptors that the node has at once, until it is stopped.
+/// Records the largest number of descriptors that the node has open, until it is stopped.
 fn record_most_descriptors(node: &Node, most: &AtomicUsize, stopped: &AtomicBool) {
     while !stopped.load(Ordering::Relaxed) {
         most.fetch_max(descriptors(node.pid()), Ordering::Relaxed);
@@ -82,13 +82,13 @@
 
 /// How long discovery is down.
 const DOWN: Duration = Duration::from_secs(8);
-/// From its return on, until a drain has to be with the node.
+/// Time from discovery's return until the node must know of a drain.
 const DRAIN_KNOWN_WITHIN: Duration = Duration::from_secs(1);
-/// Longest that an operator waits, and a probe's client.
+/// Maximum time that an operator, or the sender of a probe, waits.
 const OPERATOR_TIMEOUT: Duration = Duration::from_secs(1);
 
-// All descriptors that clients can get are held, and discovery is down for 8 s. At its return the node knows of a drain
-// within the second; operators are answered and servers probed all the while, and it never has more than it may.
+// Clients hold all descriptors that they can get, and discovery is down for 8 s. When it returns, the node must know of a drain
+// within one second; operators are answered and servers probed throughout, and the node never exceeds its descriptor limit.
 #[test_case(Idle, 64, true; "idle, 64, pushed")]
 #[test_case(Idle, 64, false; "idle, 64, asked")]
 #[test_case(Idle, 256, true; "idle, 256, pushed")]
@@ -110,7 +110,7 @@
         config["limits"]["sockets"] = json!(sockets);
         config["settings"]["discovery"] = json!(if pushed { "pushed" } else { "on_request" });
         config["settings"]["rules"]["drain_grace"] = json!(400_000_000);
-        // Each probe on a connection of its own.
+        // Each probe uses a new connection.
         config["settings"]["limits"]["conn_idle"] = json!(1_000_000);
         let node = Node::start_for_operators(config);
         node.discovery.publish(2, list(2, false, &[]));
@@ -155,22 +155,22 @@
     });
 }
 
-/// Clients that hold or want connections beside the requests.
+/// Clients that hold or request connections besides the measured requests.
 const CROWD: usize = 300;
-/// How many requests come on connections of their own, one at a time, and how long each has.
+/// Number of requests on separate connections, the interval between them, and the deadline of each.
 const REQUESTS: usize = 40;
 const REQUEST_INTERVAL: Duration = Duration::from_millis(50);
 const TIME: Duration = Duration::from_millis(600);
 
-/// How soon a client has to send its request behind the handshake: a node that others wait for spares its connection for 20 ms.
+/// Maximum time from the handshake to the request: under pressure the node keeps a new connection for 20 ms.
 const SENDS_WITHIN: Duration = Duration::from_millis(15);
 
-/// What became of a request on a new connection.
+/// Outcome of a request on a new connection.
 #[derive(Debug)]
 struct RequestResult {
-    /// The status of its answer and how soon it came, or how the connection ended without one.
+    /// Status and latency of its answer, or how the connection ended without one.
     answer: Result<(String, Duration), String>,
-    /// Did its own client send it too late?
+    /// Whether its client sent it too late.
     was_late: bool,
 }
 
@@ -180,7 +180,7 @@
     }
 }
 
-/// Sends a request on a new connection, so long behind the handshake.
+/// Sends a request on a new connection, this long after the handshake.
 fn request_on_new_connection(address: SocketAddr, pause: Duration) -> RequestResult {
     let begun = Instant::now();
     let mut stream = match TcpStream::connect(address) {
@@ -204,8 +204,8 @@
     RequestResult { answer, was_late }
 }
 
-// Clients that send nothing, or never the rest of a head, hold all places, and come again as they are closed; they
-// came long before the requests or in one burst right before. Each request on a new connection is answered in its time.
+// Clients that send nothing, or only part of a head, hold all connections and reconnect when closed; they come long before the
+// requests or in a burst right before them. Each request on a new connection must be answered in time.
 #[test_case(Idle, 64, 1000, 0; "idle, 64")]
 #[test_case(Idle, 64, 50, 0; "idle, 64, a burst")]
 #[test_case(Idle, 256, 1000, 0; "idle, 256")]
@@ -256,8 +256,9 @@
     });
 }
 
-// The process stands still in a crowd, and requests come meanwhile. Behind the stop it took the crowd for one that had held all
-// places all the while, and shut what it had not looked at. They may have come at its beginning, so some are answered with 503.
+// The process is stopped while clients hold its connections, and requests arrive. After resuming it used to treat all of them
+// as connections that had held their places throughout, and closed those it had not examined. Requests may date from the start
+// of the stop, so 503 is allowed for some.
 #[test_case(Idle; "idle")]
 #[test_case(PartialHead; "half a head")]
 fn requests_that_come_in_a_crowd_while_the_process_stands_still_are_answered(kind: ClientKind) {
@@ -293,11 +294,11 @@
     });
 }
 
-/// How much more than what is left to its client a server may be told.
+/// By how much the time announced to a server may exceed the client's remaining time, s.
 const SLACK: f64 = 0.15;
 
-// In a hand-over a request waits in the queue that the processes share. The one that takes it counts its time from when it
-// can have come, not from its own start: what it tells the server is left.
+// During a hand-over a request waits in the shared accept queue. The process that accepts it must count its deadline from when
+// it can have arrived, not from its own start.
 #[test_case(250; "a moment")]
 #[test_case(1200; "long")]
 fn a_request_that_waited_for_the_next_process_is_told_what_is_left(waited_ms: u64) {
@@ -322,13 +323,13 @@
     });
 }
 
-// What waits in the queue as the process stops accepting takes a place as at any other time: a process that stood still at that
-// moment has no more descriptors than it may.
+// Connections that are queued when the process stops accepting count against the limit as usual: a process that was stopped at
+// that moment must not exceed its descriptor limit.
 #[test]
 fn what_is_left_in_the_queue_at_the_end_takes_no_more_descriptors_than_there_are() {
     const SOCKETS: usize = 64;
     const CONNECTIONS: usize = 200;
-    /// The process accepts until 2.4 s behind the word to end, and stands still at that time.
+    /// The process accepts until 2.4 s after SIGTERM, and is stopped at that time.
     const STOP_AFTER: Duration = Duration::from_millis(1000);
     const CONTINUE_AFTER: Duration = Duration::from_millis(2600);
     let server = Server::start(Behavior::NoAnswer);
@@ -343,7 +344,7 @@
     sleep(STOP_AFTER.saturating_sub(told.elapsed()));
     node.signal("-STOP");
     node.wait_until_stopped();
-    // Each would keep its place to the end: the rest of its body does not come.
+    // Each would keep its place to the end: the rest of its body never arrives.
     let half = [head("book", "60", 1000).into_bytes(), vec![b'x'; 10]].concat();
     let connect = |_| {
         let mut stream = TcpStream::connect(node.address).unwrap();
@@ -361,7 +362,7 @@
         }
         stopped.store(true, Ordering::Relaxed);
     });
-    // Bodies that never came whole are left: their requests were not taken.
+    // Requests with incomplete bodies are dropped: they were never taken.
     let (most, log) = (most.into_inner(), node.log());
     assert!(most <= SOCKETS, "{most} descriptors, {log}");
     assert!(!log.contains(" shut_unread=0 "), "{log}");
--- a/crates/pearfront-node/tests/endings/gone.rs
+++ b/crates/pearfront-node/tests/endings/gone.rs
@@ -1,6 +1,6 @@
-//! A client that closes or cancels has gone: no attempt begins for it, whatever the node was busy with when it went. What is
-//! at the node's end of the connection counts, not when the node came to look: a node on little of a core stands still
-//! again and again, so one is stopped here while both orders of a crossing become known at once.
+//! No attempt may begin for a client that has disconnected, whatever the node was doing at that moment. What counts is the
+//! state of the connection at the node's end, not when the node checks it: a node with a small share of a core is paused again
+//! and again, so these tests stop it until both crossing events are visible at once.
 
 use super::{Leaving, PARTIAL_REQUEST, leave};
 use crate::stand_ins::{Behavior, Client, ESTABLISHED, Node, Server};
@@ -23,10 +23,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{LocalSet, spawn_local};
 
-/// No attempt begins for a client that has been gone for longer.
+/// Maximum time after the disconnect at which an attempt may still begin.
 const MAX_DELAY: Duration = Duration::from_millis(100);
 
-/// A node's file where no attempt is called off and a connection may come up late.
+/// A configuration in which no attempt is cancelled and connections may be established late.
 fn config_without_cancels(servers: &[SocketAddr]) -> Value {
     let mut config = super::without_cancels(&config(servers));
     config["settings"]["limits"]["connect_timeout"] = json!(60e9);
@@ -34,13 +34,13 @@
     config
 }
 
-/// Has seen all that was there to be seen: two calls behind one another, on a connection of their own.
+/// Waits until the node has processed everything that has arrived: two consecutive calls on a separate connection.
 fn wait_until_processed(node: &Node) {
     let mut client = node.client();
     (0..2).for_each(|_| assert_eq!(client.ask("GET /up HTTP/1.1\r\n\r\n", b"").status(), 200));
 }
 
-/// A server that takes what begins to come and answers nothing, and whether anything has come.
+/// A server that reads and never answers; the flag tells whether anything arrived.
 fn byte_detecting_server() -> (SocketAddr, Arc<AtomicBool>) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let (address, began) = (listener.local_addr().unwrap(), Arc::new(AtomicBool::new(false)));
@@ -54,8 +54,8 @@
     (address, began)
 }
 
-// A client leaves while more of its body lies in its kernel than the node has room for: its end lies behind that, unseen. The
-// server comes 0.3 s later.
+// A client disconnects while more of its body is in its kernel than the node has room for, so that the node cannot see the end
+// of the connection. The server appears 0.3 s later.
 #[test_case(1, 1_000_000; "with little room")]
 #[test_case(192, 24_000_000; "with a body longer than is read ahead")]
 fn an_attempt_does_not_begin_for_a_client_that_left_behind_a_body_held_back(memory_mb: usize, length: usize) {
@@ -75,7 +75,7 @@
     assert!(!began.load(Ordering::Relaxed), "{counters:?}");
 }
 
-// A client leaves behind more than its node's kernel holds: its end lies behind that, unseen.
+// A client disconnects behind more data than the node's kernel holds, so that the node cannot see the end of the connection.
 #[test_case(200_000; "of which the rest comes late")]
 #[test_case(1_200_000; "of which the rest is not looked at")]
 fn an_attempt_does_not_begin_for_a_client_that_left_behind_much_unread(length: usize) {
@@ -93,8 +93,8 @@
     assert!(!began.load(Ordering::Relaxed), "{counters:?}");
 }
 
-// The connection is up, and behind it the client went, before a node that stood still saw either. The attempt is ready to
-// be written then, by a task that comes before the one which sees the client's end.
+// The server connection is established and then the client disconnects, before a stopped node sees either. The attempt is then
+// ready to be written by a task that runs before the one that sees the disconnect.
 #[test_case("pay", 0, Leaving::Closes; "closed")]
 #[test_case("read", 0, Leaving::ClosesBehindMore; "closed with bytes unread")]
 #[test_case("pay", 0, Leaving::EndsSendingBehindMore; "only its sending, with bytes unread")]
@@ -126,7 +126,7 @@
             });
         }
     });
-    // The kernel asks again after a second.
+    // The kernel retries the connection after a second.
     wait_for_table(&format!("{} {ESTABLISHED} ", in_table(address)), true);
     let _open = leave(client, "", b"", how);
     sleep(MAX_DELAY);
@@ -137,7 +137,7 @@
     assert!(received.lock().unwrap().iter().all(|length| *length == 0), "{received:?}");
 }
 
-/// Lets a node have a small share of a core as long as this is there: it runs for a moment and then stands still.
+/// Limits a node to a small share of a core while this exists: it alternately runs and is stopped.
 struct Throttled {
     stopped: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
@@ -168,15 +168,14 @@
     }
 }
 
-/// Serves every request at once, and notes for each since when at the earliest it can have been there: the kernel had
-/// nothing of it when it was asked before. A machine that is late widens that, and never makes an attempt look later
-/// than it was.
+/// Serves every request at once and records the earliest time at which each can have arrived: the last poll that found nothing
+/// of it. A late machine widens that interval, but never makes an attempt look later than it was.
 struct Arrivals {
     address: SocketAddr,
     earliest: Arc<Mutex<Vec<(String, Instant)>>>,
 }
 
-/// What the kernel was asked for last, and before.
+/// Times of the last polls, oldest first.
 type PollTimes = Rc<Cell<[Instant; 3]>>;
 
 impl Arrivals {
@@ -215,7 +214,8 @@
         poll_times: PollTimes,
         recorded: Arc<Mutex<Vec<(String, Instant)>>>,
     ) {
-        // Nothing had come by then: of the first request the connection's own coming tells little, it may be written far later.
+        // Nothing had arrived by then. The time of the connection says little about the first request, which may be written
+        // much later.
         let is_empty = SockRef::from(&stream).peek(&mut [MaybeUninit::uninit()]).is_err();
         let mut empty = if is_empty { Instant::now() } else { poll_times.get()[0] };
         let mut head = String::new();
@@ -229,20 +229,21 @@
                 recorded.lock().unwrap().push((id.to_string(), empty.max(poll_times.get()[0])));
                 head.clear();
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
-                // The next one can't have come before the answer to this one has left_at.
+                // The next request cannot arrive before this answer was sent.
                 empty = Instant::now();
             }
         }
     }
 }
 
-/// Sends requests that are held, and leaves in the moment in which the list lets them go. What came to the server counts by how
-/// long after its client had gone it was sent at the least: no lateness of this machine adds to that.
+/// Sends requests that are held, and disconnects while the list that releases them arrives. For each request that reached the
+/// server, the test takes the smallest possible time between disconnect and sending, to which delays of the machine add
+/// nothing.
 fn leave_as_the_list_comes(clients: usize, throttled: bool) {
-    /// Between two that leave: the last goes while the first ones' requests are under way.
+    /// Interval between two disconnects: the last one happens while the first requests are being processed.
     const LEAVE_INTERVAL: Duration = Duration::from_millis(2);
     let server = Arrivals::start();
-    // Behind the first tier no window holds them back: all may go in one round.
+    // Beyond the first tier there is no admission window: all requests may go in one round.
     let mut config = config_without_cancels(&[]);
     config["settings"]["tier"] = json!(1);
     let node = Node::start(&config);
@@ -259,7 +260,7 @@
     let throttled = throttled.then(|| Throttled::start(&node));
     let mut left_at = BTreeMap::new();
     for (id, client) in held {
-        // A close would only take effect once no process that a neighbouring test is just starting has the socket as well.
+        // A close takes effect only when no process being started by a parallel test holds a copy of the socket.
         client.stream.shutdown(Shutdown::Both).unwrap();
         left_at.insert(id, Instant::now());
         sleep(LEAVE_INTERVAL);
@@ -275,8 +276,8 @@
     assert!(late.is_empty(), "{} of {} late, most {:?}", late.len(), requests.len(), late.iter().max());
 }
 
-// A thousand in three plays: each leaves in the moment in which its request may go, and what was begun for it later than that
-// counts. Most of the requests are let go in one round, and the last of them waits for all others.
+// A thousand clients in three runs: each disconnects when its request may go, and attempts begun later than the limit are
+// counted. Most requests are released in one round, so the last one waits for all others.
 #[test_case(false; "on a core")]
 #[test_case(true; "on a small share of one")]
 fn a_thousand_clients_that_leave_as_their_requests_may_go_have_none_begun_a_tenth_of_a_second_later(
@@ -285,16 +286,17 @@
     (0..3).for_each(|_| leave_as_the_list_comes(334, throttled));
 }
 
-/// A node that asks its servers what they hold before it draws one.
+/// A configuration in which servers are asked for their open requests before one is drawn.
 fn config_with_probes_before_draw(servers: &[SocketAddr]) -> Value {
     let mut config = super::without_cancels(&config(servers));
     config["settings"]["report"]["fields"] = json!(["outstanding"]);
     config
 }
 
-/// A request's servers are asked, and its client leaves; then they are answered, or the question ends by itself. Did it?
+/// Disconnects the client while its request's servers are probed; then the probe is answered or times out. Returns whether it
+/// was answered.
 fn leave_while_servers_are_asked(answered: bool) -> Result<bool, String> {
-    /// For the kernel to tell the node's end of it. The table of connections would be read for longer than a question lasts.
+    /// Time for the kernel to inform the node's end. Reading the connection table would take longer than a probe lasts.
     const KNOWN: Duration = Duration::from_millis(20);
     let server = Server::start(Behavior::HoldProbes);
     let node = Node::start(&config_with_probes_before_draw(&[server.address]));
@@ -318,8 +320,8 @@
     }
 }
 
-// While servers are asked before a draw: the answers come behind the leaving, or never. On a machine so late that the
-// question was over before its answer the play was the other one, and is played again.
+// The client disconnects while servers are probed before a draw; the answers come afterwards, or never. If the machine is so
+// late that the probe timed out before its answer, the run is repeated.
 #[test_case(true; "answered")]
 #[test_case(false; "silent to its end")]
 fn a_request_whose_servers_are_asked_ends_with_its_client(answered: bool) {
@@ -334,7 +336,7 @@
     });
 }
 
-// The same with the client there: a question that is silent to its end holds its request up, and no more than that.
+// With the client still connected, an unanswered probe delays the request until it times out, and no longer.
 #[test]
 fn a_request_whose_servers_are_silent_when_asked_goes_all_the_same() {
     let server = Server::start(Behavior::HoldProbes);
--- a/crates/pearfront-node/tests/endings/review.rs
+++ b/crates/pearfront-node/tests/endings/review.rs
@@ -1,4 +1,5 @@
-//! What a review of the whole way of a request found, by one who had not seen the earlier ones.
+//! Regression tests for faults found in a review of the whole path of a request: pipelined requests, body limits and early
+//! answers.
 
 use super::deadline::{End, all_within, answered_within, on_one_connection, takes_nothing, takes_slowly};
 use super::stalled_connections::{answered_or_reset_within, short_behind_a_body};
@@ -11,12 +12,13 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// How long the client of the short requests here waits, and how much later an answer is lost.
+/// Time that the client of a short request waits, and how much later an answer counts as lost.
 const TIME: Duration = Duration::from_millis(600);
 const LOST_AFTER: Duration = Duration::from_millis(500);
 const MB: usize = 1_000_000;
 
-// A body of which more has come than is read ahead: what lies behind it is in the node's kernel all the same, and is due.
+// More of a body has arrived than is read ahead: a request behind it is in the node's kernel and must still be answered in
+// time.
 #[test_case(2 * MB, false; "without a server")]
 #[test_case(5 * MB, true; "with a server that hangs")]
 fn a_short_request_behind_a_body_longer_than_is_read_ahead_is_answered_in_time(length: usize, hangs: bool) {
@@ -29,7 +31,7 @@
     });
 }
 
-// The same where others' bodies, or a small limit, leave no room to read ahead.
+// The same when other bodies or a small limit leave no room to read ahead.
 #[test]
 fn a_short_request_behind_a_body_without_room_to_read_ahead_is_answered_in_time() {
     in_time(|| {
@@ -39,7 +41,7 @@
     });
 }
 
-// A short request that lies further behind one in work than the node looks.
+// A short request lies further behind an open one than the node looks ahead.
 #[test]
 fn a_short_request_behind_more_than_is_looked_at_is_answered_or_shut_unread_in_time() {
     const LENGTH: usize = 300_000;
@@ -82,7 +84,7 @@
     address
 }
 
-// More than is looked at lies behind a request, and no request behind that: each of the two has its own time.
+// More data than is looked at lies behind a request, but no further request: each of the two has its own deadline.
 #[test]
 fn a_large_body_behind_a_request_has_its_whole_time() {
     const LENGTH: usize = 1_200_000;
@@ -96,7 +98,7 @@
     });
 }
 
-// Many small requests at once, more than the node's kernel holds: none is refused for what can't be seen for a moment.
+// Many small requests at once, more than the node's kernel holds: none may be refused because it is not visible for a moment.
 #[test_case(800; "more than the kernel surely holds")]
 #[test_case(1500; "more than it does")]
 #[test_case(3000; "more than is looked at")]
@@ -112,7 +114,7 @@
     });
 }
 
-/// What the node's memory grows by, KiB, while so many clients do this and it has no server for their bodies.
+/// Growth of the node's peak memory, KiB, while this many clients behave like this and no server reads their bodies.
 fn grown_by(clients: usize, behavior: impl Fn(TcpStream) + Sync) -> usize {
     let node = Node::start(&config(&[]));
     let before = node.peak_memory();
@@ -125,10 +127,10 @@
     node.peak_memory() - before
 }
 
-// What is read ahead of a server counts as much as it takes, however small the pieces are in which it comes.
+// Read-ahead data must count with the memory that it occupies, however small the pieces are.
 #[test]
 fn a_body_in_tiny_chunks_takes_no_more_memory_than_is_counted() {
-    // A fifth of half of what 192 MB leave to bodies, and buffers.
+    // A fifth of half of what 192 MB leave for bodies, plus buffers.
     const MOST_KB: usize = 192 * 1024 * 3 / 10 / 2 / 5 + 1024;
     let grown = grown_by(1, |mut stream| {
         let chunked = head("pay", "60", 0).replace("Content-Length: 0", "Transfer-Encoding: chunked");
@@ -140,7 +142,7 @@
     assert!(grown < MOST_KB, "{grown} KiB");
 }
 
-// A piece of a few bytes kept the whole buffer of 8 KiB into which it was read.
+// A piece of a few bytes used to keep the whole 8 KiB buffer into which it was read.
 #[test]
 fn a_body_in_small_segments_takes_no_more_memory_than_is_counted() {
     const CLIENTS: usize = 4;
@@ -156,7 +158,7 @@
     assert!(grown < CLIENTS * EACH_KB, "{grown} KiB");
 }
 
-/// A server that gives so much of a large answer once it has the head, and the rest once it has the whole body.
+/// A server that sends the first part of a large answer after the head, and the rest after the whole body.
 fn answers_early(length: usize, first: usize, answer: usize) -> SocketAddr {
     let address = Server::unused_address();
     let listener = TcpListener::bind(address).unwrap();
@@ -190,7 +192,8 @@
     address
 }
 
-// A server begins to answer before it has the whole body: its answer was cut, as the rest of the body was kept from it.
+// A server that answers before it has the whole body used to have its answer truncated, because the rest of the body was
+// withheld.
 #[test_case(100_000; "and goes on when it has it")]
 #[test_case(300_000; "and needs none of it")]
 fn a_large_answer_that_begins_before_its_body_has_come_is_whole(first: usize) {
@@ -202,7 +205,7 @@
         let body = vec![b'x'; LENGTH];
         client.send(&head("pay", "3", LENGTH), &body[..LENGTH / 2]);
         sleep(Duration::from_millis(300));
-        // Its answer is on the way.
+        // The answer has begun.
         let begun = client.take(1000).len();
         let _ = client.stream.write_all(&body[LENGTH / 2..]);
         let rest = client.take(ANSWER - 1000).len();
@@ -210,7 +213,8 @@
     });
 }
 
-// A body is whole in the moment in which its attempt begins: nobody told the attempt, which had no end of its own then.
+// A body that was completed at the moment its attempt began was not reported to the attempt, which then had no time-out of its
+// own.
 #[test]
 fn an_attempt_that_begins_with_the_end_of_its_body_ends_with_its_time() {
     const COUNT: usize = 40;
@@ -235,7 +239,7 @@
     });
 }
 
-// A server that takes a body slowly, and without a pause: it is not one that takes nothing.
+// A server that reads a body slowly but without a pause must not count as one that reads nothing.
 #[test_case(192; "with room to read ahead")]
 #[test_case(4; "with little room to read ahead")]
 fn a_body_that_is_taken_slowly_without_a_pause_is_not_given_up(memory_mb: usize) {
@@ -255,7 +259,7 @@
     assert!(all.is_empty() && end == End::Open, "{end:?} after {:?}: {all}", begun.elapsed());
 }
 
-// A body that lies in the kernel as long as it is taken, more of it than a kernel was believed to hold.
+// A long body waits in the kernel while it is read slowly; more of it than a kernel was assumed to hold.
 #[test]
 fn a_long_body_that_is_taken_too_slowly_has_its_answer_in_time() {
     const LENGTH: usize = 30 * MB;
@@ -271,7 +275,7 @@
     });
 }
 
-// A server resets in the middle of a body: the request behind it has its answer in time.
+// A server resets in the middle of a body: the request behind it must be answered in time.
 #[test]
 fn a_short_request_behind_a_body_whose_server_resets_is_answered_in_time() {
     in_time(|| {
@@ -287,7 +291,7 @@
     });
 }
 
-// What can't be used, with a body that is not kept whole: what lies behind it was read and dropped as the connection ended.
+// An invalid request with an unbuffered body: the request behind it used to be read and dropped when the connection ended.
 #[test]
 fn a_request_behind_a_large_body_that_is_refused_is_answered_or_shut_unread() {
     const LENGTH: usize = 200_000;
