--- a/crates/pearfront-node/tests/cluster.rs
+++ b/crates/pearfront-node/tests/cluster.rs
@@ -1,5 +1,5 @@
-//! Several node programs of one installation with the test cluster between them. What is waited for is an event; the
-//! judge reads what was done and what each told, by one clock. A play on a machine that was late is void and played again.
+//! Several node processes of one installation, connected by the test cluster. The tests wait for events; the judge compares
+//! faults and each node's view on one clock. Runs on a machine that was late are void and repeated.
 
 use pearfront_emulator::again::{PLAYS, Play, in_time};
 use pearfront_emulator::processes::judge::judge;
@@ -15,7 +15,7 @@
     trial::program(env!("CARGO_BIN_EXE_pearfront-node"), what, count, cluster)
 }
 
-/// Plays what `script` does to so many processes that agree, until the machine was in time for it.
+/// Runs `script` on this many processes that agree, until the machine was in time for it.
 fn played<F: Future<Output = Result<(), String>>>(
     what: &str,
     count: usize,
@@ -59,7 +59,7 @@
     });
 }
 
-// Silence without proof: streams stay open, as when a machine loses its power, and the process says nothing.
+// Silence without proof of an end: connections stay open, as after a power loss, and the process sends nothing.
 #[test]
 fn one_that_stands_still_is_silent_not_ended_and_finds_out_when_it_goes_on() {
     played("still", 5, false, async |test_cluster| {
@@ -68,11 +68,11 @@
             held(test_cluster, &all_but(5, 1), 1, "silent")
         })
         .await?;
-        // One dies meanwhile: it must not be brought back by what n1 believes.
+        // Another process dies meanwhile: n1's outdated view must not revive it.
         test_cluster.kill(4).await;
         event(&test_cluster, "n4 has ended", |test_cluster| held(test_cluster, &[0, 2, 3], 4, "ended"))
             .await?;
-        // What was sent to it meanwhile waits in its buffers, full by now.
+        // Messages sent to it meanwhile fill its buffers by now.
         wait(15_000.0).await;
         test_cluster.go_on(1);
         event(&test_cluster, "all agree again", TestCluster::agreed).await?;
@@ -177,7 +177,7 @@
     });
 }
 
-// Streams that stall while datagrams pass, the reverse, and streams that are reset: none is a death.
+// Streams that stall while datagrams pass, the reverse, and streams that are reset: none of these is a death.
 #[test]
 fn a_way_that_carries_half_of_what_it_should_costs_nobody_its_place() {
     played("stalled", 4, false, async |test_cluster| {
@@ -230,7 +230,7 @@
     });
 }
 
-// The address of one that is over goes to another: who had it must not come to life by that.
+// The address of an ended member goes to another one, which must not revive the old member.
 #[test]
 fn a_new_name_at_anothers_old_address_is_a_member_of_its_own() {
     played("address", 4, false, async |test_cluster| {
@@ -265,19 +265,19 @@
         if by.as_ref() != Some(&holder) {
             return Err(format!("told of {by:?}, not of {holder}"));
         }
-        // Its holder goes: then the name is free.
+        // Once its holder has ended, the name is free.
         test_cluster.kill(1).await;
         event(&test_cluster, "it takes part now", |test_cluster| {
             test_cluster.view(3).is_some_and(|view| view.sure)
         })
         .await?;
-        // It is another process's name that n3 has now: the judge's view of who runs is by lives.
+        // n3 now has another process's name; the judge identifies processes by their lives.
         event(&test_cluster, "the others see it", |test_cluster| held(test_cluster, &[0, 2], 1, "alive"))
             .await
     });
 }
 
-// Whoever is asked to join may be down: those that are up come together, and the others later.
+// Seeds may be down: the running processes join one another, and the others join later.
 #[test]
 fn processes_that_are_asked_first_may_be_down() {
     let program = program("seeds", 4, json!({}));
@@ -298,7 +298,7 @@
     drop(std::fs::remove_dir_all(&program.command.folder));
 }
 
-/// Seconds of the processor that a process has had.
+/// CPU time that a process has used, s.
 fn cpu_s(pid: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let after = stat.rsplit_once(')').map_or("", |(_, after)| after);
@@ -307,7 +307,7 @@
     ticks / rustix::param::clock_ticks_per_second() as f64
 }
 
-// Fifty thousand a second of what is no packet: the rest of the node must not pay for it.
+// Fifty thousand invalid datagrams a second must not take the CPU from the rest of the node.
 #[test]
 fn a_flood_costs_a_bounded_part_of_the_processor_and_nobody_its_place() {
     const FLOOD: Duration = Duration::from_secs(4);
@@ -320,7 +320,7 @@
                 let wanted = start.elapsed().as_micros() as u64 / 20;
                 while sent < wanted {
                     sent += 1;
-                    // With the mark of a packet, every other one.
+                    // Every other one starts with a packet's magic bytes.
                     let garbage =
                         [if sent.is_multiple_of(2) { b'p' } else { 0 }, b'm', 1, 2, 3, 4, 5, 6, 7, 8];
                     let _ = socket.send_to(&garbage, at);
@@ -342,7 +342,7 @@
     });
 }
 
-/// Sockets and threads of a node whose file has this beside the usual.
+/// Numbers of sockets and threads of a node with this addition to its configuration.
 fn held_open(what: &str, cluster: Option<Value>) -> (usize, usize) {
     let mut file: Value = serde_json::from_str(include_str!("../../../deploy/example.json")).unwrap();
     let free = || std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
@@ -368,7 +368,7 @@
     let is_listening = |entry: &std::fs::DirEntry| {
         std::fs::read_link(entry.path()).is_ok_and(|link| link.to_string_lossy().starts_with("socket:"))
     };
-    // The connection that looked whether it is up may still be open: only those that were there before it count.
+    // The connection of the readiness check may still be open: only sockets that existed before it count.
     let mut sockets = usize::MAX;
     for _ in 0..20 {
         sockets = sockets.min(entries("fd").filter(is_listening).count());
@@ -388,7 +388,7 @@
     assert_eq!((with - without, threads, threads_with), (2, 1, 1), "{without} sockets without");
 }
 
-// The judge has to fail a program that buries after a moment, or it says nothing of the others.
+// Cross-check: the judge must fail a program that declares members dead too early, or its passes mean nothing.
 #[test]
 fn the_judge_finds_processes_that_bury_after_a_moment() {
     let hasty = program("hasty", 4, json!({"times": {"suspicion_ms": 250.0}}));
@@ -397,10 +397,10 @@
         run(async {
             let test_cluster = TestCluster::new(hasty.clone(), 1)?;
             test_cluster.start_all().await?;
-            // One that is stopped before it was taken in is buried by nobody.
+            // A process that is stopped before it has joined is not declared dead by anyone.
             event(&test_cluster, "all come together", TestCluster::agreed).await?;
             test_cluster.stop(1);
-            // Within what must be borne, or the judge excuses it.
+            // Within the time that must be tolerated, or the judge excuses it.
             let silent = |test_cluster: &TestCluster| (0..4).any(|at| held(test_cluster, &[at], 1, "silent"));
             let buried = test_cluster.until(Duration::from_secs(2), silent).await;
             test_cluster.go_on(1);
--- a/crates/pearfront-node/tests/duties.rs
+++ b/crates/pearfront-node/tests/duties.rs
@@ -1,6 +1,6 @@
-//! Duties among real processes: three of five or seven decide, and those who hold something act at one place, which keeps
-//! the order in which acts came. It refuses an act under an old token, and only acts that were made late on purpose may be
-//! refused: any other is one of two that held the duty at one instant.
+//! Duties among real processes with three voters. Holders act at one receiver, which checks the order of acts and refuses those
+//! under an old token. Only acts delayed on purpose may be refused: any other refusal means that two processes held the duty at
+//! once.
 
 use pearfront_emulator::processes::holders::{Act, Holder, Receiver};
 use pearfront_emulator::processes::test_cluster::{call, call_with, wait};
@@ -16,10 +16,10 @@
 
 type Place = Rc<RefCell<Receiver>>;
 
-/// So many nodes drain at once, and how long one may be away, ms.
+/// How long a node with a drain permit may be away, ms.
 const AWAY: f64 = 3000.0;
 
-/// Plays a script, and what came to the receiver must be in order; so many acts may be refused.
+/// Runs a script; acts must reach the receiver in order, and exactly `refused` of them are refused.
 fn played<F: Future<Output = Result<(), String>>>(
     what: &str,
     count: usize,
@@ -56,7 +56,7 @@
     event(test_cluster, &format!("n{who} acts"), |_| last(place).0 == who).await
 }
 
-/// Another than that one acts from now on; how long it took, ms.
+/// Waits until another process acts; returns how long nobody acted, ms.
 async fn another(test_cluster: &Rc<TestCluster>, place: &Place, who: usize) -> Result<f64, String> {
     let since = test_cluster.now();
     event(test_cluster, &format!("another than n{who} acts"), |_| {
@@ -91,7 +91,7 @@
         let first = Holder::start(&test_cluster, DUTY, 3, &place, true);
         acts(&test_cluster, &place, 3).await?;
         let second = Holder::start(&test_cluster, DUTY, 4, &place, true);
-        // It waits, and the one that has it goes on.
+        // The second one waits, and the holder continues.
         wait(2.0 * LEASE).await;
         if last(&place).0 != 3 {
             return Err("the second did not wait".into());
@@ -99,12 +99,12 @@
         first.give_up().await;
         let took = another(&test_cluster, &place, 3).await?;
         second.end();
-        // Nothing is waited for but the word itself.
+        // The hand-over waits for nothing but the release itself.
         if took < LEASE / 2.0 { Ok(()) } else { Err(format!("{took:.0} ms after the word")) }
     });
 }
 
-/// Takes the duty and gives it up, again and again, until it has changed hands so often.
+/// Takes and releases the duty repeatedly until it has changed hands this often.
 async fn contends(test_cluster: Rc<TestCluster>, who: usize, place: Place, turns: usize) {
     let (hold, over) =
         (format!("/_duties/{DUTY}/hold?client=c"), format!("/_duties/{DUTY}/give-up?client=c"));
@@ -131,13 +131,14 @@
         let turns = &place.borrow().turns;
         let shares = (0..5).map(|who| turns.iter().filter(|act| act.who == who).count());
         let shares: Vec<usize> = shares.collect();
-        // By name alone two of them would have all but a few turns.
+        // If the order of names decided, two of them would get almost all turns.
         let fair = shares.iter().all(|share| 10 * share >= turns.len());
         if fair { Ok(()) } else { Err(format!("turns of each: {shares:?}")) }
     });
 }
 
-// It looks, stands still for longer than its lease, and acts: the clock can't tell, the token does.
+// A holder checks its lease, is stopped for longer than the lease, and then acts: its clock cannot prevent that, the token
+// does.
 #[test]
 fn an_act_that_comes_after_the_lease_is_refused_by_its_token() {
     played("late", 5, 1, async |test_cluster, place| {
@@ -145,7 +146,7 @@
         acts(&test_cluster, &place, 3).await?;
         let second = Holder::start(&test_cluster, DUTY, 4, &place, true);
         first.be_late(3.0 * LEASE);
-        // It says nothing meanwhile either: its node stands still with it.
+        // Its node is stopped as well, so that it renews nothing.
         wait(20.0).await;
         test_cluster.stop(3);
         another(&test_cluster, &place, 3).await?;
@@ -156,7 +157,7 @@
     });
 }
 
-// Its node can't say anything, and nobody can say anything to it: it stops by itself before another begins.
+// The holder's node can neither send nor receive: the holder must stop by itself before the next one begins.
 #[test]
 fn a_holder_whose_node_stands_still_or_is_cut_off_stops_before_the_next_one_begins() {
     played("still", 5, 0, async |test_cluster, place| {
@@ -207,7 +208,7 @@
             event(&test_cluster, "all agree again", TestCluster::agreed).await?;
         }
         event(&test_cluster, "somebody acts", |_| test_cluster.now() - last(&place).1 < 100.0).await?;
-        // With a new leader a word is still one round.
+        // With a new leader, a release still takes one round.
         let who = last(&place).0;
         holders[who - 3].give_up().await;
         another(&test_cluster, &place, who).await?;
@@ -236,7 +237,7 @@
         }
         let holder = Holder::start(&test_cluster, DUTY, 3, &place, true);
         event(&test_cluster, "it acts after the end of all", |_| place.borrow().turns.len() == 3).await?;
-        // One voter after another forgets, and has to catch up before the next one does.
+        // One voter after another loses its state, and must catch up before the next one does.
         for (who, with) in [(0, Start::Older), (1, Start::Empty)] {
             test_cluster.kill(who).await;
             test_cluster.start(who, with).await?;
@@ -272,14 +273,14 @@
         {
             return Err(format!("started: {up:?}; {log}"));
         }
-        // Operators give it an empty one.
+        // Operators give it an empty folder.
         test_cluster.kill(1).await;
         test_cluster.start(1, Start::Empty).await?;
         event(&test_cluster, "all agree again", TestCluster::agreed).await
     });
 }
 
-// Two of three voters are lost with all they had: what the third has becomes the beginning of all.
+// Two of three voters lose their data for good: the third one's state becomes the start of all.
 #[test]
 fn a_majority_that_is_lost_for_good_has_a_way_back_and_no_token_is_given_again() {
     played("lost", 4, 0, async |test_cluster, place| {
@@ -320,7 +321,7 @@
     call(test_cluster.operators(who), "GET", "/_ready").await.is_some()
 }
 
-/// The first of these that is let drain, each asked in turn until one is.
+/// Asks these nodes in turn until one may drain; returns it.
 async fn one_drains(test_cluster: &TestCluster, of: &[usize]) -> Result<usize, String> {
     for round in 0..600 {
         let who = of[round % of.len()];
@@ -342,14 +343,14 @@
                 return Err(format!("n{who} drains beside n{first}"));
             }
         }
-        // By force it goes without.
+        // With force it drains without a permit.
         let forced = others(first)[0];
         let force = "X-Force: yes\r\n";
         call_with(test_cluster.operators(forced), "PUT", "/_lameduck/on", force)
             .await
             .ok_or("force was refused")?;
         call(test_cluster.operators(forced), "PUT", "/_lameduck/off").await.ok_or("it stays away")?;
-        // Cut off, it can't know who is away: before another may go it is back.
+        // A node that is cut off cannot know who else drains: it must be back before another one may drain.
         let rest = others(first);
         test_cluster.cut(&[first], &rest);
         test_cluster.cut(&rest, &[first]);
@@ -359,7 +360,7 @@
         }
         test_cluster.heal();
         event(&test_cluster, "all agree again", TestCluster::agreed).await?;
-        // Back by word, the next may go at once; ended, it is away for as long as a restart may take.
+        // After an explicit return the next one may drain at once; after a kill only when the restart time has passed.
         call(test_cluster.operators(second), "PUT", "/_lameduck/off").await.ok_or("it stays away")?;
         let third = one_drains(&test_cluster, &others(second)).await?;
         test_cluster.kill(third).await;
@@ -371,7 +372,7 @@
     });
 }
 
-// The receiver has to find a holder that does not look at its clock, or it says nothing of the others.
+// Cross-check: the receiver must detect a holder that ignores its clock, or its passes mean nothing.
 #[test]
 fn a_holder_that_never_looks_is_found() {
     let found = std::panic::catch_unwind(|| {
--- a/crates/pearfront-node/tests/endings/deadline.rs
+++ b/crates/pearfront-node/tests/endings/deadline.rs
@@ -1,4 +1,5 @@
-//! A request's time counts from its last byte, and its answer is due by its end, whatever it waits for meanwhile.
+//! A request's deadline counts from its last byte, and its answer is due by then, whatever the request waits for. Helpers here
+//! are also used by the neighbouring modules.
 
 use crate::stand_ins::{Behavior, Client, Node, Server, config, head, in_time, list};
 use serde_json::json;
@@ -8,15 +9,16 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// How long the clients here wait, and how much later an answer is lost.
+/// Time that the clients wait, and how much later an answer counts as lost.
 const TIME: Duration = Duration::from_millis(600);
 const LOST_AFTER: Duration = Duration::from_millis(500);
-/// More than is kept whole of a body or an answer.
+/// Larger than what is buffered of a body or an answer, bytes.
 const LARGE: usize = 300_000;
-/// More than the kernels keep between a node and a server that reads nothing, and less than with those before the node.
+/// More than the kernels hold between a node and a server that reads nothing, and less than together with those before the
+/// node.
 const HUGE: usize = 6 * 1024 * 1024;
 
-/// How a connection stands.
+/// State of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
     Open,
@@ -24,7 +26,7 @@
     Reset,
 }
 
-/// Waits for the end of what comes, at the most for so long; what came, and whether it ended.
+/// Reads until the connection ends or this time has passed; returns the bytes and the connection's state.
 pub fn all_within(stream: &TcpStream, time: Duration) -> (Vec<u8>, End) {
     let (until, mut all, mut chunk) = (Instant::now() + time, Vec::new(), vec![0; 64 * 1024]);
     while let left = until.saturating_duration_since(Instant::now())
@@ -41,7 +43,7 @@
     (all, End::Open)
 }
 
-/// Are there so many answers by then?
+/// Checks that this many answers arrive within this time.
 pub fn answered_within(stream: &TcpStream, count: usize, time: Duration) -> Result<(), String> {
     let answers = |bytes: &[u8]| String::from_utf8_lossy(bytes).matches("HTTP/1.1 ").count();
     let begun = Instant::now();
@@ -67,7 +69,7 @@
     assert_eq!((counters["answers_late"], counters["answers_never"]), (0, 0), "{counters:?}");
 }
 
-/// Sends a node what comes on one connection; then that has to hold, and no request may be late or without its answer.
+/// Sends data on one connection and runs a check on it; no request may be late or unanswered.
 pub fn on_one_connection(
     node: Node,
     send: impl FnOnce(&mut Client),
@@ -80,7 +82,7 @@
     Ok(())
 }
 
-/// A machine whose kernel takes the beginning of what is sent; nobody ever reads it.
+/// A server whose kernel buffers the first bytes, which nobody reads.
 pub fn takes_nothing() -> (SocketAddr, TcpListener) {
     let address = Server::unused_address();
     let listener = TcpListener::bind(address).unwrap();
@@ -88,7 +90,7 @@
     (address, listener)
 }
 
-/// A server that reads so much at a time, with a pause, and never answers.
+/// A server that reads a chunk at a time, with a pause, and never answers.
 pub fn takes_slowly(pause: Duration) -> SocketAddr {
     let (address, listener) = takes_nothing();
     std::thread::spawn(move || {
@@ -104,7 +106,7 @@
     address
 }
 
-/// A server whose answers begin with the head and so many bytes, and go on with a byte after each pause, `drips` times.
+/// A server whose answers start with the head and `first` bytes, followed by one byte after each pause, `drips` times.
 pub fn drips(head: String, first: usize, pause: Duration, drips: usize) -> SocketAddr {
     let (address, listener) = takes_nothing();
     std::thread::spawn(move || {
@@ -134,7 +136,7 @@
     [head.as_bytes(), format!("{:x}\r\n", body.len()).as_bytes(), body, b"\r\n0\r\n\r\n"].concat()
 }
 
-// A body that is not kept whole lies in the kernel to its last byte, and no server takes it: its client waits all the same.
+// An unbuffered body waits in the kernel and no server reads it: its client must still be answered in time.
 #[test_case(false, false; "by no server")]
 #[test_case(true, false; "by a server that hangs")]
 #[test_case(true, true; "by a server that hangs, in chunks")]
@@ -154,7 +156,7 @@
     });
 }
 
-// A body that never ends, whose request has its answer, does not hold its connection for ever.
+// A body that never ends must not hold its connection forever once its request has been answered.
 #[test]
 fn a_body_that_goes_on_behind_its_answer_is_cut_off() {
     const MOST: Duration = Duration::from_secs(12);
@@ -170,7 +172,7 @@
     node.end();
 }
 
-// The same with a server that goes on taking, and is not done by then.
+// The same with a server that keeps reading but does not finish by the deadline.
 #[test]
 fn a_body_that_is_taken_too_slowly_has_its_answer_in_time() {
     in_time(|| {
@@ -183,7 +185,7 @@
     });
 }
 
-// A client that brings its body slowly has its whole time from its last byte on.
+// If a client sends its body slowly, the full deadline counts from the last byte.
 #[test_case(10, 150; "in small pieces")]
 #[test_case(3, 900; "in pieces further apart than its time is long")]
 fn a_body_that_comes_slowly_has_its_time_from_its_last_byte_on(count: usize, pause: u64) {
@@ -207,7 +209,7 @@
     });
 }
 
-// An answer that stops in its middle ends with its client's time, and does not look whole.
+// An answer that stops midway ends at its client's deadline and must not look complete.
 #[test_case("Content-Length: 300000\r\n\r\n", 1.0; "with a length")]
 #[test_case("Transfer-Encoding: chunked\r\n\r\n493e0\r\n", 1.0; "in chunks")]
 #[test_case("Connection: close\r\n\r\n", 1.0; "without a length")]
@@ -230,7 +232,7 @@
     });
 }
 
-// What a server still gives is not cut off, however late it is.
+// An answer that a server is still sending is not cut off, however late it is.
 #[test_case(Duration::from_millis(50), 40; "fast")]
 #[test_case(Duration::from_millis(250), 12; "slowly")]
 fn an_answer_that_its_server_still_gives_goes_on_behind_its_time(pause: Duration, count: usize) {
@@ -247,7 +249,7 @@
     });
 }
 
-// A client that reads slowly holds its server back: neither ends its answer.
+// A client that reads slowly applies back-pressure to its server: neither may end the answer.
 #[test]
 fn an_answer_whose_client_reads_slowly_goes_on_behind_its_time() {
     const LENGTH: usize = 16 * 1024 * 1024;
@@ -263,7 +265,7 @@
     over(node);
 }
 
-// Requests that come behind one another without a wait have come with their last byte, not when their turn is.
+// The deadline of a pipelined request counts from its last byte, not from when its turn comes.
 #[test_case(Duration::ZERO; "in one write")]
 #[test_case(Duration::from_millis(20); "in a write each")]
 fn requests_behind_one_another_count_their_time_from_their_last_byte(pause: Duration) {
@@ -286,7 +288,7 @@
     });
 }
 
-// One that waits longer stands before others that are due: answers come in order, so it has to make way for them.
+// Answers come in order, so a request with a later deadline must end early for pipelined requests that are due before it.
 #[test_case(false; "in one write")]
 #[test_case(true; "that come later")]
 fn a_request_makes_way_for_those_behind_it_that_are_due_before(later: bool) {
@@ -308,7 +310,7 @@
     });
 }
 
-// The same with a body that is longer than what is read ahead: its answer came 2.4 s late, behind that of the one before it.
+// The same with a body longer than the read-ahead: its answer came 2.4 s late, after that of the request before it.
 #[test]
 fn a_request_makes_way_for_one_with_a_body_that_is_due_before() {
     const LENGTH: usize = 50_000;
@@ -323,7 +325,7 @@
     });
 }
 
-// A client stops in the middle of a body that its server takes slowly: it is owed an error within 3 s of its last byte.
+// A client stops in the middle of a body that its server reads slowly: it must get an error within 3 s of its last byte.
 #[test]
 fn a_body_that_stops_while_it_is_taken_slowly_is_given_up_in_time() {
     const OWED: Duration = Duration::from_secs(3);
@@ -337,7 +339,8 @@
     });
 }
 
-// Told to end, a node answers all that it has read, and says only with the last answer that the connection ends.
+// During shutdown, a node answers all requests that it has read, and announces the end of the connection only with the last
+// answer.
 #[test_case(0, ""; "at once")]
 #[test_case(300, ""; "while they wait")]
 #[test_case(300, "GET /read/it HTTP/1.1\r\nX-Tra"; "while they wait, with half a head behind them")]
@@ -361,7 +364,7 @@
     }
 }
 
-// A client that never stops sending is let go all the same, and each request that was read has its answer.
+// A client that keeps sending is disconnected all the same, and each request that was read is answered.
 #[test_case("-TERM"; "to end")]
 #[test_case("PUT /_lameduck/on"; "to drain")]
 fn a_client_that_sends_without_a_pause_is_let_go(told: &str) {
@@ -395,7 +398,7 @@
     assert_eq!((counters["answers_late"], counters["answers_never"]), (0, 0), "{counters:?}");
 }
 
-// Stopped while it ends, and beyond its last moment, a node still answers what it has read.
+// A node that is stopped during shutdown, past its last deadline, still answers what it has read.
 #[test]
 fn what_was_read_is_answered_although_the_process_stood_still_at_its_end() {
     let server = Server::start(Behavior::NoAnswer);
@@ -413,15 +416,15 @@
     over_by_itself(node);
 }
 
-/// A node that may have only some dozen connections.
+/// A node limited to a few dozen connections.
 fn small(server: SocketAddr) -> Node {
     let mut config = config(&[server]);
     config["limits"]["sockets"] = json!(64);
     Node::start(&config)
 }
 
-// Where clients hold all descriptors, with requests that hang or with half a head each, a request that comes on one more
-// connection is answered in its time, or its connection is shut unread.
+// While clients hold all descriptors, with requests that hang or with half a head each, a request on one more connection is
+// answered in time, or its connection is reset unread.
 #[test_case(0; "whole requests")]
 #[test_case(1; "half heads")]
 #[test_case(2; "whole and half")]
@@ -436,7 +439,7 @@
                 let mut client = node.client();
                 let is_half = kind == 1 || kind == 2 && at % 2 == 0;
                 let sent = if is_half { half.to_string() } else { head("read", "3", 0) };
-                // One that is shut unread has no answer.
+                // A connection that is reset unread has no answer.
                 let _ = client.stream.write_all(sent.as_bytes());
                 client
             })
@@ -452,8 +455,8 @@
     });
 }
 
-// What a body brought while the process stood still came then, and goes to no server once its time is over; what it brings
-// later has its whole time.
+// Body data that arrived while the process was stopped counts from its arrival and goes to no server after the deadline; data
+// that arrives later has its full time.
 #[test_case(true; "all of it")]
 #[test_case(false; "half of it")]
 fn a_body_that_comes_while_the_process_stands_still_has_its_time_from_then_on(all: bool) {
@@ -481,7 +484,7 @@
     });
 }
 
-// The log goes to a pipe that nobody reads: no request waits for that.
+// The log goes to a pipe that nobody reads: no request may wait for it.
 #[test]
 fn a_log_that_nobody_reads_holds_nothing_up() {
     const MORE_THAN_A_PIPE_TAKES: usize = 300;
@@ -491,15 +494,15 @@
         node.signal("-USR1");
         sleep(Duration::from_millis(3));
     }
-    // Opened before that, it would be closed on a busy machine: a client has 2.2 s for its first head.
+    // Opened earlier, the connection might be closed on a busy machine: a client has 2.2 s to send its first head.
     let mut client = node.client();
     assert_eq!(client.ask(&head("read", "5", 0), b"").status(), 200);
-    // Read again, it says what is missing.
+    // Once it is read again, the log reports what is missing.
     node.signal("-TERM");
     assert!(node.log().contains(" lines were not taken, and are left out"));
 }
 
-// A request that waits for a server that rests, and then for any at all: the module has no wake for it any more.
+// A request waits for an ejected server, and then for any server at all: the decision module has no timer for it any more.
 #[test]
 fn a_held_request_whose_servers_all_leave_is_answered_before_its_time_is_over() {
     const LONG: Duration = Duration::from_millis(1500);
@@ -513,7 +516,7 @@
         server.wait_for("request 1");
         node.discovery.publish(3, list(3, true, &[]));
         answered_within(&client.stream, 1, LONG)?;
-        // By the module, not by whoever ends what it has forgotten.
+        // Answered by the decision module, not by the fallback that ends forgotten requests.
         let counters = node.end();
         if counters["expired"] > 0 { Err(format!("{counters:?}")) } else { Ok(()) }
     });
--- a/crates/pearfront-node/tests/endings/stalled_connections.rs
+++ b/crates/pearfront-node/tests/endings/stalled_connections.rs
@@ -1,5 +1,4 @@
-//! Waits that nobody ended, and answers that were cut off: what a review of the way of a request through a client's connection
-//! found.
+//! Regression tests for waits that never ended and answers that were truncated on a client's connection.
 
 use super::deadline::{End, all_within, answered_within, on_one_connection, over};
 use crate::stand_ins::{
@@ -13,11 +12,11 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// How long the client of the short requests here waits, and how much later an answer is lost.
+/// Time that the client of a short request waits, and how much later an answer counts as lost.
 const TIME: Duration = Duration::from_millis(600);
 const LOST_AFTER: Duration = Duration::from_millis(500);
 
-/// By then, are there so many answers, or was the connection reset over what lay unread?
+/// Checks that within this time there are this many answers, or the connection was reset with unread requests.
 pub fn answered_or_reset_within(stream: &TcpStream, count: usize, time: Duration) -> Result<(), String> {
     let begun = Instant::now();
     let mut all = Vec::new();
@@ -33,7 +32,7 @@
     Err(format!("{answers} of {count} answers after {time:?}, and the connection stands"))
 }
 
-// A short request that lies further behind than the node looks: the one before it kept its whole time.
+// A short request further behind than the node looks ahead: the request before it used to keep its full time.
 #[test_case(50_000, 1; "behind a long body")]
 #[test_case(0, 150; "behind many heads")]
 fn a_short_request_far_behind_a_long_one_is_answered_or_shut_unread_in_its_time(length: usize, count: usize) {
@@ -53,7 +52,7 @@
     });
 }
 
-/// Sends a request that waits for 3 s with a body of which its server takes nothing, and a short one behind it.
+/// Sends a request of 3 s with a body that its server does not read, and a short one behind it.
 pub fn short_behind_a_body(node: Node, length: usize) -> Result<(), String> {
     on_one_connection(
         node,
@@ -65,15 +64,15 @@
     )
 }
 
-// The same behind a body that no server takes: while it is read nothing is looked at behind it.
+// The same behind a body that no server reads: while it is read, nothing behind it is examined.
 #[test]
 fn a_short_request_behind_a_body_that_is_not_taken_is_answered_or_shut_unread_in_its_time() {
     const LENGTH: usize = 300_000;
     in_time(|| short_behind_a_body(Node::start(&config(&[])), LENGTH));
 }
 
-// A line end behind the last request, as some clients send it: the connection is closed over it, and the reset takes away what
-// the client has not read of its answer.
+// Some clients send a line end after the last request. Closing with it unread causes a reset, which discards what the client
+// has not read of its answer.
 #[test_case(""; "with nothing behind it")]
 #[test_case("\r\n"; "with a line end behind it")]
 fn the_last_answer_on_a_connection_comes_whole(behind: &str) {
@@ -89,7 +88,7 @@
     over(node);
 }
 
-// A line of which the node looked at the beginning only: it took the body to end elsewhere than hyper, and what hyper waited for
+// The node examined only the start of this line, and so determined another end of the body than hyper: what hyper waited for
 // was never read.
 #[test_case(0, 0; "short lines")]
 #[test_case(300, 0; "much white space before the coding")]
@@ -110,7 +109,8 @@
     });
 }
 
-// The same with a length that the node did not find: it took all that came behind for that body, and the requests there had no time.
+// The same with a length that the node did not find: it took everything that followed for the body, and the requests in it had
+// no deadline.
 #[test_case(0; "little")]
 #[test_case(300; "much")]
 fn white_space_before_a_length_hides_no_request_behind_the_body(spaces: usize) {
@@ -127,7 +127,7 @@
     });
 }
 
-// A request of a time that is over already, behind one that waits long: it is due as much as one of no time.
+// A request whose deadline has already passed, behind a long one, is due at once, like one with no time left.
 #[test_case("0"; "none")]
 #[test_case("-0.1"; "less than none")]
 fn a_request_of_no_time_behind_a_long_one_is_answered_or_shut_unread_at_once(left: &str) {
@@ -141,7 +141,7 @@
     });
 }
 
-// A client stops in the middle of a body of which its server takes nothing: it is owed an error within 3 s of its last byte.
+// A client stops in the middle of a body that its server does not read: it must get an error within 3 s of its last byte.
 #[test]
 fn a_body_that_stops_while_its_server_takes_nothing_is_given_up_in_time() {
     const OWED: Duration = Duration::from_secs(3);
@@ -150,14 +150,14 @@
         let node = Node::start(&config(&[address]));
         let mut client = node.client();
         client.send(&head("pay", "6", 12 * 1024 * 1024), b"");
-        // Until the node has read all that it can pass on.
+        // Until the node has read all that it can forward.
         client.stream.set_write_timeout(Some(Duration::from_millis(300))).unwrap();
         while client.stream.write_all(&[b'x'; 16 * 1024]).is_ok() {}
         answered_within(&client.stream, 1, OWED)
     });
 }
 
-/// Bytes that the kernel holds of what the node has sent to this client.
+/// Bytes that the node has sent to this client and that its kernel still holds.
 fn sent_and_not_read(client: &TcpStream) -> u64 {
     let words = format!(
         "{} {} {ESTABLISHED} ",
@@ -169,18 +169,19 @@
     u64::from_str_radix(line.split(':').next().unwrap(), 16).unwrap()
 }
 
-// Told to drain, a node cut off a client that had read nothing for 0.2 s, with an answer in hand that the kernel had not taken.
+// A draining node used to cut off a client that had read nothing for 0.2 s, while it had an answer that the kernel had not
+// accepted.
 #[test]
 fn a_client_that_pauses_with_its_reading_in_a_drain_gets_its_answers_whole() {
     const LENGTH: usize = 60_000;
     const PAUSE: Duration = Duration::from_millis(2500);
-    // How often is looked, 50 ms apart, whether the kernel has taken an answer whole.
+    // Number of checks, 50 ms apart, whether the kernel has accepted a whole answer.
     const LOOKS: usize = 10;
     let server = Server::start(Behavior::Serve(vec![b'x'; LENGTH]));
     let node = Node::start_for_operators(config(&[server.address]));
     let mut client = node.client_with_buffer(16 * 1024);
     let (mut count, mut held, mut is_taken) = (0, 0, true);
-    // Until the kernel does not take an answer whole.
+    // Until the kernel does not accept a whole answer.
     while is_taken {
         client.send(&head("read", "60", 0), b"");
         count += 1;
@@ -189,7 +190,7 @@
         is_taken = (0..LOOKS).any(|_| {
             sleep(Duration::from_millis(50));
             held = sent_and_not_read(&client.stream);
-            // Of the first ones a part is with the client's kernel.
+            // Part of the first answers is already in the client's kernel.
             count <= 2 || held >= before + LENGTH as u64
         });
     }
@@ -200,8 +201,8 @@
     assert_eq!(whole, count);
 }
 
-// In a drain the last answer says that the connection ends; a request that crosses it is not read, and the reset over it took away
-// what the client had not read of that answer.
+// In a drain the last answer announces the end of the connection. A request that crosses it is not read, and the reset it
+// caused discarded what the client had not read of that answer.
 #[test_case(false; "with nothing behind it")]
 #[test_case(true; "with a request that crosses it")]
 fn the_last_answer_in_a_drain_comes_whole(crosses: bool) {
@@ -214,7 +215,7 @@
     assert_eq!(node.call("PUT /_lameduck/on"), 200);
     sleep(2 * TIME);
     server.release();
-    // Its head is on the way then.
+    // The answer's head has been sent by then.
     let first = String::from_utf8(client.take(100)).unwrap();
     assert!(first.contains("connection: close\r\n"), "{first}");
     if crosses {
@@ -225,8 +226,8 @@
     assert!(length >= LENGTH, "{length} bytes");
 }
 
-// A request whose body comes slowly, behind one that is being answered: it is due only from its last byte on, and the one before
-// it was ended as if that had come.
+// A request with a slow body behind one that is being answered is due only from its last byte on; the one before it used to be
+// ended as if that byte had arrived.
 #[test_case(5_000; "short")]
 #[test_case(50_000; "longer than what is looked at")]
 fn a_request_does_not_make_way_for_one_whose_body_is_still_coming(length: usize) {
@@ -249,8 +250,8 @@
     });
 }
 
-// Clients that ask for small answers again and again and read none: their next request is read and not begun to be answered, so
-// they count as busy, and nobody cuts them off. Others are let in once those that take nothing have been given up.
+// Clients that request small answers and read none: their next request is read but its answer is not begun, so they counted as
+// busy and were never cut off. Others must be accepted once the stalled ones are given up.
 #[test]
 fn clients_that_read_none_of_their_small_answers_do_not_keep_others_out() {
     const STALLED: Duration = Duration::from_secs(15 + 5);
@@ -262,7 +263,7 @@
     let crowd: Vec<TcpStream> = (0..24)
         .map(|_| {
             let mut stream = node.client_with_buffer(16 * 1024).stream;
-            // One that is shut unread has no answer.
+            // A connection that is reset unread has no answer.
             let _ = stream.write_all((0..EACH).map(|_| head("read", "60", 0)).collect::<String>().as_bytes());
             // Until no more of them are begun.
             loop {
@@ -290,7 +291,7 @@
     panic!("still kept out after {:?}: {last:?}", begun.elapsed());
 }
 
-// A process that ends leaves what comes to the one that follows it, also where that stands still: nobody accepts.
+// A process that ends leaves new connections to its successor, also if that one is stopped: then nobody accepts them.
 #[test_case(false; "and runs")]
 #[test_case(true; "and stands still")]
 fn what_comes_in_a_hand_over_is_answered_whatever_the_next_process_does(stands_still: bool) {
@@ -315,11 +316,11 @@
     });
 }
 
-/// An answer that is not kept whole, and a body of which the kernels hold a part only.
+/// An unbuffered answer, and a body of which the kernels hold only a part, bytes.
 const LARGE_ANSWER: usize = 100_000;
 const LARGE_BODY: usize = 24 * 1024 * 1024;
 
-/// A client's large request, of which a server reads the head alone; after that pause it answers whole. With both connections.
+/// A large request of which a server reads only the head, and answers completely after this pause. Returns both connections.
 fn answered_behind_its_head(pause: Duration) -> (Node, Client, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut config = config(&[listener.local_addr().unwrap()]);
@@ -339,8 +340,8 @@
     (node, client, server)
 }
 
-// A server that answers whole and reads no more of the request than its head: the node's connection to it ends, although nothing
-// moves on it any more.
+// A server answers completely and reads only the request's head: the node's connection to it must end although no data moves on
+// it any more.
 #[test]
 fn a_connection_whose_server_leaves_a_body_unread_ends_behind_the_answer() {
     const UNTIL_NOTHING_MOVES: Duration = Duration::from_secs(1);
@@ -360,7 +361,7 @@
     node.kill();
 }
 
-// A server begins a large answer before it has the whole body, and then reads that: the answer comes whole.
+// A server begins a large answer before it has the whole body, then reads the body: the answer must arrive complete.
 #[test]
 fn a_large_answer_that_begins_ahead_of_the_bodys_end_comes_whole() {
     let (node, mut client, mut server) = answered_behind_its_head(Duration::ZERO);
@@ -370,7 +371,7 @@
     let _ = reading.join().unwrap();
 }
 
-/// A client for which the node's kernel holds little of what is on its way, so that the node itself holds the rest.
+/// A client for which the node's kernel buffers little, so that the node itself holds the rest.
 fn client_with_small_buffer(node: &Node) -> TcpStream {
     const SEGMENT: u32 = 536;
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
@@ -380,8 +381,8 @@
     socket.into()
 }
 
-// Its server breaks off an answer whose client has not taken all before: the node counted it as a close over an open request.
-// Of several lengths some end where the kernel takes no more.
+// A server aborts an answer that its client has not fully read: the node counted that as closing a connection with an open
+// request. Of several lengths, some end where the kernel accepts no more.
 #[test]
 fn an_answer_that_its_server_breaks_off_counts_as_no_close_over_an_open_request() {
     const SHORTEST: usize = 68 * 1024;
@@ -399,7 +400,7 @@
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", length + 1);
         server.write_all(&[answer.as_bytes(), &vec![b'y'; length]].concat()).unwrap();
         drop(server);
-        // Slowly: the kernel takes no more most of the time.
+        // Read slowly, so that the kernel is full most of the time.
         while client.read(&mut [0; 1024]).is_ok_and(|count| count > 0) {
             sleep(Duration::from_millis(1));
         }
--- a/crates/pearfront-node/tests/rehearsal.rs
+++ b/crates/pearfront-node/tests/rehearsal.rs
@@ -1,5 +1,5 @@
-//! The node program in a short play on sockets, through silence, errors at once, a drain, a node killed and one told to
-//! end: the judge, who knows only what servers, callers and discovery saw, finds the rules kept.
+//! The node program in a short rehearsal on sockets, through silence, immediate errors, a drain, a killed node and a restart:
+//! the judge, which sees only what servers, clients and discovery recorded, must find the rules kept.
 
 use pearfront_emulator::again::{PLAYS, Play, in_time};
 use pearfront_emulator::judge::judge;
@@ -8,9 +8,9 @@
 use pearfront_emulator::sockets::{NodeCommand, play_until};
 use test_case::test_case;
 
-// Limits are long and slack is wide: the tests beside this one may take the machine for a while. The length is the end
-// of patience only. A cold server is drawn seldom beside three warm ones: with 67 calls a node in 4 s it had no attempt
-// in half of the plays, and the test failed by chance.
+// Deadlines are long and tolerances wide, since parallel tests may occupy the machine. The length is only an upper bound. A
+// cold server is rarely drawn beside three warm ones: with 67 calls a node in 4 s it had no attempt in half of the runs, and
+// the test failed by chance.
 const SCENARIO: &str = r#"
 name = "a short play"
 length_s = 60
@@ -110,12 +110,12 @@
     records.servers.iter().position(|life| life.id.ends_with('\''))
 }
 
-/// It is what the play waits for: the last thing that has to be seen.
+/// The last event that the run waits for.
 fn back_is_used(records: &Records) -> bool {
     back(records).is_some_and(|back| records.attempts.iter().any(|attempt| attempt.server == back))
 }
 
-// With the key `cluster` the same holds: who is there changes nothing of what is done with jobs.
+// With the key `cluster` the same must hold: membership does not change how requests are handled.
 #[test_case(false; "alone")]
 #[test_case(true; "knowing of one another")]
 fn the_node_keeps_the_rules_through_silence_errors_a_drain_and_restarts(cluster: bool) {
@@ -136,7 +136,7 @@
     });
     let (records, verdict) = played.unwrap();
     assert!(verdict.broken.is_empty(), "{:?}", verdict.broken);
-    // Each trouble was there to be met: errors were seen, a server drained, one came back under a new id and was used.
+    // Each fault took effect: errors were seen, a server drained, and one came back under a new id and was used.
     let ended =
         |how| records.attempts.iter().any(|attempt| attempt.ended.is_some_and(|(_, ended)| ended == how));
     assert!(ended(AttemptEnd::Error) && ended(AttemptEnd::Served));
@@ -144,7 +144,7 @@
     assert!(back(&records).is_some(), "one that came back");
     assert!(back_is_used(&records));
     let starts = |name| records.nodes.iter().filter(|life| life.name == name).count();
-    // One was killed, and both were ended and started again, one after the other, while jobs came in.
+    // One node was killed, and both were ended and restarted in turn while requests arrived.
     assert_eq!(starts("n0") + starts("n1"), 5);
     assert!(starts("n0") >= 2 && starts("n1") >= 2);
     let answers = || records.jobs.iter().flat_map(|job| &job.answers);
--- a/crates/pearfront-node/tests/scale.rs
+++ b/crates/pearfront-node/tests/scale.rs
@@ -1,5 +1,5 @@
-//! The measurements on real sockets, small: what they must always find, whatever the machine does. Times are not judged; a
-//! rig that was late makes the play void and it is played again.
+//! Small runs of the measurements on real sockets: results that must hold on any machine. Times are not judged; a run whose rig
+//! was late is void and repeated.
 
 use pearfront_emulator::again::{PLAYS, Play, in_time};
 use pearfront_scale::Point;
@@ -7,7 +7,7 @@
 use pearfront_scale::measure::hollow;
 use std::path::Path;
 
-/// Lateness at the hundredth, ms, above which a call may fail for the machine alone: a deadline is 3 s.
+/// Lateness at the 99th percentile, ms, above which a call may fail because of the machine alone: a deadline is 3 s.
 const LATE: f64 = 250.0;
 
 fn node() -> &'static Path {
@@ -29,7 +29,7 @@
     let point = played(|point| hollow::by_members(point, 4, 2.0, node()));
     let figure = |name: &str| point.figures.get(name).copied();
     assert!(figure("killed_known_all_ms").is_some(), "{point:?}");
-    // Six members: a link to each other one at both ends of it, beside two sockets of each, and no more than a few on their way.
+    // Six members: each link counts at both ends, besides two sockets per member and a few connections being set up.
     assert!(figure("hollow_descriptors").is_some_and(|held| (2.0..20.0).contains(&held)), "{point:?}");
     assert!(figure("bytes_a_second").is_some_and(|bytes| bytes > 0.0), "{point:?}");
 }
