--- a/crates/pearfront-node/tests/days/mod.rs
+++ b/crates/pearfront-node/tests/operations/mod.rs
@@ -1,7 +1,8 @@
-//! The operators' days on loopback: calls at the operators' address, a drain, an upgrade under load.
+//! Operator actions on loopback: calls to the operators' address, drains, reloads, upgrades under load, and streamed bodies.
 
 use crate::stand_ins::{
-    Act, Discovery, Node, Platform, Server, config, entry, head, in_time_unless_late, list, run_faulty,
+    Behavior, Discovery, Node, Platform, Server, config, entry, head, in_time_unless_late, list,
+    run_expecting_failure,
 };
 use serde_json::json;
 use std::io::Write;
@@ -10,7 +11,7 @@
 
 const UP: &str = "GET /up HTTP/1.1\r\n\r\n";
 
-// Each call can be repeated, and what is none changes nothing.
+// Calls are idempotent, and an invalid call changes nothing.
 #[test]
 fn operators_are_answered_and_what_is_no_call_changes_nothing() {
     let node = Node::start_for_operators(config(&[]));
@@ -36,30 +37,31 @@
     }
 }
 
-// Callers that connect and finish no call, and clients that hold all descriptors, keep no operator waiting.
+// Connections that never complete a call, and clients that hold all descriptors, must not delay an operator.
 #[test]
-fn an_operator_gets_in_beside_callers_that_never_finish_and_a_crowd_of_clients() {
-    let server = Server::start(Act::Silence);
+fn an_operator_gets_in_beside_clients_that_never_finish_and_a_crowd_of_clients() {
+    let server = Server::start(Behavior::NoAnswer);
     let mut config = config(&[server.address]);
     config["limits"]["sockets"] = json!(80);
     let node = Node::start_for_operators(config);
     let clients: Vec<_> = (0..60)
         .map(|_| {
-            let mut client = node.caller();
+            let mut client = node.client();
             client.send(&head("pay", "60", 0), b"");
             client
         })
         .collect();
     let stuck: Vec<_> = (0..20).map(|_| node.operator()).collect();
     assert_eq!(node.call("GET /_ready"), 200);
-    // They are closed without an answer, the first ones to make room.
+    // They are closed without an answer, the oldest first, to make room.
     for mut stuck in stuck {
         assert!(stuck.answer().is_none());
     }
     drop(clients);
 }
 
-// Those that come behind a whole call in one go, more than may be open, had it dropped: no answer, no drain, no word in the log.
+// Connections that arrived in the same batch after a complete call, more than may be open, used to evict it: no answer, no
+// drain, nothing in the log.
 #[test]
 fn a_whole_call_is_carried_out_whoever_comes_behind_it() {
     let node = Node::start_for_operators(config(&[]));
@@ -76,54 +78,55 @@
     assert_eq!((answer, ready), (Some(200), 503));
 }
 
-// Nothing of a drain is lost: idle clients are let go, what is under way is answered, whoever still comes is served.
+// A drain loses no request: idle clients are closed, open requests are answered, and late ones are served.
 #[test]
 fn a_drained_node_lets_its_clients_go_and_runs_on() {
-    let server = Server::start(Act::Serve(b"fine".to_vec()));
+    let server = Server::start(Behavior::Serve(b"fine".to_vec()));
     let node = Node::start_for_operators(config(&[server.address]));
-    let (mut idle, mut used) = (node.caller(), node.caller());
+    let (mut idle, mut used) = (node.client(), node.client());
     assert_eq!(used.ask(&head("read", "5", 0), b"").status(), 200);
     assert_eq!(node.call("PUT /_lameduck/on"), 200);
     assert_eq!(idle.ask(UP, b"").status(), 503);
     assert!(idle.answer().is_none() && used.answer().is_none());
-    // Now each answer is the last on its connection.
-    let mut late = node.caller();
+    // From now on each answer is the last on its connection.
+    let mut late = node.client();
     let answer = late.ask(&head("read", "5", 0), b"");
     assert_eq!((answer.status(), answer.headers["connection"].as_str()), (200, "close"));
     assert!(late.answer().is_none());
     assert_eq!(node.call("PUT /_lameduck/off"), 200);
-    let mut back = node.caller();
+    let mut back = node.client();
     assert_eq!(back.ask(UP, b"").status(), 200);
     assert_eq!(back.ask(&head("read", "5", 0), b"").status(), 200);
     assert_eq!(node.call("PUT /_lameduck/on"), 200);
-    // An end on top of a drain is an end, and a drain on top of that no error.
+    // A shutdown during a drain still shuts down, and a drain during a shutdown is no error.
     node.signal("-TERM");
-    assert_eq!(node.ended()["served"], 3);
+    assert_eq!(node.wait_for_end()["served"], 3);
 }
 
-/// How soon behind an answer a client sends its next request: one that rests for 50 ms in an upgrade may find its connection closed.
+/// Maximum time between an answer and the client's next request: a connection that is idle for 50 ms during an upgrade may be
+/// closed.
 const NEXT: Duration = Duration::from_millis(40);
 
-// Two processes on one inherited socket: the new one says yes, the old one ends, no client meets a closed door.
+// Two processes share an inherited socket: the new one becomes ready, the old one ends, and no client is refused.
 #[test]
-fn an_upgrade_loses_no_job_and_only_the_old_process_exits() {
+fn an_upgrade_loses_no_request_and_only_the_old_process_exits() {
     in_time_unless_late(|| {
-        let server = Server::start(Act::Serve(b"fine".to_vec()));
+        let server = Server::start(Behavior::Serve(b"fine".to_vec()));
         let (platform, config) = (Platform::new(), config(&[server.address]));
         let old = platform.start(&config);
         old.wait_for_call("GET /_ready", 200);
-        let mut client = old.caller();
-        let job = head("read", "5", 0);
-        assert_eq!(client.ask(&job, b"").status(), 200);
+        let mut client = old.client();
+        let request = head("read", "5", 0);
+        assert_eq!(client.ask(&request, b"").status(), 200);
         let new = platform.start(&config);
         new.wait_for_call("GET /_ready", 200);
-        assert_eq!(client.ask(&job, b"").status(), 200);
+        assert_eq!(client.ask(&request, b"").status(), 200);
         old.signal("-TERM");
-        // The client goes on with what it has until it is told that this was the last on it, and comes again.
+        // The client uses its connection until an answer says that it was the last one, then connects again.
         let mut asked = 2;
         let mut answered = Instant::now();
         loop {
-            let sent = client.stream.write_all(job.as_bytes());
+            let sent = client.stream.write_all(request.as_bytes());
             let was_late = answered.elapsed() > NEXT;
             let Some(answer) = sent.ok().and_then(|()| client.answer()) else {
                 return (Err(format!("no answer behind {asked}")), was_late);
@@ -136,22 +139,22 @@
             }
         }
         assert!(client.answer().is_none());
-        let old = old.ended();
+        let old = old.wait_for_end();
         assert_eq!(new.call("GET /_ready"), 200);
-        assert_eq!(new.caller().ask(&head("read", "5", 0), b"").status(), 200);
+        assert_eq!(new.client().ask(&head("read", "5", 0), b"").status(), 200);
         assert_eq!((old["served"], new.end()["served"]), (asked, 1));
         (Ok(()), false)
     });
 }
 
-// An address or a descriptor that can't be had is one line, and no client is let in.
+// An unusable address or descriptor is reported in one line, and no client is accepted.
 #[test_case("ROUTER_ADMIN", "here", "ROUTER_ADMIN: \"here\" is no address and port"; "malformed")]
 #[test_case("ROUTER_ADMIN", "192.0.2.1:1", "admin: 192.0.2.1:1: Cannot assign requested address (os error 99)"; "not ours")]
 #[test_case("ROUTER_INHERITED_FD", "seven", "ROUTER_INHERITED_FD: \"seven\" is no descriptor"; "no number")]
 #[test_case("ROUTER_INHERITED_FD", "900", "ROUTER_INHERITED_FD: descriptor 900 is not open"; "not open")]
 #[test_case("ROUTER_INHERITED_FD", "2", "ROUTER_INHERITED_FD: \"2\" is no descriptor"; "a standard stream")]
 fn what_operators_need_is_checked_before_a_client_is_let_in(key: &str, value: &str, problem: &str) {
-    let (output, bound) = run_faulty(&config(&[]).to_string(), |command| {
+    let (output, bound) = run_expecting_failure(&config(&[]).to_string(), |command| {
         command.env(key, value);
     });
     let said = String::from_utf8(output.stderr).unwrap();
@@ -159,20 +162,20 @@
     assert_eq!(said, format!("pearfront-node: {problem}\n"));
 }
 
-// Jobs end under the settings that they came under, and those that come after are taken by the new ones.
+// Requests end under the settings they started with; later requests use the new ones.
 #[test]
-fn new_settings_hold_for_new_jobs_and_old_ones_for_open_jobs() {
-    let server = Server::start(Act::Hold(b"fine".to_vec()));
+fn new_settings_hold_for_new_requests_and_old_ones_for_open_requests() {
+    let server = Server::start(Behavior::Hold(b"fine".to_vec()));
     let mut config = config(&[server.address]);
     let node = Node::start(&config);
-    let (mut dropped, mut changed) = (node.caller(), node.caller());
-    // Half of its body comes after the settings have changed.
+    let (mut dropped, mut changed) = (node.client(), node.client());
+    // Half of its body is sent after the settings have changed.
     let half = head("pay", "60", 8);
     dropped.send(&head("read", "60", 0), b"");
-    server.wait_for("job 1");
+    server.wait_for("request 1");
     changed.send(&half, b"half");
-    // Another job's answer shows that what came before it has been read.
-    assert_eq!(node.caller().ask(UP, b"").status(), 200);
+    // The answer to another request shows that everything sent before it has been read.
+    assert_eq!(node.client().ask(UP, b"").status(), 200);
     let profiles = config["settings"]["profiles"].as_array_mut().unwrap();
     profiles.remove(0);
     profiles[1]["effect"] = json!("safe");
@@ -181,25 +184,25 @@
         "outer_limit": 6e9, "gain": 1.0}));
     config["settings"]["limits"]["most_shots"] = json!(1);
     node.reload(&config.to_string());
-    // Its time is over: rejected while the profile is there, turned down once it has gone.
+    // Its deadline has passed: rejected while the profile exists, refused as invalid once it is gone.
     node.wait_until(&head("read", "0", 0), 400);
-    let mut asked = node.caller();
-    // A POST of what is now safe does not fit any more, but the job that came before ends as it began.
+    let mut asked = node.client();
+    // A POST no longer fits the profile, which is now safe, but the earlier request ends under its old settings.
     assert_eq!(asked.ask(&head("pay", "5", 0), b"").status(), 400);
     changed.send("", b"done");
-    server.wait_for("job 2");
-    let mut new = node.caller();
+    server.wait_for("request 2");
+    let mut new = node.client();
     new.send(&head("read", "60", 0).replace("/read/", "/look/"), b"");
-    server.wait_for("job 3");
-    server.go_on();
-    for caller in [&mut dropped, &mut changed, &mut new] {
-        assert_eq!(caller.answer().unwrap().status(), 200);
+    server.wait_for("request 3");
+    server.release();
+    for client in [&mut dropped, &mut changed, &mut new] {
+        assert_eq!(client.answer().unwrap().status(), 200);
     }
     let counters = node.end();
     assert_eq!((counters["taken"], counters["served"]), (3, 3));
 }
 
-// Whatever is wrong with a file, nothing of it is taken over, and one line names the key.
+// An invalid file is rejected as a whole, and one line names the faulty key.
 #[test_case("", "", "EOF while parsing a value"; "empty")]
 #[test_case("\"settings\":{", "...", "EOF while parsing"; "cut in the middle")]
 #[test_case("\"most_shots\":3", "\"most_shots\":0", "config.settings.limits.most_shots is not above 0"; "no attempts")]
@@ -211,12 +214,12 @@
 #[test_case("\"tip_multiple\":4.0", "\"tip\":4.0", "config.settings.rules.tip_multiple is missing"; "short of a rule")]
 #[test_case("\"sockets\":1024", "\"sockets\":0", "config.limits.sockets is not above 0"; "no descriptors")]
 fn a_broken_file_changes_nothing(was: &str, is: &str, problem: &str) {
-    let server = Server::start(Act::Serve(Vec::new()));
+    let server = Server::start(Behavior::Serve(Vec::new()));
     let config = config(&[server.address]);
     let text = config.to_string();
     assert!(text.contains(was), "{text}");
     let node = Node::start(&config);
-    // Beside the fault it drops a profile.
+    // Besides the fault, the file drops a profile.
     let broken = match is {
         "..." => text.split(was).next().unwrap().to_string(),
         _ if was.is_empty() => String::new(),
@@ -225,129 +228,129 @@
     node.reload(&broken.replace("\"read\"", "\"other\""));
     node.reload(&broken.replace("\"read\"", "\"other\""));
     for _ in 0..20 {
-        assert_eq!(node.caller().ask(&head("read", "5", 0), b"").status(), 200);
+        assert_eq!(node.client().ask(&head("read", "5", 0), b"").status(), 200);
     }
     node.signal("-TERM");
     let log = node.log();
     assert!(log.contains("configuration stays as it was: ") && log.contains(problem), "{log}");
 }
 
-/// The most that a body or an answer may have.
+/// Largest body or answer that the node accepts, bytes.
 const LARGEST: usize = 32 * 1024 * 1024;
 
 fn large(length: usize) -> Vec<u8> {
     (0..length).map(|at| (at % 251) as u8).collect()
 }
 
-// Its first bytes go out before the last are there, a caller that does not read holds its own server back, and the
-// node holds next to nothing of either.
+// The first bytes are sent before the last ones arrive, a client that does not read applies back-pressure to its own server,
+// and the node buffers almost nothing of either.
 #[test]
 fn an_answer_of_the_largest_size_flows_past_a_slow_reader() {
     let body = large(LARGEST);
     let head_of = format!("HTTP/1.1 200 OK\r\nContent-Length: {LARGEST}\r\n\r\n");
     let (first, rest) = body.split_at(LARGEST - 1);
-    let server = Server::start(Act::Raw([head_of.as_bytes(), first].concat(), rest.to_vec()));
+    let server = Server::start(Behavior::Raw([head_of.as_bytes(), first].concat(), rest.to_vec()));
     let node = Node::start(&config(&[server.address]));
     let before = node.peak_memory();
-    let mut callers: Vec<_> = (0..8).map(|_| node.caller()).collect();
-    for caller in &mut callers {
-        caller.send(&head("read", "60", 0), b"");
+    let mut clients: Vec<_> = (0..8).map(|_| node.client()).collect();
+    for client in &mut clients {
+        client.send(&head("read", "60", 0), b"");
     }
-    server.wait_for("job 8");
-    // Others are served meanwhile.
-    assert_eq!(node.caller().ask(UP, b"").status(), 200);
-    let reader = &mut callers[0];
+    server.wait_for("request 8");
+    // Other clients are served in the meantime.
+    assert_eq!(node.client().ask(UP, b"").status(), 200);
+    let reader = &mut clients[0];
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         head.extend(reader.take(1));
     }
     assert!(reader.take(first.len()) == first);
-    server.go_on();
+    server.release();
     assert_eq!(reader.take(1), rest);
     let grown = node.peak_memory() - before;
     assert!(grown < 4 * 1024, "{grown} KiB for eight answers");
-    drop(callers);
+    drop(clients);
     node.end();
 }
 
 #[test]
 fn a_body_of_the_largest_size_flows_to_a_server_once() {
-    let server = Server::start(Act::Serve(b"fine".to_vec()));
+    let server = Server::start(Behavior::Serve(b"fine".to_vec()));
     let mut config = config(&[server.address]);
-    // Of which a body has 2.9 MiB at the most while its server takes nothing.
+    // Of this, a body may use at most 2.9 MiB while its server reads nothing.
     config["limits"]["memory_mb"] = json!(96);
     let node = Node::start(&config);
     let before = node.peak_memory();
     let body = large(LARGEST);
-    let mut caller = node.caller();
-    assert_eq!(caller.ask(&head("pay", "20", LARGEST), &body).status(), 200);
-    // In chunks with extensions and a trailer, and another job right behind it.
+    let mut client = node.client();
+    assert_eq!(client.ask(&head("pay", "20", LARGEST), &body).status(), 200);
+    // In chunks with extensions and a trailer, followed directly by another request.
     let chunked = head("book", "20", 0).replace("Content-Length: 0", "Transfer-Encoding: chunked");
     let chunks = body[..300_000]
         .chunks(70_000)
         .flat_map(|chunk| [format!("{:X};of=\"it\"\r\n", chunk.len()).as_bytes(), chunk, b"\r\n"].concat());
     let chunks: Vec<u8> = chunks.chain(b"0\r\nX-Sum: 1\r\n\r\n".iter().copied()).collect();
-    caller.send(&chunked, &[chunks, head("read", "5", 0).into_bytes()].concat());
-    assert_eq!([caller.answer(), caller.answer()].map(|answer| answer.unwrap().status()), [200, 200]);
-    let jobs = server.jobs();
-    assert_eq!(jobs.len(), 3);
-    assert!(jobs[0].body == body && jobs[1].body == body[..300_000]);
+    client.send(&chunked, &[chunks, head("read", "5", 0).into_bytes()].concat());
+    assert_eq!([client.answer(), client.answer()].map(|answer| answer.unwrap().status()), [200, 200]);
+    let requests = server.requests();
+    assert_eq!(requests.len(), 3);
+    assert!(requests[0].body == body && requests[1].body == body[..300_000]);
     let grown = node.peak_memory() - before;
     assert!(grown < 4 * 1024, "{grown} KiB for a body");
     let counters = node.end();
     assert_eq!((counters["flows_in"], counters["attempts"]), (2, 3));
 }
 
-// What has begun to flow is not there to be sent again; what never left is, also to a second server.
-#[test_case(Act::Error, 502; "it may have run")]
-#[test_case(Act::TurnAway, 503; "it never ran, and is not kept")]
-#[test_case(Act::TurnDown, 400; "nobody can use it")]
-fn a_body_that_flows_is_sent_once_whatever_becomes_of_it(act: Act, status: u16) {
-    let (odd, other) = (Server::start(act), Server::start(Act::Silence));
+// A body that has begun to stream cannot be sent again; one that was never sent can, also to a second server.
+#[test_case(Behavior::Error, 502; "it may have run")]
+#[test_case(Behavior::NeverRan, 503; "it never ran, and is not kept")]
+#[test_case(Behavior::BadRequest, 400; "nobody can use it")]
+fn a_body_that_flows_is_sent_once_whatever_becomes_of_it(behavior: Behavior, status: u16) {
+    let (odd, other) = (Server::start(behavior), Server::start(Behavior::NoAnswer));
     let node = Node::start(&config(&[odd.address]));
-    let mut caller = node.caller();
-    caller.send(&head("pay", "5", 200_000), &large(100_000));
+    let mut client = node.client();
+    client.send(&head("pay", "5", 200_000), &large(100_000));
     node.discovery.publish(2, list(2, false, &[entry("other", other.address, "Ready")]));
     node.discovery.wait_for(2);
-    assert_eq!(caller.ask("", &large(100_000)).status(), status);
+    assert_eq!(client.ask("", &large(100_000)).status(), status);
     let counters = node.end();
-    assert_eq!((odd.jobs().len(), other.jobs().len(), counters["attempts"]), (1, 0, 1));
+    assert_eq!((odd.requests().len(), other.requests().len(), counters["attempts"]), (1, 0, 1));
 }
 
-// Nothing of it has left where no connection came up: any job may go elsewhere then, also one that is not kept.
+// If no connection was established, nothing was sent: any request may go to another server, also one whose body is not kept.
 #[test]
 fn a_body_that_flows_goes_elsewhere_if_nothing_of_it_was_sent() {
-    let good = Server::start(Act::Serve(b"fine".to_vec()));
-    let node = Node::start(&config(&[Server::nowhere(), good.address]));
-    let (mut caller, body) = (node.caller(), large(100_000));
+    let good = Server::start(Behavior::Serve(b"fine".to_vec()));
+    let node = Node::start(&config(&[Server::unused_address(), good.address]));
+    let (mut client, body) = (node.client(), large(100_000));
     for _ in 0..20 {
-        assert_eq!(caller.ask(&head("pay", "5", body.len()), &body).status(), 200);
+        assert_eq!(client.ask(&head("pay", "5", body.len()), &body).status(), 200);
     }
     assert!(node.end()["attempt_unconnected"] > 0);
 }
 
-// A caller that stops in the middle of a body: no server is to blame, and nothing of it is held.
+// A client that stops in the middle of a body: no server is blamed, and nothing of the request is held.
 #[test]
 fn a_body_that_stops_in_the_middle_is_given_up() {
-    let server = Server::start(Act::Serve(Vec::new()));
+    let server = Server::start(Behavior::Serve(Vec::new()));
     let node = Node::start(&config(&[server.address]));
-    let (mut stopped, mut left) = (node.caller(), node.caller());
+    let (mut stopped, mut left) = (node.client(), node.client());
     stopped.send(&head("pay", "60", 400_000), &large(200_000));
     left.send(&head("pay", "60", 400_000), &large(200_000));
     left.stream.shutdown(std::net::Shutdown::Both).unwrap();
     assert_eq!(stopped.answer().unwrap().status(), 400);
-    assert_eq!(node.caller().ask(&head("read", "5", 0), b"").status(), 200);
+    assert_eq!(node.client().ask(&head("read", "5", 0), b"").status(), 200);
     let counters = node.end();
     assert_eq!((counters["taken"], counters["client_left"], counters["attempt_unconnected"]), (3, 2, 0));
 }
 
-/// Two pieces of an answer with this head, and its body in this form.
-fn raw(head: &str, body: &[u8], at: usize) -> Act {
+/// An answer with this head and body, split into two pieces.
+fn raw(head: &str, body: &[u8], at: usize) -> Behavior {
     let all = [format!("{head}\r\n\r\n").as_bytes(), body].concat();
-    Act::Raw(all[..head.len() + 4 + at].to_vec(), all[head.len() + 4 + at..].to_vec())
+    Behavior::Raw(all[..head.len() + 4 + at].to_vec(), all[head.len() + 4 + at..].to_vec())
 }
 
-// All forms that an answer may have are passed on whole, in whatever pieces they come.
+// Every valid form of an answer is forwarded completely, however it is split.
 #[test_case("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4", b"fine", 2; "1xx ahead")]
 #[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked", b"2;x=\"y\"\r\nfi\r\n2\r\nne\r\n0\r\nX-Sum: 1\r\n\r\n", 9; "chunks with extensions and a trailer")]
 #[test_case("HTTP/1.1 200 OK\r\nConnection: close", b"fine", 2; "ended by its connection")]
@@ -355,15 +358,15 @@
 fn all_forms_of_an_answer_are_passed_on(form: &str, body: &[u8], at: usize) {
     let server = Server::start(raw(form, body, at));
     let node = Node::start(&config(&[server.address]));
-    let mut caller = node.caller();
-    caller.send(&head("pay", "5", 0), b"");
-    server.wait_for("job 1");
-    server.go_on();
-    let answer = caller.answer().unwrap();
+    let mut client = node.client();
+    client.send(&head("pay", "5", 0), b"");
+    server.wait_for("request 1");
+    server.release();
+    let answer = client.answer().unwrap();
     assert_eq!((answer.status(), answer.body.as_slice()), (200, b"fine".as_slice()));
 }
 
-// Passed on in part, an answer must not look whole to its caller.
+// A partially forwarded answer must not look complete to its client.
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 300000"; "with a length")]
 #[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked"; "in chunks")]
 fn an_answer_that_stops_midway_does_not_look_whole(form: &str) {
@@ -374,63 +377,63 @@
     };
     let server = Server::start(raw(form, &[part.as_slice(), b"1"].concat(), part.len()));
     let node = Node::start(&config(&[server.address]));
-    let mut caller = node.caller();
-    caller.send(&head("read", "5", 0), b"");
-    server.wait_for("job 1");
-    server.go_on();
-    let all = caller.take(1024 * 1024);
+    let mut client = node.client();
+    client.send(&head("read", "5", 0), b"");
+    server.wait_for("request 1");
+    server.release();
+    let all = client.take(1024 * 1024);
     assert!(all.starts_with(b"HTTP/1.1 200 OK"));
     assert!(all.len() < 250_000 && !all.ends_with(b"0\r\n\r\n"), "{} bytes", all.len());
     assert_eq!(node.end()["served"], 1);
 }
 
-// Asked for, the word to go on comes before the body.
+// A client that expects `100 Continue` gets it before its body is read.
 #[test]
-fn a_caller_that_waits_for_the_word_to_go_on_gets_it() {
-    let server = Server::start(Act::Serve(Vec::new()));
+fn a_client_that_waits_for_the_word_to_go_on_gets_it() {
+    let server = Server::start(Behavior::Serve(Vec::new()));
     let node = Node::start(&config(&[server.address]));
-    let mut caller = node.caller();
-    caller.send(&head("pay", "5", 4).replace("Host:", "Expect: 100-continue\r\nHost:"), b"");
-    assert_eq!(caller.answer().unwrap().status(), 100);
-    assert_eq!(caller.ask("", b"body").status(), 200);
-    assert_eq!(server.jobs()[0].body, b"body");
+    let mut client = node.client();
+    client.send(&head("pay", "5", 4).replace("Host:", "Expect: 100-continue\r\nHost:"), b"");
+    assert_eq!(client.answer().unwrap().status(), 100);
+    assert_eq!(client.ask("", b"body").status(), 200);
+    assert_eq!(server.requests()[0].body, b"body");
 }
 
-// What the old process was told holds for the new one, which says yes only then; an id that is open at one is open at
-// both; and limits count over both.
+// The new process takes over the old one's list and becomes ready only then; ids of open requests, and limits, count across
+// both processes.
 #[test]
 fn two_processes_are_one_node() {
-    let (gone, silent) = (Server::start(Act::Serve(Vec::new())), Server::start(Act::Silence));
+    let (gone, silent) = (Server::start(Behavior::Serve(Vec::new())), Server::start(Behavior::NoAnswer));
     let (platform, config) = (Platform::new(), config(&[gone.address]));
     let old = platform.start(&config);
     old.discovery.publish(2, list(2, true, &[entry("new", silent.address, "Ready")]));
     old.discovery.wait_for(2);
     old.wait_for_call("GET /_ready", 200);
-    let mut first = old.caller();
-    let job = head("pay", "60", 0);
-    first.send(&job, b"");
-    silent.wait_for("job 1");
-    // The discovery of the new one says nothing: it has the list from the old one alone.
-    let new = platform.start_with(&config, Discovery::fall_silent);
+    let mut first = old.client();
+    let request = head("pay", "60", 0);
+    first.send(&request, b"");
+    silent.wait_for("request 1");
+    // The new process's discovery does not answer: its list can come from the old process only.
+    let new = platform.start_with(&config, Discovery::stop_answering);
     new.wait_for_call("GET /_ready", 200);
     old.signal("-STOP");
-    let mut second = new.caller();
-    assert_eq!(second.ask(&job, b"").status(), 400);
+    let mut second = new.client();
+    assert_eq!(second.ask(&request, b"").status(), 400);
     second.send(&head("pay", "60", 0), b"");
-    silent.wait_for("job 2");
-    assert!(gone.jobs().is_empty());
-    // Killed outright in the middle of its job: what it had is free for the new one.
+    silent.wait_for("request 2");
+    assert!(gone.requests().is_empty());
+    // Killed during its request: what it held becomes free for the new process.
     old.kill();
     assert!(first.answer().is_none());
-    // Sent again by its client, its id is free once the end of the old process has been seen.
-    let mut third = new.caller();
-    let again = job.replace("X-Expires-In: 60", "X-Expires-In: 0");
+    // When the client retries, its id is free once the end of the old process has been noticed.
+    let mut third = new.client();
+    let again = request.replace("X-Expires-In: 60", "X-Expires-In: 0");
     while third.ask(&again, b"").status() == 400 {}
-    third.send(&job, b"");
-    silent.wait_for("job 3");
+    third.send(&request, b"");
+    silent.wait_for("request 3");
 }
 
-// Whatever stands where the other process should be, the node starts as if it were alone.
+// Whatever answers in place of the other process, the node starts as if it were alone.
 #[test_case(None; "nothing")]
 #[test_case(Some(""); "one that hangs up")]
 #[test_case(Some("{\"hello\":{\"version\":2}}\n"); "one of another version")]
@@ -438,87 +441,89 @@
 #[test_case(Some("{\"hello\":{\"version\":1}}\n{\"list\":{\"generation\":0,\"reset\":true,\"instances\":[]}}\n"); "a stale list")]
 #[test_case(Some("what do you mean?\n"); "noise")]
 fn a_hand_over_that_can_not_be_read_is_as_good_as_none(said: Option<&'static str>) {
-    let server = Server::start(Act::Serve(b"fine".to_vec()));
+    let server = Server::start(Behavior::Serve(b"fine".to_vec()));
     let platform = Platform::new();
     if let Some(said) = said {
-        platform.say(said);
+        platform.greet_next_process(said);
     }
     let node = platform.start(&config(&[server.address]));
     node.wait_for_call("GET /_ready", 200);
-    assert_eq!(node.caller().ask(&head("pay", "5", 0), b"").status(), 200);
-    // The next one finds this one, and one more upgrade after that.
+    assert_eq!(node.client().ask(&head("pay", "5", 0), b"").status(), 200);
+    // The next process finds this one, and so does the process of a further upgrade.
     let next = platform.start(&config(&[server.address]));
     next.wait_for_call("GET /_ready", 200);
     node.end();
     let last = platform.start(&config(&[server.address]));
     last.wait_for_call("GET /_ready", 200);
     next.end();
-    assert_eq!(last.caller().ask(&head("pay", "5", 0), b"").status(), 200);
+    assert_eq!(last.client().ask(&head("pay", "5", 0), b"").status(), 200);
 }
 
-// A new process that dies before its yes changes nothing for the old one.
+// A new process that dies before it is ready changes nothing for the old one.
 #[test]
 fn a_new_process_that_dies_before_its_yes_leaves_the_old_one_as_it_was() {
-    let server = Server::start(Act::Serve(b"fine".to_vec()));
+    let server = Server::start(Behavior::Serve(b"fine".to_vec()));
     let (platform, config) = (Platform::new(), config(&[server.address]));
     let old = platform.start(&config);
     old.wait_for_call("GET /_ready", 200);
-    let new = platform.start_with(&config, Discovery::fall_silent);
+    let new = platform.start_with(&config, Discovery::stop_answering);
     let _ = new.operator();
     new.kill();
-    let mut client = old.caller();
+    let mut client = old.client();
     assert_eq!(client.ask(&head("read", "5", 0), b"").status(), 200);
-    // With no other process on its socket it serves to its end.
+    // With no other process on its socket, it serves until it exits.
     old.signal("-TERM");
-    assert_eq!(old.caller().ask(&head("read", "5", 0), b"").status(), 200);
-    assert_eq!(old.ended()["served"], 2);
+    assert_eq!(old.client().ask(&head("read", "5", 0), b"").status(), 200);
+    assert_eq!(old.wait_for_end()["served"], 2);
 }
 
-// Who says that much is coming and brings nothing has no part in what the module counts, and costs no server anything.
+// A client that announces a large body and sends none of it is not counted by the decision module and takes no server
+// connection.
 #[test]
 fn a_large_body_that_never_begins_reaches_no_server() {
-    let server = Server::start(Act::Serve(Vec::new()));
+    let server = Server::start(Behavior::Serve(Vec::new()));
     let node = Node::start(&config(&[server.address]));
-    let mut caller = node.caller();
-    caller.send(&head("pay", "60", 1_000_000), b"little");
-    assert_eq!(caller.answer().unwrap().status(), 400);
+    let mut client = node.client();
+    client.send(&head("pay", "60", 1_000_000), b"little");
+    assert_eq!(client.answer().unwrap().status(), 400);
     let counters = node.end();
-    assert_eq!((counters["taken"], counters["connections"], server.jobs().len()), (0, 0, 0));
+    assert_eq!((counters["taken"], counters["connections"], server.requests().len()), (0, 0, 0));
 }
 
-// Half a whole list would say that the servers of its other half are gone. Asked for again at once, it is well.
+// Half of a full list would remove the servers of its other half. The node discards it and asks again at once.
 #[test_case(true; "breaks off")]
 #[test_case(false; "stalls")]
 fn a_list_that_stops_in_its_middle_is_taken_in_no_part_and_asked_for_again(ends: bool) {
-    let (old, new) = (Server::start(Act::Serve(b"old".to_vec())), Server::start(Act::Serve(b"new".to_vec())));
+    let (old, new) =
+        (Server::start(Behavior::Serve(b"old".to_vec())), Server::start(Behavior::Serve(b"new".to_vec())));
     let node = Node::start_with(&config(&[old.address]), |discovery| {
-        // The old server goes, and another one comes to where nobody was.
+        // The old server is removed, and a new one is added.
         discovery.publish(2, list(2, true, &[entry("new", new.address, "Ready")]));
         discovery.cut_next(ends);
     });
     node.discovery.wait_for(2);
-    assert_eq!(node.caller().ask(&head("pay", "5", 0), b"").body, b"new");
-    // No watch ended for it: the second call came without a pause.
+    assert_eq!(node.client().ask(&head("pay", "5", 0), b"").body, b"new");
+    // No watch failed over it: the second call followed without a back-off.
     assert_eq!(node.end()["lists_failed"], 0);
 }
 
-// In whatever pieces a job comes, it is one.
+// A request may arrive in pieces of any size.
 #[test]
-fn a_job_that_comes_byte_by_byte_is_taken() {
-    let server = Server::start(Act::Serve(b"fine".to_vec()));
+fn a_request_that_comes_byte_by_byte_is_taken() {
+    let server = Server::start(Behavior::Serve(b"fine".to_vec()));
     let node = Node::start(&config(&[server.address]));
-    let mut caller = node.caller();
-    caller.stream.set_nodelay(true).unwrap();
-    let job = [head("book", "5", 4).as_bytes(), b"body", head("read", "5", 0).as_bytes()].concat();
-    job.iter().for_each(|byte| caller.send("", &[*byte]));
-    assert_eq!([caller.answer(), caller.answer()].map(|answer| answer.unwrap().status()), [200, 200]);
-    assert_eq!(server.jobs()[0].body, b"body");
+    let mut client = node.client();
+    client.stream.set_nodelay(true).unwrap();
+    let request = [head("book", "5", 4).as_bytes(), b"body", head("read", "5", 0).as_bytes()].concat();
+    request.iter().for_each(|byte| client.send("", &[*byte]));
+    assert_eq!([client.answer(), client.answer()].map(|answer| answer.unwrap().status()), [200, 200]);
+    assert_eq!(server.requests()[0].body, b"body");
 }
 
-// Settings that come in the middle of a drain hold once it is taken back, and take nothing of it back themselves.
+// Settings loaded during a drain apply once it is cancelled, and do not cancel it themselves.
 #[test]
 fn new_settings_come_through_in_the_middle_of_a_drain() {
-    let server = Server::start(Act::Serve(Vec::new()));
+    let server = Server::start(Behavior::Serve(Vec::new()));
     let mut config = config(&[server.address]);
     let node = Node::start_for_operators(config.clone());
     config["admin"] = json!(node.admin.to_string());
@@ -528,12 +533,12 @@
     node.wait_until(&head("read", "0", 0), 400);
     assert_eq!(node.call("GET /_ready"), 503);
     assert_eq!(node.call("PUT /_lameduck/off"), 200);
-    let mut caller = node.caller();
-    assert_eq!(caller.ask(&head("read", "5", 0).replace("/read/", "/look/"), b"").status(), 200);
-    assert_eq!(caller.ask(UP, b"").status(), 200);
+    let mut client = node.client();
+    assert_eq!(client.ask(&head("read", "5", 0).replace("/read/", "/look/"), b"").status(), 200);
+    assert_eq!(client.ask(UP, b"").status(), 200);
 }
 
-// A drain is told to a process: in the middle of an upgrade the other one goes on.
+// A drain applies to one process: during an upgrade the other one continues.
 #[test]
 fn a_drain_in_the_middle_of_an_upgrade_is_the_old_ones_alone() {
     let (platform, config) = (Platform::new(), config(&[]));
@@ -544,16 +549,16 @@
     assert_eq!(old.call("PUT /_lameduck/on"), 200);
     assert_eq!([&old, &new].map(|node| node.call("GET /_ready")), [503, 200]);
     old.signal("-TERM");
-    assert_eq!(old.ended()["failed"], 0);
-    assert_eq!(new.caller().ask(UP, b"").status(), 200);
+    assert_eq!(old.wait_for_end()["failed"], 0);
+    assert_eq!(new.client().ask(UP, b"").status(), 200);
 }
 
-// Two nodes told of one operators' address: the second one lets no client in.
+// Two nodes with the same operators' address: the second one accepts no client.
 #[test]
 fn an_operators_address_that_is_in_use_is_named() {
     let node = Node::start_for_operators(config(&[]));
     let address = node.admin.to_string();
-    let (output, bound) = run_faulty(&config(&[]).to_string(), |command| {
+    let (output, bound) = run_expecting_failure(&config(&[]).to_string(), |command| {
         command.env("ROUTER_ADMIN", &address);
     });
     let said = String::from_utf8(output.stderr).unwrap();
@@ -561,33 +566,34 @@
     assert_eq!(said, format!("pearfront-node: admin: {address}: Address already in use (os error 98)\n"));
 }
 
-// The same from outside, with a length too far into its line to be seen.
+// Request smuggling with a length that lies too far into its header line to be noticed.
 #[test]
-fn a_job_hidden_behind_a_length_that_is_far_away_is_not_sent() {
-    let server = Server::start(Act::Serve(Vec::new()));
+fn a_request_hidden_behind_a_length_that_is_far_away_is_not_sent() {
+    let server = Server::start(Behavior::Serve(Vec::new()));
     let node = Node::start(&config(&[server.address]));
-    let mut caller = node.caller();
+    let mut client = node.client();
     let far = format!("Content-Length:{:400}1", "");
-    assert_eq!(caller.ask(&head("pay", "5", 0).replace("Content-Length: 0", &far), b"1").status(), 200);
+    assert_eq!(client.ask(&head("pay", "5", 0).replace("Content-Length: 0", &far), b"1").status(), 200);
     let both = "Transfer-Encoding: chunked\r\nContent-Length: 5";
     let hidden = format!("0\r\n\r\n{}", head("pay", "5", 0));
     let outer = head("pay", "5", 0).replace("Content-Length: 0", both);
-    assert_eq!(caller.ask(&outer, hidden.as_bytes()).status(), 400);
-    assert!(caller.answer().is_none());
-    assert_eq!(server.jobs().len(), 1);
+    assert_eq!(client.ask(&outer, hidden.as_bytes()).status(), 400);
+    assert!(client.answer().is_none());
+    assert_eq!(server.requests().len(), 1);
 }
 
-// A list of thousands is read in one go; whoever calls meanwhile is answered behind it, and the list is taken whole.
+// A list with thousands of entries is read in one go; an operator is answered right after it, and the list is applied
+// completely.
 #[test]
 fn an_operator_is_answered_beside_a_large_list() {
-    let server = Server::start(Act::Serve(b"fine".to_vec()));
+    let server = Server::start(Behavior::Serve(b"fine".to_vec()));
     let node = Node::start_for_operators(config(&[]));
-    let nowhere = Server::nowhere();
+    let nowhere = Server::unused_address();
     let mut lines: Vec<_> = (0..5000).map(|at| entry(&format!("n{at}"), nowhere, "Terminating")).collect();
     lines.push(entry("last", server.address, "Ready"));
     node.discovery.publish(2, list(2, true, &lines));
     while !node.discovery.is_known(2) {
         assert_eq!(node.call("GET /_ready"), 200);
     }
-    assert_eq!(node.caller().ask(&head("pay", "5", 0), b"").body, b"fine");
+    assert_eq!(node.client().ask(&head("pay", "5", 0), b"").body, b"fine");
 }
