--- a/crates/pearfront-scale/src/measure/membership.rs
+++ b/crates/pearfront-scale/src/measure/membership.rs
@@ -126,7 +126,7 @@
             zone: format!("z{}", index % ZONES),
             address: address(index),
             life: self.rng.random(),
-            last_incarnation: last_incarnation,
+            last_incarnation,
         };
         let seeds = vec![address(0), address(1)];
         match Membership::new(identity, seeds, Times::default(), self.rng.random(), self.now) {
