--- a/crates/pearfront-cli/src/check.rs
+++ b/crates/pearfront-cli/src/check.rs
@@ -22,7 +22,7 @@
             scenario.length_s,
             scenario.tiers.len(),
             scenario.nodes.count,
-            scenario.callers.rate.most(),
+            scenario.clients.rate.most(),
             scenario.troubles.len()
         );
         for (tier, load) in scenario.tiers.iter().zip(scenario.loads()) {
--- a/crates/pearfront-cli/src/prove.rs
+++ b/crates/pearfront-cli/src/prove.rs
@@ -3,7 +3,6 @@
 
 use crate::CommandError;
 use hdrhistogram::Histogram;
-use pearfront_emulator::again::{PLAYS, Play, in_time};
 use pearfront_emulator::cores::exhaustive::{Bounds, check};
 use pearfront_emulator::cores::membership::Trouble as Fault;
 use pearfront_emulator::cores::membership::{Findings, Plan, Weather, World, play};
@@ -11,6 +10,7 @@
 use pearfront_emulator::processes::scenario::Scenario;
 use pearfront_emulator::processes::{player, run};
 use pearfront_emulator::sockets::NodeCommand;
+use pearfront_emulator::void_plays::{PLAYS, Play, in_time};
 use pearfront_membership::Times;
 
 /// Simulate the protocol cores of many processes in virtual time under network faults and kills, and check invariants after
--- a/crates/pearfront-emulator/benches/cold.rs
+++ b/crates/pearfront-emulator/benches/cold.rs
@@ -68,7 +68,8 @@
 }
 
 fn main() {
-    let wanted: Vec<String> = std::env::args().skip(1).filter(|word| !word.starts_with('-')).collect();
+    let wanted: Vec<String> =
+        std::env::args().skip(1).filter(|argument| !argument.starts_with('-')).collect();
     println!(
         "| reports | request, ms | nodes | traffic | starts | N | limit | sent | of the limit | over N | over the limit | mean of N | service |"
     );
@@ -83,7 +84,7 @@
                             if hot { "uneven" } else { "even" },
                             if many { "four" } else { "one" }
                         );
-                        if wanted.iter().all(|word| name.contains(word.as_str())) {
+                        if wanted.iter().all(|argument| name.contains(argument.as_str())) {
                             row(&name, &scenario(nodes, hot, many, work, reports));
                         }
                     }
--- a/crates/pearfront-emulator/benches/model.rs
+++ b/crates/pearfront-emulator/benches/model.rs
@@ -56,7 +56,7 @@
 
 fn main() {
     // One size a process, or the peak of memory would be the largest one's.
-    if let Some(servers) = std::env::args().skip(1).find_map(|word| word.parse().ok()) {
+    if let Some(servers) = std::env::args().skip(1).find_map(|argument| argument.parse().ok()) {
         let scenario = scenario(servers);
         let started = Instant::now();
         let records = play(&scenario, Options::new(1), &mut |_| {});
@@ -66,7 +66,7 @@
         println!(
             "{servers:>5} servers {:>4} nodes {:>7} jobs: played in {played:.1} s, judged in {judged:.1} s, {:.0} MB, service {:.3}",
             servers / 10,
-            records.jobs.len(),
+            records.requests.len(),
             peak_mb(),
             verdict.service
         );
--- a/crates/pearfront-emulator/src/struck.rs
+++ b/crates/pearfront-emulator/src/active_troubles.rs
@@ -15,15 +15,15 @@
 
 /// Troubles under way at one server: place in the script, what, and how much.
 #[derive(Debug, Default)]
-pub struct Struck(RefCell<Vec<(usize, What, f64)>>);
+pub struct ActiveTroubles(RefCell<Vec<(usize, What, f64)>>);
 
-impl Struck {
-    pub fn strike(&self, place: usize, what: What, by: f64) {
+impl ActiveTroubles {
+    pub fn apply_trouble(&self, place: usize, what: What, by: f64) {
         self.0.borrow_mut().push((place, what, by));
     }
 
     /// Ends one; false if it did not strike here.
-    pub fn spare(&self, place: usize) -> bool {
+    pub fn end_trouble(&self, place: usize) -> bool {
         let mut troubles = self.0.borrow_mut();
         let before = troubles.len();
         troubles.retain(|trouble| trouble.0 != place);
@@ -35,13 +35,13 @@
     }
 
     /// Chance that none of the troubles of a kind strikes a job.
-    pub fn spared(&self, what: What) -> f64 {
-        self.fold(what, 1.0, |spared, by| spared * (1.0 - by))
+    pub fn unaffected_share(&self, what: What) -> f64 {
+        self.fold(what, 1.0, |unaffected_share, by| unaffected_share * (1.0 - by))
     }
 
     /// Share of its speed that is left.
-    pub fn pace(&self) -> f64 {
-        self.fold(What::Slow, 1.0, |pace, by| pace * by)
+    pub fn speed_factor(&self) -> f64 {
+        self.fold(What::Slow, 1.0, |speed_factor, by| speed_factor * by)
     }
 
     /// After this time, ms, it closes an idle connection, where that is `usual` seconds without troubles.
--- a/crates/pearfront-emulator/src/cores/consensus.rs
+++ b/crates/pearfront-emulator/src/cores/consensus.rs
@@ -3,7 +3,7 @@
 //! after every step.
 
 use super::duties::{Happens, Upper};
-use crate::agenda::Agenda;
+use crate::event_queue::EventQueue;
 use pearfront_consensus::{
     Action, Entry, Message, Record, Role, Times, Voter, decode, decode_record, decode_records,
     encode_records, recover,
@@ -150,7 +150,7 @@
 pub struct World {
     pub(super) plan: Plan,
     pub(super) seats: Vec<Seat>,
-    events: Agenda<Event>,
+    events: EventQueue<Event>,
     /// Cuts so far, which number them.
     cut: u64,
     pub(super) chance: ChaCha8Rng,
@@ -192,7 +192,7 @@
         };
         let mut world = Self {
             seats: (0..plan.voters).map(seat).collect(),
-            events: Agenda::default(),
+            events: EventQueue::default(),
             cut: 0,
             chance: ChaCha8Rng::seed_from_u64(seed),
             now: 0.0,
--- a/crates/pearfront-emulator/src/cores/distribute.rs
+++ b/crates/pearfront-emulator/src/cores/distribute.rs
@@ -3,7 +3,7 @@
 //! answered. What must always hold is looked at after every step: a node has one committed version, never an older one after a
 //! newer one; nothing is *in force everywhere* while a node decides under less; one update at most is under way to a node.
 
-use crate::agenda::Agenda;
+use crate::event_queue::EventQueue;
 use pearfront_consensus::{Action, Entry, Message, PersistentState, Record, Voter, recover};
 use pearfront_distribute::{
     Catalog, ChangeSet, Config, Distributor, DistributorAction, FromVoter, Outcome, Peer, ProcessId,
@@ -274,7 +274,7 @@
     places: Vec<Place>,
     links: BTreeMap<u64, Link>,
     link_number: u64,
-    events: Agenda<Event>,
+    events: EventQueue<Event>,
     chance: ChaCha8Rng,
     now: f64,
     cuts: Vec<(u64, BTreeSet<usize>, BTreeSet<usize>)>,
@@ -333,7 +333,7 @@
             places,
             links: BTreeMap::new(),
             link_number: 0,
-            events: Agenda::default(),
+            events: EventQueue::default(),
             chance,
             now: 0.0,
             cuts: Vec::new(),
--- a/crates/pearfront-emulator/src/cores/membership.rs
+++ b/crates/pearfront-emulator/src/cores/membership.rs
@@ -1,6 +1,6 @@
 //! Membership by seed: up to a thousand cores, a network with weather between them, kills, pauses, cuts and restarts.
 
-use crate::agenda::Agenda;
+use crate::event_queue::EventQueue;
 use pearfront_membership::{
     Action, Change, Destination, Identity, MAX_DATAGRAM_BYTES, Membership, State, Status, Times,
 };
@@ -168,7 +168,7 @@
     by_address: BTreeMap<SocketAddr, usize>,
     cuts: Vec<(BTreeSet<usize>, BTreeSet<usize>)>,
     ever_cut: bool,
-    events: Agenda<Event>,
+    events: EventQueue<Event>,
     chance: ChaCha8Rng,
     now: f64,
     killed: BTreeMap<usize, (f64, BTreeMap<usize, f64>)>,
@@ -192,7 +192,7 @@
             by_address: BTreeMap::new(),
             cuts: Vec::new(),
             ever_cut: false,
-            events: Agenda::default(),
+            events: EventQueue::default(),
             chance: ChaCha8Rng::seed_from_u64(seed),
             now: 0.0,
             killed: BTreeMap::new(),
--- a/crates/pearfront-emulator/src/decide.rs
+++ b/crates/pearfront-emulator/src/decide.rs
@@ -12,14 +12,14 @@
 use std::rc::Rc;
 
 /// What `sees-all` takes a job's own work for, ms: it is not told.
-const OWN_WORK: f64 = 10.0;
+const ASSUMED_WORK_MS: f64 = 10.0;
 /// How full, as a share, `sees-all` lets servers become by jobs that are not of the highest gain.
-const FILLED_BY_LESSER: f64 = 0.75;
+const MAX_FILL_FOR_LOWER_GAIN: f64 = 0.75;
 
 /// What a node is told; times are its own.
 #[derive(Debug, Clone)]
-pub enum Word {
-    Job { id: u32, profile: usize, customer: usize, limit: f64 },
+pub enum Input {
+    Request { id: u32, profile: usize, customer: usize, limit: f64 },
     AttemptEnded { id: u32, attempt: usize, ending: AttemptOutcome, took: f64, done: bool },
     ProbeAnswered { server: Address, good: bool, report: Vec<f64>, took: f64 },
     Left { id: u32 },
@@ -30,18 +30,18 @@
 
 /// What a node does.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Act {
-    Attempt { job: u32, server: Address, limit: f64 },
-    CallOff { job: u32, attempt: usize },
-    Reject { job: u32, wait: f64 },
-    Fail { job: u32 },
+pub enum Action {
+    Attempt { request: u32, server: Address, limit: f64 },
+    CallOff { request: u32, attempt: usize },
+    Reject { request: u32, wait: f64 },
+    Fail { request: u32 },
     Probe { server: Address },
     Wake { delay: f64 },
     Watch,
 }
 
 pub trait Decider {
-    fn round(&mut self, now: f64, words: Vec<Word>) -> Vec<Act>;
+    fn round(&mut self, now: f64, inputs: Vec<Input>) -> Vec<Action>;
 }
 
 /// One who may decide, by the name on the command line.
@@ -77,7 +77,7 @@
 pub enum Fault {
     SendsTwice,
     AnswersTwice,
-    LosesJobs,
+    LosesRequests,
     AnswersLate,
     SendsToDrained,
     FloodsCold,
@@ -112,57 +112,59 @@
 }
 
 impl Decider for Module {
-    fn round(&mut self, now: f64, words: Vec<Word>) -> Vec<Act> {
-        let mut acts = Acts::default();
+    fn round(&mut self, now: f64, inputs: Vec<Input>) -> Vec<Action> {
+        let mut actions = ActionLog::default();
         let feed = |balancer: &mut Balancer| {
-            words.into_iter().for_each(|word| tell(balancer, word));
+            inputs.into_iter().for_each(|input| apply_input(balancer, input));
             Ok::<(), Infallible>(())
         };
-        let Ok(()) = self.0.round(now, feed, &mut acts);
-        acts.0
+        let Ok(()) = self.0.round(now, feed, &mut actions);
+        actions.0
     }
 }
 
-fn tell(balancer: &mut Balancer, word: Word) {
-    match word {
-        Word::Job { id, profile, customer, limit } => balancer.request_received(id, profile, customer, limit),
-        Word::AttemptEnded { id, attempt, ending, took, done } => {
+fn apply_input(balancer: &mut Balancer, input: Input) {
+    match input {
+        Input::Request { id, profile, customer, limit } => {
+            balancer.request_received(id, profile, customer, limit)
+        }
+        Input::AttemptEnded { id, attempt, ending, took, done } => {
             balancer.attempt_ended(id, attempt, ending, took, done)
         }
-        Word::ProbeAnswered { server, good, report, took } => {
+        Input::ProbeAnswered { server, good, report, took } => {
             balancer.probe_answered(server, good, &report, took);
         }
-        Word::Left { id } => balancer.client_left(id),
-        Word::Listed { whole, cached, lines } => balancer.list_received(whole, cached, lines.into_iter()),
-        Word::ListFailed => balancer.list_failed(),
-        Word::Closing { at } => balancer.shutdown_at(at),
+        Input::Left { id } => balancer.client_left(id),
+        Input::Listed { whole, cached, lines } => balancer.list_received(whole, cached, lines.into_iter()),
+        Input::ListFailed => balancer.list_failed(),
+        Input::Closing { at } => balancer.shutdown_at(at),
     }
 }
 
 #[derive(Default)]
-struct Acts(Vec<Act>);
+struct ActionLog(Vec<Action>);
 
-impl DecisionWriter for Acts {
-    fn attempt(&mut self, job: u32, server: Address, limit: f64) {
-        self.0.push(Act::Attempt { job, server, limit });
+impl DecisionWriter for ActionLog {
+    fn attempt(&mut self, request: u32, server: Address, limit: f64) {
+        self.0.push(Action::Attempt { request, server, limit });
     }
-    fn cancel(&mut self, job: u32, attempt: u16) {
-        self.0.push(Act::CallOff { job, attempt: usize::from(attempt) });
+    fn cancel(&mut self, request: u32, attempt: u16) {
+        self.0.push(Action::CallOff { request, attempt: usize::from(attempt) });
     }
-    fn reject(&mut self, job: u32, wait: f64) {
-        self.0.push(Act::Reject { job, wait });
+    fn reject(&mut self, request: u32, wait: f64) {
+        self.0.push(Action::Reject { request, wait });
     }
-    fn fail(&mut self, job: u32) {
-        self.0.push(Act::Fail { job });
+    fn fail(&mut self, request: u32) {
+        self.0.push(Action::Fail { request });
     }
     fn probe(&mut self, server: Address) {
-        self.0.push(Act::Probe { server });
+        self.0.push(Action::Probe { server });
     }
     fn wake_after(&mut self, delay: f64) {
-        self.0.push(Act::Wake { delay });
+        self.0.push(Action::Wake { delay });
     }
     fn watch_list(&mut self) {
-        self.0.push(Act::Watch);
+        self.0.push(Action::Watch);
     }
     fn log(&mut self, line: &str) {
         log::debug!("{line}");
@@ -170,7 +172,7 @@
 }
 
 /// Attempts out for a job of a baseline, and how those before ended.
-struct PlainJob {
+struct PlainRequest {
     profile: usize,
     limit: f64,
     attempts: Vec<(Address, f64, Option<AttemptOutcome>)>,
@@ -181,10 +183,10 @@
     pick: Policy,
     fault: Option<Fault>,
     settings: Settings,
-    chance: ChaCha8Rng,
+    rng: ChaCha8Rng,
     servers: BTreeMap<Address, ListedServer>,
     held: BTreeMap<Address, u32>,
-    jobs: BTreeMap<u32, PlainJob>,
+    requests: BTreeMap<u32, PlainRequest>,
     /// Limits, in bits so that they order as times do, and jobs.
     limits: BTreeSet<(u64, u32)>,
     asked: bool,
@@ -204,10 +206,10 @@
             pick,
             fault,
             settings,
-            chance: ChaCha8Rng::seed_from_u64(salt),
+            rng: ChaCha8Rng::seed_from_u64(salt),
             servers: BTreeMap::new(),
             held: BTreeMap::new(),
-            jobs: BTreeMap::new(),
+            requests: BTreeMap::new(),
             limits: BTreeSet::new(),
             asked: false,
             ask_at: 0.0,
@@ -215,16 +217,16 @@
         }
     }
 
-    fn hear(&mut self, now: f64, word: Word, acts: &mut Vec<Act>) {
-        match word {
-            Word::Job { id, profile, limit, .. } => {
-                self.jobs.insert(id, PlainJob { profile, limit, attempts: Vec::new() });
+    fn handle_input(&mut self, now: f64, input: Input, actions: &mut Vec<Action>) {
+        match input {
+            Input::Request { id, profile, limit, .. } => {
+                self.requests.insert(id, PlainRequest { profile, limit, attempts: Vec::new() });
                 self.limits.insert((limit.max(0.0).to_bits(), id));
-                self.go(now, id, acts);
+                self.go(now, id, actions);
             }
-            Word::AttemptEnded { id, attempt, ending, done, .. } => {
-                let Some(job) = self.jobs.get_mut(&id) else { return };
-                let Some(attempt) = job.attempts.get_mut(attempt).filter(|attempt| attempt.2.is_none())
+            Input::AttemptEnded { id, attempt, ending, done, .. } => {
+                let Some(request) = self.requests.get_mut(&id) else { return };
+                let Some(attempt) = request.attempts.get_mut(attempt).filter(|attempt| attempt.2.is_none())
                 else {
                     return;
                 };
@@ -234,26 +236,30 @@
                 if done {
                     self.forget(id);
                 } else {
-                    self.go(now, id, acts);
+                    self.go(now, id, actions);
                 }
             }
-            Word::Left { id } => self.forget(id),
-            Word::Listed { whole, cached, lines } => {
+            Input::Left { id } => self.forget(id),
+            Input::Listed { whole, cached, lines } => {
                 if whole && self.fault != Some(Fault::SendsToDrained) {
                     self.servers.clear();
                 }
                 lines.into_iter().for_each(|line| self.list(line));
                 self.asked = !cached;
             }
-            Word::ListFailed => {
+            Input::ListFailed => {
                 (self.asked, self.ask_at) = (false, now + self.settings.list_request_deadline * 0.2)
             }
-            Word::ProbeAnswered { .. } => {}
-            Word::Closing { at } => {
-                for job in self.jobs.values_mut() {
-                    job.limit = job.limit.min(at);
+            Input::ProbeAnswered { .. } => {}
+            Input::Closing { at } => {
+                for request in self.requests.values_mut() {
+                    request.limit = request.limit.min(at);
                 }
-                self.limits = self.jobs.iter().map(|(id, job)| (job.limit.max(0.0).to_bits(), *id)).collect();
+                self.limits = self
+                    .requests
+                    .iter()
+                    .map(|(id, request)| (request.limit.max(0.0).to_bits(), *id))
+                    .collect();
             }
         }
     }
@@ -267,9 +273,9 @@
     }
 
     fn forget(&mut self, id: u32) {
-        if let Some(job) = self.jobs.remove(&id) {
-            self.limits.remove(&(job.limit.max(0.0).to_bits(), id));
-            for (server, ..) in job.attempts.iter().filter(|attempt| attempt.2.is_none()) {
+        if let Some(request) = self.requests.remove(&id) {
+            self.limits.remove(&(request.limit.max(0.0).to_bits(), id));
+            for (server, ..) in request.attempts.iter().filter(|attempt| attempt.2.is_none()) {
                 let held = self.held.entry(*server).or_default();
                 *held = held.saturating_sub(1);
             }
@@ -277,14 +283,14 @@
     }
 
     /// Sends a job on, or ends it where that is not allowed.
-    fn go(&mut self, now: f64, id: u32, acts: &mut Vec<Act>) {
-        let job = &self.jobs[&id];
-        if job.attempts.iter().any(|attempt| attempt.2.is_none()) {
+    fn go(&mut self, now: f64, id: u32, actions: &mut Vec<Action>) {
+        let request = &self.requests[&id];
+        if request.attempts.iter().any(|attempt| attempt.2.is_none()) {
             return;
         }
-        let profile = &self.settings.profiles[job.profile];
+        let profile = &self.settings.profiles[request.profile];
         let may_have_run =
-            job.attempts.iter().find(|attempt| !attempt.2.is_some_and(AttemptOutcome::never_ran));
+            request.attempts.iter().find(|attempt| !attempt.2.is_some_and(AttemptOutcome::never_ran));
         let late = self.fault == Some(Fault::RepeatsLate);
         let again = match (may_have_run, profile.effect) {
             (None, _) | (Some(_), Effect::Idempotent) => true,
@@ -294,38 +300,39 @@
                     && (late || now < first.1 + profile.dedup_window)
             }
         };
-        let tries = job.attempts.len() < self.settings.max_attempts;
+        let tries = request.attempts.len() < self.settings.max_attempts;
         let target = if again && tries { self.pick(id) } else { None };
-        let Some(server) = target else { return self.end(id, acts) };
-        self.attempt(now, id, server, acts);
-        let non_idempotent = self.settings.profiles[self.jobs[&id].profile].effect == Effect::NonIdempotent;
-        if self.fault == Some(Fault::SendsTwice) && non_idempotent && self.jobs[&id].attempts.len() == 1 {
-            self.attempt(now, id, server, acts);
+        let Some(server) = target else { return self.end(id, actions) };
+        self.attempt(now, id, server, actions);
+        let non_idempotent =
+            self.settings.profiles[self.requests[&id].profile].effect == Effect::NonIdempotent;
+        if self.fault == Some(Fault::SendsTwice) && non_idempotent && self.requests[&id].attempts.len() == 1 {
+            self.attempt(now, id, server, actions);
         }
     }
 
-    fn attempt(&mut self, now: f64, id: u32, server: Address, acts: &mut Vec<Act>) {
-        let Some(job) = self.jobs.get_mut(&id) else { return };
+    fn attempt(&mut self, now: f64, id: u32, server: Address, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
         *self.held.entry(server).or_default() += 1;
-        job.attempts.push((server, now, None));
-        acts.push(Act::Attempt { job: id, server, limit: job.limit - now });
+        request.attempts.push((server, now, None));
+        actions.push(Action::Attempt { request: id, server, limit: request.limit - now });
     }
 
-    fn end(&mut self, id: u32, acts: &mut Vec<Act>) {
-        let job = &self.jobs[&id];
-        let proven = job.attempts.iter().all(|attempt| attempt.2.is_some_and(AttemptOutcome::never_ran));
-        let profile: &Profile = &self.settings.profiles[job.profile];
+    fn end(&mut self, id: u32, actions: &mut Vec<Action>) {
+        let request = &self.requests[&id];
+        let proven = request.attempts.iter().all(|attempt| attempt.2.is_some_and(AttemptOutcome::never_ran));
+        let profile: &Profile = &self.settings.profiles[request.profile];
         let harmless = proven || profile.effect == Effect::Idempotent;
         if harmless || self.fault == Some(Fault::RejectsWhatRan) {
-            acts.push(Act::Reject {
-                job: id,
-                wait: profile.latency_target * self.chance.random_range(0.1..0.4),
+            actions.push(Action::Reject {
+                request: id,
+                wait: profile.latency_target * self.rng.random_range(0.1..0.4),
             });
         } else {
-            acts.push(Act::Fail { job: id });
+            actions.push(Action::Fail { request: id });
         }
-        for (number, _) in job.attempts.iter().enumerate().filter(|(_, attempt)| attempt.2.is_none()) {
-            acts.push(Act::CallOff { job: id, attempt: number });
+        for (number, _) in request.attempts.iter().enumerate().filter(|(_, attempt)| attempt.2.is_none()) {
+            actions.push(Action::CallOff { request: id, attempt: number });
         }
         self.forget(id);
     }
@@ -337,42 +344,42 @@
         {
             return Some(coldest.address);
         }
-        let job = &self.jobs[&id];
-        let tried = |server: &Address| job.attempts.iter().any(|attempt| attempt.0 == *server);
+        let request = &self.requests[&id];
+        let tried = |server: &Address| request.attempts.iter().any(|attempt| attempt.0 == *server);
         let open: Vec<Address> = self.servers.keys().filter(|server| !tried(server)).copied().collect();
         if open.is_empty() {
             return None;
         }
-        let drawn = |chance: &mut ChaCha8Rng| open[chance.random_range(0..open.len())];
+        let drawn = |rng: &mut ChaCha8Rng| open[rng.random_range(0..open.len())];
         match self.pick {
             Policy::TwoChoices => {
-                let (one, other) = (drawn(&mut self.chance), drawn(&mut self.chance));
+                let (one, other) = (drawn(&mut self.rng), drawn(&mut self.rng));
                 let held = |server| self.held.get(&server).copied().unwrap_or(0);
                 Some(if held(one) <= held(other) { one } else { other })
             }
             Policy::LeastHeld => {
-                let start = self.chance.random_range(0..open.len());
+                let start = self.rng.random_range(0..open.len());
                 let turned = open[start..].iter().chain(&open[..start]);
                 turned.min_by_key(|server| self.held.get(*server).copied().unwrap_or(0)).copied()
             }
             Policy::SeesAll => self.best(&open, id),
-            Policy::Random | Policy::Module => Some(drawn(&mut self.chance)),
+            Policy::Random | Policy::Module => Some(drawn(&mut self.rng)),
         }
     }
 
     /// Where the job would be done first, by the true state. Callers' jobs are turned back where all servers are as full
     /// as they may be, those of little gain for their work before others.
     fn best(&mut self, open: &[Address], id: u32) -> Option<Address> {
-        let profile = self.jobs[&id].profile;
+        let profile = self.requests[&id].profile;
         let gain = self.settings.profiles[profile].gain;
         let most = self.settings.profiles.iter().fold(0.0, |most: f64, profile| most.max(profile.gain));
-        let start = self.chance.random_range(0..open.len());
+        let start = self.rng.random_range(0..open.len());
         let turned: Vec<Address> = open[start..].iter().chain(&open[..start]).copied().collect();
         let wait = |server: &Address, strict: bool| {
             let truth = self.all.truth(*server).filter(|truth| truth.up)?;
-            let filled = if gain < most { FILLED_BY_LESSER } else { 1.0 };
+            let filled = if gain < most { MAX_FILL_FOR_LOWER_GAIN } else { 1.0 };
             let fits = truth.sound && truth.filled < filled;
-            (fits || !strict).then(|| (*server, (truth.work + OWN_WORK) / truth.capacity.max(1e-9)))
+            (fits || !strict).then(|| (*server, (truth.work + ASSUMED_WORK_MS) / truth.capacity.max(1e-9)))
         };
         let least = |strict| {
             let waits = turned.iter().filter_map(|server| wait(server, strict));
@@ -384,24 +391,24 @@
 }
 
 impl Decider for Plain {
-    fn round(&mut self, now: f64, words: Vec<Word>) -> Vec<Act> {
-        let mut acts = Vec::new();
-        words.into_iter().for_each(|word| self.hear(now, word, &mut acts));
+    fn round(&mut self, now: f64, inputs: Vec<Input>) -> Vec<Action> {
+        let mut actions = Vec::new();
+        inputs.into_iter().for_each(|input| self.handle_input(now, input, &mut actions));
         if !self.asked && self.settings.discovery_on_request && now >= self.ask_at {
             self.ask_at = now + self.settings.list_request_deadline * 0.4;
-            acts.push(Act::Watch);
+            actions.push(Action::Watch);
         }
         let soon = now + 2.0 * self.settings.round_interval;
         while let Some((_, id)) = self.limits.first().copied().filter(|due| f64::from_bits(due.0) <= soon) {
             if self.fault == Some(Fault::AnswersLate) {
-                self.limits.remove(&(self.jobs[&id].limit.max(0.0).to_bits(), id));
-                if let Some(job) = self.jobs.get_mut(&id) {
-                    job.limit += 500.0;
-                    self.limits.insert((job.limit.to_bits(), id));
+                self.limits.remove(&(self.requests[&id].limit.max(0.0).to_bits(), id));
+                if let Some(request) = self.requests.get_mut(&id) {
+                    request.limit += 500.0;
+                    self.limits.insert((request.limit.to_bits(), id));
                 }
                 continue;
             }
-            self.end(id, &mut acts);
+            self.end(id, &mut actions);
         }
         let due = self
             .limits
@@ -410,8 +417,8 @@
         let ask = if self.asked || !self.settings.discovery_on_request { f64::INFINITY } else { self.ask_at };
         let next = due.min(ask);
         if next.is_finite() {
-            acts.push(Act::Wake { delay: (next - now).max(0.0) });
+            actions.push(Action::Wake { delay: (next - now).max(0.0) });
         }
-        acts
+        actions
     }
 }
--- a/crates/pearfront-emulator/src/repeats.rs
+++ b/crates/pearfront-emulator/src/dedup.rs
@@ -5,12 +5,12 @@
 
 /// Keys whose effect a group has had, and until when it knows them.
 #[derive(Debug, Default)]
-pub struct Repeats {
+pub struct DedupKeys {
     known: BTreeMap<u64, f64>,
     swept: f64,
 }
 
-impl Repeats {
+impl DedupKeys {
     /// Is a repeat dropped now?
     pub fn knows(&self, key: u64, now: f64) -> bool {
         self.known.get(&key).is_some_and(|until| now < *until)
@@ -32,9 +32,9 @@
 
 /// The memories of all groups of a fleet, by tier, profile and group.
 #[derive(Debug, Default)]
-pub struct Groups(BTreeMap<(usize, usize, u32), Repeats>);
+pub struct DedupGroups(BTreeMap<(usize, usize, u32), DedupKeys>);
 
-impl Groups {
+impl DedupGroups {
     /// What a server's group remembers of a profile; nothing for jobs without a key.
     pub fn of(
         &mut self,
@@ -42,7 +42,7 @@
         tier: usize,
         (zone, cell): (u16, u16),
         profile: usize,
-    ) -> Option<&mut Repeats> {
+    ) -> Option<&mut DedupKeys> {
         let wanted = &scenario.profiles[profile];
         let group = match wanted.group {
             Group::All => 0,
--- a/crates/pearfront-emulator/src/agenda.rs
+++ b/crates/pearfront-emulator/src/event_queue.rs
@@ -25,18 +25,18 @@
     }
 }
 
-pub struct Agenda<T> {
+pub struct EventQueue<T> {
     entries: BinaryHeap<Entry<T>>,
     numbered: u64,
 }
 
-impl<T> Default for Agenda<T> {
+impl<T> Default for EventQueue<T> {
     fn default() -> Self {
         Self { entries: BinaryHeap::new(), numbered: 0 }
     }
 }
 
-impl<T> Agenda<T> {
+impl<T> EventQueue<T> {
     pub fn put(&mut self, at: f64, what: T) {
         self.entries.push(Entry { at, number: self.numbered, what });
         self.numbered += 1;
--- a/crates/pearfront-emulator/src/judge.rs
+++ b/crates/pearfront-emulator/src/judge.rs
@@ -1,9 +1,11 @@
 //! What came of a play, from the records of servers, callers and discovery alone: the four rules, the gain served in
 //! time, the work done for nothing. It knows neither the nodes nor how they decide.
 
-use crate::record::{Answer, Answered, Ask, Attempt, AttemptEnd, Job, NodeEnd, Records, ServerLife};
+use crate::record::{
+    Answer, Answered, Ask, Attempt, AttemptEnd, NodeEnd, Records, RequestRecord, ServerLife,
+};
 use crate::scenario::{Effect, Group, Scenario};
-use crate::server::grown;
+use crate::server::warm_share;
 use hdrhistogram::Histogram;
 use pearfront::interface::ServerState;
 use serde::{Deserialize, Serialize};
@@ -12,18 +14,18 @@
 /// Seconds of the window that is told as the worst.
 const WORST_WINDOW: usize = 10;
 /// Asks that such a window must hold at the least, as a share of the mean: an all but empty one says nothing.
-const WINDOW_LEAST: f64 = 0.2;
+const MIN_WINDOW_SHARE: f64 = 0.2;
 /// Lateness of the emulator itself at the hundredth, as a share of the slack that the rules leave: beyond it a play in
 /// real time says nothing of the nodes. 5 ms of the 66 that are usual.
-const LATE_MOST: f64 = 0.076;
+const MAX_LATE_SHARE: f64 = 0.076;
 /// Share of a cold server's work that must come from nodes that knew, for the rule to be theirs.
-const KNOWING: f64 = 2.0 / 3.0;
+const MIN_INFORMED_SHARE: f64 = 2.0 / 3.0;
 /// Longest latency that is told apart, us: an hour.
-const LATENCY_MOST: u64 = 3_600_000_000;
+const MAX_LATENCY_US: u64 = 3_600_000_000;
 /// Times (root of N + 1) that a cold server may get beyond N by chance.
-const CHANCE: f64 = 2.0;
+const CHANCE_FACTOR: f64 = 2.0;
 /// Cases of each broken rule that are told in words.
-const EXAMPLES: usize = 5;
+const MAX_EXAMPLES: usize = 5;
 
 pub const RULES: [&str; 4] = ["no-job-lost", "no-effect-twice", "drains", "cold-servers"];
 
@@ -53,7 +55,8 @@
 pub struct Second {
     pub asked: f64,
     pub served: f64,
-    pub jobs: u64,
+    #[serde(rename = "jobs")]
+    pub requests: u64,
     pub attempts: u64,
     pub attempts_served: u64,
     pub errors: u64,
@@ -80,14 +83,16 @@
     pub failed: usize,
     pub unanswered: usize,
     /// Attempts at the first tier for each job, and work done at any tier for answers that nobody got, as a share.
-    pub attempts_a_job: f64,
+    #[serde(rename = "attempts_a_job")]
+    pub attempts_per_request: f64,
     /// An error that came at once counts with all the work that was asked for.
     pub wasted: f64,
     pub attempts: usize,
     pub probes: u64,
     pub connections: u64,
     /// Effects had again by a caller's own repeat: no node could know.
-    pub repeats_by_callers: usize,
+    #[serde(rename = "repeats_by_callers")]
+    pub repeats_by_clients: usize,
     pub p50_ms: f64,
     pub p99_ms: f64,
     /// The emulator was too late itself for this to say anything.
@@ -116,7 +121,7 @@
             self.p50_ms,
             self.p99_ms,
             self.asks,
-            self.attempts_a_job,
+            self.attempts_per_request,
             self.wasted,
             self.void
         )
@@ -126,7 +131,7 @@
 /// All attempts of one job, in the order in which they came, by the job's id.
 type AttemptsOf<'a> = BTreeMap<u64, Vec<&'a Attempt>>;
 
-struct Court<'a> {
+struct Judgement<'a> {
     scenario: &'a Scenario,
     records: &'a Records,
     attempts: AttemptsOf<'a>,
@@ -148,7 +153,7 @@
 impl ColdLoad {
     /// N + 2 x root of N + 2: beyond N only that is put down to chance.
     pub fn limit(&self) -> f64 {
-        self.may + CHANCE * (self.may.sqrt() + 1.0)
+        self.may + CHANCE_FACTOR * (self.may.sqrt() + 1.0)
     }
 
     pub fn of_limit(&self) -> f64 {
@@ -163,11 +168,15 @@
 }
 
 fn cold_load(scenario: &Scenario, life: &ServerLife, server: usize, records: &Records) -> ColdLoad {
-    let habits = &scenario.tiers[life.tier].server;
-    let (warm_up, window) = (habits.warm_up_s * 1000.0, scenario.rules.tip_window_s * 1000.0);
+    let behaviour = &scenario.tiers[life.tier].server;
+    let (warm_up, window) = (behaviour.warm_up_s * 1000.0, scenario.rules.tip_window_s * 1000.0);
     let mean_work = scenario.mean_work_at(life.tier);
     let may = |at: f64| {
-        scenario.rules.tip_multiple * life.cores * life.speed * grown(life.started, habits, at) * window
+        scenario.rules.tip_multiple
+            * life.cores
+            * life.speed
+            * warm_share(life.started, behaviour, at)
+            * window
             / mean_work
     };
     let of_it = |attempt: &&Attempt| attempt.server == server && attempt.came < life.started + warm_up;
@@ -195,65 +204,66 @@
         attempts.entry(attempt.trace).or_default().push(attempt);
     }
     attempts.values_mut().for_each(|attempts| attempts.sort_by(|a, b| a.came.total_cmp(&b.came)));
-    let nodes = records.jobs.iter().map(|job| (job.trace, job.node)).collect();
-    let mut court = Court { scenario, records, attempts, nodes, cases: Default::default() };
-    records.jobs.iter().for_each(|job| court.job(job));
-    court.drains();
-    court.cold();
-    let cases = std::mem::take(&mut court.cases);
+    let nodes = records.requests.iter().map(|request| (request.trace, request.node)).collect();
+    let mut judgement = Judgement { scenario, records, attempts, nodes, cases: Default::default() };
+    records.requests.iter().for_each(|request| judgement.request(request));
+    judgement.drains();
+    judgement.cold();
+    let cases = std::mem::take(&mut judgement.cases);
     let broken = RULES.iter().zip(cases).filter(|(_, cases)| !cases.is_empty());
-    let mut verdict = court.figures();
+    let mut verdict = judgement.figures();
     verdict.broken = broken
         .map(|(rule, cases)| Finding {
             rule: rule.to_string(),
             cases: cases.len(),
-            examples: cases.into_iter().take(EXAMPLES).collect(),
+            examples: cases.into_iter().take(MAX_EXAMPLES).collect(),
         })
         .collect();
     verdict
 }
 
-impl Court<'_> {
-    fn job(&mut self, job: &Job) {
-        let told = |what: &str| format!("job {} at {:.3} s: {what}", job.trace, job.sent / 1000.0);
-        if let Some(what) = self.answers(job) {
-            self.cases[0].push(told(&what));
+impl Judgement<'_> {
+    fn request(&mut self, request: &RequestRecord) {
+        let describe =
+            |what: &str| format!("job {} at {:.3} s: {what}", request.trace, request.sent / 1000.0);
+        if let Some(what) = self.answers(request) {
+            self.cases[0].push(describe(&what));
         }
-        if let Some(what) = self.effects(job) {
-            self.cases[1].push(told(&what));
+        if let Some(what) = self.effects(request) {
+            self.cases[1].push(describe(&what));
         }
     }
 
     /// Rule 1: one whole answer in time, and nothing after it.
-    fn answers(&self, job: &Job) -> Option<String> {
-        if job.answers.len() > 1 {
-            return Some(format!("{} answers", job.answers.len()));
+    fn answers(&self, request: &RequestRecord) -> Option<String> {
+        if request.answers.len() > 1 {
+            return Some(format!("{} answers", request.answers.len()));
         }
-        let Some(answered) = job.answers.first() else {
-            let node = &self.records.nodes[job.node];
-            let killed = node.ended.is_some_and(|(at, how)| how == NodeEnd::Killed && at <= job.limit);
-            let excused = killed || job.left.is_some_and(|at| at < job.limit);
-            return (!excused).then(|| if job.cut { "cut off".into() } else { "no answer".into() });
+        let Some(answered) = request.answers.first() else {
+            let node = &self.records.nodes[request.node];
+            let killed = node.ended.is_some_and(|(at, how)| how == NodeEnd::Killed && at <= request.limit);
+            let excused = killed || request.left.is_some_and(|at| at < request.limit);
+            return (!excused).then(|| if request.cut { "cut off".into() } else { "no answer".into() });
         };
-        if answered.at > job.limit + self.scenario.rules.slack_ms {
-            return Some(format!("answered {:.0} ms after its limit", answered.at - job.limit));
+        if answered.at > request.limit + self.scenario.rules.slack_ms {
+            return Some(format!("answered {:.0} ms after its limit", answered.at - request.limit));
         }
         if answered.answer != Answer::Served {
             return None;
         }
         let served = |attempt: &&Attempt| attempt.ended.is_some_and(|(_, how)| how == AttemptEnd::Served);
-        let made = self.attempts.get(&job.trace).is_some_and(|attempts| attempts.iter().any(served));
+        let made = self.attempts.get(&request.trace).is_some_and(|attempts| attempts.iter().any(served));
         match answered.body {
-            body if body != job.trace => Some(format!("got what was made for job {body}")),
+            body if body != request.trace => Some(format!("got what was made for job {body}")),
             _ if !made => Some("served with what no server made".into()),
             _ => None,
         }
     }
 
     /// Rule 2: what may have run goes again, or is rejected, only where that is harmless.
-    fn effects(&self, job: &Job) -> Option<String> {
-        let profile = &self.scenario.profiles[job.profile];
-        let attempts = self.attempts.get(&job.trace)?;
+    fn effects(&self, request: &RequestRecord) -> Option<String> {
+        let profile = &self.scenario.profiles[request.profile];
+        let attempts = self.attempts.get(&request.trace)?;
         let proven = |attempt: &Attempt, by: f64| {
             attempt.ended.is_some_and(|(at, how)| how == AttemptEnd::TurnedAway && at <= by)
         };
@@ -277,7 +287,7 @@
                 Effect::Keyed => {}
             }
         }
-        let rejected = job.answers.iter().find(|answered| answered.answer == Answer::Rejected)?;
+        let rejected = request.answers.iter().find(|answered| answered.answer == Answer::Rejected)?;
         let harmless = match profile.effect {
             Effect::Idempotent => true,
             Effect::Keyed if profile.group == Group::All => true,
@@ -298,9 +308,10 @@
     /// Rule 3: nothing new to a server that the node knows to drain or to be gone.
     fn drains(&mut self) {
         let mut ends: BTreeMap<(usize, usize), f64> = BTreeMap::new();
-        for told in self.records.told.iter().filter(|told| told.standing != ServerState::Ready) {
-            let at = ends.entry((told.node, told.server)).or_insert(told.at);
-            *at = at.min(told.at);
+        for update in self.records.list_updates.iter().filter(|update| update.standing != ServerState::Ready)
+        {
+            let at = ends.entry((update.node, update.server)).or_insert(update.at);
+            *at = at.min(update.at);
         }
         if ends.is_empty() {
             return;
@@ -328,9 +339,9 @@
             return;
         }
         let mut knows: BTreeMap<(usize, usize), f64> = BTreeMap::new();
-        for told in &self.records.told {
-            let at = knows.entry((told.node, told.server)).or_insert(told.at);
-            *at = at.min(told.at);
+        for update in &self.records.list_updates {
+            let at = knows.entry((update.node, update.server)).or_insert(update.at);
+            *at = at.min(update.at);
         }
         let mut by_server: BTreeMap<usize, Vec<&Attempt>> = BTreeMap::new();
         for attempt in &self.records.attempts {
@@ -356,12 +367,12 @@
         knowing: impl Fn(&Attempt) -> bool,
     ) -> Option<String> {
         let life = &self.records.servers[server];
-        let habits = &self.scenario.tiers[life.tier].server;
+        let behaviour = &self.scenario.tiers[life.tier].server;
         let window = self.scenario.rules.tip_window_s * 1000.0;
         let mean_work = self.scenario.mean_work_at(life.tier);
         let (mut sum, mut known, mut first) = (0.0, 0.0, 0);
         for attempt in attempts {
-            let share = grown(life.started, habits, attempt.came);
+            let share = warm_share(life.started, behaviour, attempt.came);
             if share >= 1.0 {
                 return None;
             }
@@ -373,7 +384,7 @@
                 first += 1;
             }
             let budget = self.scenario.rules.cold_budget(life.cores * life.speed * share, mean_work);
-            if sum > budget && known >= KNOWING * sum {
+            if sum > budget && known >= MIN_INFORMED_SHARE * sum {
                 let since = (attempt.came - life.started) / 1000.0;
                 return Some(format!(
                     "{} was sent {sum:.0} ms of work within {:.1} s, {since:.1} s after its start, and bears {budget:.0}",
@@ -394,17 +405,17 @@
         verdict.seconds = vec![Second::default(); scenario.length_s.ceil() as usize];
         // When each ask was served, by its best try.
         let mut served = vec![f64::INFINITY; self.records.asks.len()];
-        let mut latency = Histogram::<u64>::new_with_bounds(1, LATENCY_MOST, 3).expect("bounds that fit");
-        for job in &self.records.jobs {
-            let Some(ask) = job.ask else { continue };
+        let mut latency = Histogram::<u64>::new_with_bounds(1, MAX_LATENCY_US, 3).expect("bounds that fit");
+        for request in &self.records.requests {
+            let Some(ask) = request.ask else { continue };
             verdict.tries += 1;
             let last = verdict.seconds.len() - 1;
-            verdict.seconds[((job.sent / 1000.0) as usize).min(last)].jobs += 1;
-            match job.answers.first() {
+            verdict.seconds[((request.sent / 1000.0) as usize).min(last)].requests += 1;
+            match request.answers.first() {
                 Some(Answered { answer: Answer::Served, at, .. }) => {
                     verdict.served += 1;
                     served[ask] = served[ask].min(*at);
-                    latency.saturating_record(((at - job.sent) * 1000.0).max(0.0) as u64);
+                    latency.saturating_record(((at - request.sent) * 1000.0).max(0.0) as u64);
                 }
                 Some(Answered { answer: Answer::Rejected, .. }) => verdict.rejected += 1,
                 Some(Answered { answer: Answer::Failed, .. }) => verdict.failed += 1,
@@ -436,7 +447,7 @@
         verdict.connections = self.records.connections;
         if let Some(late) = &self.records.late {
             verdict.late_p99_us = late.value_at_quantile(0.99);
-            verdict.void = verdict.late_p99_us as f64 / 1000.0 > LATE_MOST * scenario.rules.slack_ms;
+            verdict.void = verdict.late_p99_us as f64 / 1000.0 > MAX_LATE_SHARE * scenario.rules.slack_ms;
         }
         self.attempt_figures(&mut verdict);
         verdict
@@ -444,11 +455,14 @@
 
     fn attempt_figures(&self, verdict: &mut Verdict) {
         let records = self.records;
-        let served = |job: &&Job| {
-            job.ask.is_some() && job.answers.first().is_some_and(|answered| answered.answer == Answer::Served)
+        let served = |request: &&RequestRecord| {
+            request.ask.is_some()
+                && request.answers.first().is_some_and(|answered| answered.answer == Answer::Served)
         };
-        let useful: BTreeSet<u64> = records.jobs.iter().filter(served).map(|job| job.trace).collect();
-        let roots: BTreeMap<u64, u64> = records.jobs.iter().map(|job| (job.trace, job.root)).collect();
+        let useful: BTreeSet<u64> =
+            records.requests.iter().filter(served).map(|request| request.trace).collect();
+        let roots: BTreeMap<u64, u64> =
+            records.requests.iter().map(|request| (request.trace, request.root)).collect();
         let last = verdict.seconds.len() - 1;
         let mut loads: Vec<BTreeMap<usize, u64>> = vec![BTreeMap::new(); verdict.seconds.len()];
         let (mut done, mut wasted, mut outer) = (0.0, 0.0, 0usize);
@@ -480,14 +494,15 @@
             second.attempts_most = load.values().copied().max().unwrap_or(0);
         }
         verdict.attempts = records.attempts.len();
-        verdict.attempts_a_job = outer as f64 / (verdict.tries as f64).max(1.0);
+        verdict.attempts_per_request = outer as f64 / (verdict.tries as f64).max(1.0);
         verdict.wasted = if done > 0.0 { wasted / done } else { 0.0 };
-        verdict.repeats_by_callers = self.repeats_by_callers();
+        verdict.repeats_by_clients = self.repeats_by_clients();
     }
 
     /// Keys whose effect was had by two jobs, beyond what one job did itself.
-    fn repeats_by_callers(&self) -> usize {
-        let keys: BTreeMap<u64, u64> = self.records.jobs.iter().map(|job| (job.trace, job.key)).collect();
+    fn repeats_by_clients(&self) -> usize {
+        let keys: BTreeMap<u64, u64> =
+            self.records.requests.iter().map(|request| (request.trace, request.key)).collect();
         let mut had: BTreeMap<(u64, usize), BTreeMap<u64, ()>> = BTreeMap::new();
         for attempt in self.records.attempts.iter().filter(|attempt| attempt.effect) {
             if let Some(key) = keys.get(&attempt.trace).filter(|key| **key > 0) {
@@ -529,6 +544,6 @@
     };
     let (asked, served) = (sums(|second| second.asked), sums(|second| second.served));
     let mean = asked.iter().sum::<f64>() / asked.len() as f64;
-    let full = asked.iter().zip(&served).filter(|(asked, _)| **asked > WINDOW_LEAST * mean);
+    let full = asked.iter().zip(&served).filter(|(asked, _)| **asked > MIN_WINDOW_SHARE * mean);
     full.map(|(asked, served)| served / asked).fold(1.0, f64::min)
 }
--- a/crates/pearfront-emulator/src/model/callers.rs
+++ b/crates/pearfront-emulator/src/model/clients.rs
@@ -1,10 +1,10 @@
 //! Callers of the model play: the front that deals their jobs out, answers, tries after the first.
 
-use super::nodes::{From, HeldJob, Seat};
+use super::nodes::{From, HeldRequest, NodeHost};
 use super::{Event, World};
-use crate::asks::{Asks, Drawn, weighted};
-use crate::record::{Answer, Answered, Ask, Job};
+use crate::record::{Answer, Answered, Ask, RequestRecord};
 use crate::scenario::Scenario;
+use crate::workload::{Drawn, Workload, weighted};
 use std::cell::Cell;
 use std::rc::Rc;
 
@@ -17,21 +17,21 @@
 }
 
 pub struct Front {
-    asks: Asks,
+    asks: Workload,
     /// Asks that are not over yet.
     pub open: usize,
 }
 
 impl Front {
     pub fn new(scenario: Rc<Scenario>, seed: u64) -> Self {
-        Self { asks: Asks::new(scenario, seed), open: 0 }
+        Self { asks: Workload::new(scenario, seed), open: 0 }
     }
 }
 
 impl World {
     pub fn next_ask(&mut self) {
         if let Some(ask) = self.front.asks.next() {
-            self.agenda.put(ask.at, Event::Ask(ask));
+            self.event_queue.put(ask.at, Event::Ask(ask));
         }
     }
 
@@ -45,12 +45,12 @@
 
     pub fn try_ask(&mut self, ask: &Rc<AskState>) {
         ask.tries.set(ask.tries.get() + 1);
-        let Some(seat) = self.deal(ask.ask.zone) else { return self.failed(ask) };
-        let node = seat.node.borrow().clone();
+        let Some(node_host) = self.deal(ask.ask.zone) else { return self.failed(ask) };
+        let node = node_host.node.borrow().clone();
         let Some(node) = node else { return self.failed(ask) };
-        let record = self.records.jobs.len();
+        let record = self.records.requests.len();
         let trace = record as u64 + 1;
-        self.records.jobs.push(Job {
+        self.records.requests.push(RequestRecord {
             trace,
             root: trace,
             ask: Some(ask.place),
@@ -64,7 +64,7 @@
             answers: Vec::new(),
             cut: false,
         });
-        let job = Rc::new(HeldJob {
+        let request = Rc::new(HeldRequest {
             node: node.clone(),
             number: Cell::new(0),
             record,
@@ -83,38 +83,40 @@
             over: Cell::new(false),
         });
         let hop = self.caller_hop();
-        self.agenda.put(self.now + hop, Event::Take(node, job.clone()));
+        self.event_queue.put(self.now + hop, Event::Take(node, request.clone()));
         let leaves = ask.ask.leaves(&self.scenario, self.now);
-        self.agenda.put(leaves, Event::CallerLeaves(job));
+        self.event_queue.put(leaves, Event::ClientLeaves(request));
     }
 
     /// The front sends to the nodes of the caller's zone that it knows to be up, else to any.
-    fn deal(&mut self, zone: usize) -> Option<Rc<Seat>> {
+    fn deal(&mut self, zone: usize) -> Option<Rc<NodeHost>> {
         let at = |home: bool| {
-            let fits = |seat: &&Rc<Seat>| seat.dealt.get() && (!home || usize::from(seat.zone) == zone);
-            self.seats.iter().filter(fits).cloned().collect::<Vec<_>>()
+            let fits = |node_host: &&Rc<NodeHost>| {
+                node_host.dealt.get() && (!home || usize::from(node_host.zone) == zone)
+            };
+            self.node_hosts.iter().filter(fits).cloned().collect::<Vec<_>>()
         };
-        let mut seats = at(true);
-        if seats.is_empty() {
-            seats = at(false);
+        let mut node_hosts = at(true);
+        if node_hosts.is_empty() {
+            node_hosts = at(false);
         }
-        if seats.is_empty() {
+        if node_hosts.is_empty() {
             return None;
         }
-        let place = weighted(&mut self.net, seats.iter().map(|seat| seat.weight.get()));
-        Some(seats[place].clone())
+        let place = weighted(&mut self.net, node_hosts.iter().map(|node_host| node_host.weight.get()));
+        Some(node_hosts[place].clone())
     }
 
     /// An answer has come to whoever waits for it.
-    pub fn answered(&mut self, job: &Rc<HeldJob>, answer: Answer, body: u64, wait: f64) {
-        let left = self.records.jobs[job.record].left.is_some();
+    pub fn answered(&mut self, request: &Rc<HeldRequest>, answer: Answer, body: u64, wait: f64) {
+        let left = self.records.requests[request.record].left.is_some();
         if !left {
-            self.records.jobs[job.record].answers.push(Answered { at: self.now, answer, body });
+            self.records.requests[request.record].answers.push(Answered { at: self.now, answer, body });
         }
-        if job.over.replace(true) {
+        if request.over.replace(true) {
             return;
         }
-        match &job.from {
+        match &request.from {
             From::Server(flight) => {
                 let flight = flight.clone();
                 let host = flight.host.clone();
@@ -134,29 +136,29 @@
     }
 
     /// The node is gone, and the job's connection with it.
-    pub fn cut(&mut self, job: &Rc<HeldJob>) {
-        self.records.jobs[job.record].cut = true;
-        if job.over.replace(true) {
+    pub fn cut(&mut self, request: &Rc<HeldRequest>) {
+        self.records.requests[request.record].cut = true;
+        if request.over.replace(true) {
             return;
         }
-        match &job.from {
+        match &request.from {
             From::Caller(ask) => self.failed(&ask.clone()),
             // It ends with its server; nobody waits.
             From::Server(_) => {}
         }
     }
 
-    pub fn caller_leaves(&mut self, job: &Rc<HeldJob>) {
-        if job.over.replace(true) {
+    pub fn caller_leaves(&mut self, request: &Rc<HeldRequest>) {
+        if request.over.replace(true) {
             return;
         }
-        self.records.jobs[job.record].left = Some(self.now);
-        if job.node.alive.get() && !job.answered.get() {
-            let number = job.number.get();
-            job.answered.set(true);
-            self.tell(&job.node.clone(), crate::decide::Word::Left { id: number });
+        self.records.requests[request.record].left = Some(self.now);
+        if request.node.alive.get() && !request.answered.get() {
+            let number = request.number.get();
+            request.answered.set(true);
+            self.queue_input(&request.node.clone(), crate::decide::Input::Left { id: number });
         }
-        if let From::Caller(ask) = &job.from {
+        if let From::Caller(ask) = &request.from {
             self.finish(&ask.clone());
         }
     }
@@ -168,7 +170,7 @@
     /// A try was in vain; the next one follows where the caller may and wants to.
     fn again(&mut self, ask: &Rc<AskState>, wait: f64, harmless: bool) {
         match ask.ask.next_try(&self.scenario, self.now, ask.tries.get(), wait, harmless) {
-            Some(at) => self.agenda.put(at, Event::Try(ask.clone())),
+            Some(at) => self.event_queue.put(at, Event::Try(ask.clone())),
             None => self.finish(ask),
         }
     }
--- a/crates/pearfront-emulator/src/model/directory.rs
+++ b/crates/pearfront-emulator/src/model/directory.rs
@@ -3,7 +3,7 @@
 use super::hosts::{Fleet, Host};
 use super::nodes::Node;
 use super::{Event, World};
-use crate::decide::Word;
+use crate::decide::Input;
 use crate::list::Line;
 use crate::scenario::Scenario;
 use pearfront::interface::ServerState;
@@ -70,7 +70,7 @@
     pub fn announce(&mut self, host: &Host, standing: ServerState, after: f64) {
         let (soonest, latest) = self.scenario.discovery.late_ms;
         let late = soonest + (latest - soonest) * self.net.random::<f64>();
-        self.agenda.put(self.now + after + late, Event::Publish(line(host, standing)));
+        self.event_queue.put(self.now + after + late, Event::Publish(line(host, standing)));
     }
 
     pub fn publish(&mut self, line: Line) {
@@ -91,7 +91,7 @@
         for node in watchers.into_iter().filter(|node| node.tier == line.tier && node.watching.get()) {
             let at = self.directory.turn(self.now, 1.0, f64::INFINITY).unwrap_or(self.now);
             let hop = self.hop(node.zone, line.zone);
-            self.agenda.put(at + hop, Event::Told(node, vec![line.clone()], false));
+            self.event_queue.put(at + hop, Event::ListUpdate(node, vec![line.clone()], false));
         }
     }
 
@@ -111,7 +111,7 @@
         let turn =
             if self.directory.down > 0 { None } else { self.directory.turn(self.now + hop, lines, timeout) };
         let (at, good) = turn.map_or((self.now + timeout, false), |at| (at, true));
-        self.agenda.put(at + hop, Event::WatchAnswered(node.clone(), good));
+        self.event_queue.put(at + hop, Event::WatchAnswered(node.clone(), good));
     }
 
     pub fn watch_answered(&mut self, node: &Rc<Node>, good: bool) {
@@ -119,11 +119,11 @@
             return;
         }
         if !good || self.directory.down > 0 {
-            return self.tell(node, Word::ListFailed);
+            return self.queue_input(node, Input::ListFailed);
         }
         node.watching.set(true);
         let lines = self.directory.lines(node.tier);
-        self.told(node, lines, true, false);
+        self.list_received(node, lines, true, false);
     }
 
     /// Discovery is down: watches end.
@@ -133,7 +133,7 @@
         }
         let watchers: Vec<Rc<Node>> = self.directory.watchers.clone();
         for node in watchers.into_iter().filter(|node| node.watching.replace(false)) {
-            self.tell(&node, Word::ListFailed);
+            self.queue_input(&node, Input::ListFailed);
         }
     }
 }
--- a/crates/pearfront-emulator/src/model/hosts.rs
+++ b/crates/pearfront-emulator/src/model/hosts.rs
@@ -1,13 +1,13 @@
 //! Machines of the model play: servers at their addresses, what troubles do to them, and the attempts that reach them.
 
 use super::nodes::{Flight, Node};
-use super::{BESIDE, Event, World};
+use super::{Event, SIDECAR_DELAY_MS, World};
+use crate::active_troubles::{ActiveTroubles, State};
 use crate::decide::{SeesAll, Truth};
+use crate::dedup::{DedupGroups, DedupKeys};
 use crate::record::{Attempt, AttemptEnd, ServerLife};
-use crate::repeats::{Groups, Repeats};
 use crate::scenario::{Effect, Scenario, What};
-use crate::server::{Arrival, Happened, Need, Server};
-use crate::struck::{State, Struck};
+use crate::server::{Arrival, Need, Server, ServerEvent};
 use pearfront::interface::{Address, AttemptOutcome};
 use rand::prelude::Rng;
 use rand_distr::{Distribution, Exp};
@@ -43,7 +43,7 @@
     /// The node beside it that its calls go through.
     pub node: RefCell<Option<Rc<Node>>>,
     pub flights: RefCell<Vec<Rc<Flight>>>,
-    pub struck: Struck,
+    pub active_troubles: ActiveTroubles,
     version: Cell<u64>,
 }
 
@@ -56,8 +56,8 @@
         id: String,
         state: State,
     ) -> Rc<Self> {
-        let habits = &scenario.tiers[tier].server;
-        let server = Server::new(&scenario.kinds[kind], habits, &scenario.rules, f64::NEG_INFINITY, 0.0);
+        let behaviour = &scenario.tiers[tier].server;
+        let server = Server::new(&scenario.kinds[kind], behaviour, &scenario.rules, f64::NEG_INFINITY, 0.0);
         Rc::new(Host {
             address,
             tier,
@@ -73,7 +73,7 @@
             server: RefCell::new(server),
             node: RefCell::default(),
             flights: RefCell::default(),
-            struck: Struck::default(),
+            active_troubles: ActiveTroubles::default(),
             version: Cell::new(0),
         })
     }
@@ -99,7 +99,7 @@
     pub hosts: RefCell<Vec<Rc<Host>>>,
     pub at: RefCell<BTreeMap<Address, Rc<Host>>>,
     /// What each group of servers knows of keys.
-    pub repeats: RefCell<Groups>,
+    pub repeats: RefCell<DedupGroups>,
     now: Cell<f64>,
     pub addressed: Cell<u32>,
 }
@@ -127,13 +127,15 @@
         let host = self.host(server)?;
         let server = host.server.borrow();
         let capacity = server.capacity(self.now.get());
-        let sound = host.struck.spared(What::FastErrors) * host.struck.spared(What::LostAnswers) > SOUND;
+        let sound = host.active_troubles.unaffected_share(What::FastErrors)
+            * host.active_troubles.unaffected_share(What::LostAnswers)
+            > SOUND;
         let up = host.is_up() && !host.draining.get() && capacity > 0.0;
         // Attempts on their way weigh as much as those that have come.
         let coming = host.flights.borrow().iter().filter(|flight| flight.attempt.get().is_none()).count();
         let each = if server.held() > 0 { server.work_left() / server.held() as f64 } else { 0.0 };
         let held = (server.held() + coming) as f64;
-        let most = server.room() * server.grown(self.now.get());
+        let most = server.room() * server.warm_share(self.now.get());
         Some(Truth {
             work: server.work_left() + each * coming as f64,
             capacity,
@@ -175,13 +177,13 @@
             return;
         }
         let wait = Exp::new(1.0 / every).map_or(every, |exp| exp.sample(&mut self.service));
-        self.agenda.put(self.now + wait, Event::Pause(host.clone()));
+        self.event_queue.put(self.now + wait, Event::Pause(host.clone()));
     }
 
     pub fn pause(&mut self, host: &Rc<Host>) {
         let until = self.now + self.scenario.tiers[host.tier].server.pause_ms;
         self.catch_up(host);
-        host.server.borrow_mut().stand_still(until);
+        host.server.borrow_mut().stall_until(until);
         self.watch_host(host);
         self.next_pause(host);
     }
@@ -189,13 +191,15 @@
     /// Has the server work on until now, and carries out what happened meanwhile.
     pub fn catch_up(&mut self, host: &Rc<Host>) {
         self.fleet.tick(self.now);
-        let happened = host.server.borrow_mut().advance(self.now);
-        for (Ticket(flight), what) in happened {
+        let events = host.server.borrow_mut().advance(self.now);
+        for (Ticket(flight), what) in events {
             match what {
-                Happened::Began => {}
-                Happened::Calls => self.call_next_tier(host, &flight),
-                Happened::Done => self.served(host, &flight),
-                Happened::Failed => self.server_ends(host, &flight, AttemptEnd::Error, AttemptOutcome::Error),
+                ServerEvent::Began => {}
+                ServerEvent::Calls => self.call_next_tier(host, &flight),
+                ServerEvent::Done => self.served(host, &flight),
+                ServerEvent::Failed => {
+                    self.server_ends(host, &flight, AttemptEnd::Error, AttemptOutcome::Error)
+                }
             }
         }
     }
@@ -205,7 +209,7 @@
         host.version.set(host.version.get() + 1);
         let due = host.server.borrow().due();
         if due.is_finite() && host.is_up() {
-            self.agenda.put(due.max(self.now), Event::HostDue(host.clone(), host.version.get()));
+            self.event_queue.put(due.max(self.now), Event::HostDue(host.clone(), host.version.get()));
         }
     }
 
@@ -222,24 +226,24 @@
             return;
         }
         self.catch_up(&host);
-        let job = &flight.job;
-        let mut work = job.work;
+        let request = &flight.request;
+        let mut work = request.work;
         if flight.new_connection {
             work += self.scenario.tiers[host.tier].server.connect_work_ms;
         }
         let need = Need {
             work,
             calls: self.scenario.tiers[host.tier].calls,
-            fails: self.service.random::<f64>() >= host.struck.spared(What::FastErrors),
+            fails: self.service.random::<f64>() >= host.active_troubles.unaffected_share(What::FastErrors),
             repeat: self.repeats(&host, flight, |repeats, key, now, _| repeats.knows(key, now)),
         };
         flight.attempt.set(Some(self.records.attempts.len()));
         self.records.attempts.push(Attempt {
-            trace: job.trace,
+            trace: request.trace,
             server: host.life.get(),
             sent: flight.sent,
             came: self.now,
-            work: job.work,
+            work: request.work,
             ended: None,
             effect: false,
             called_off: None,
@@ -264,18 +268,18 @@
         &self,
         host: &Host,
         flight: &Flight,
-        ask: impl Fn(&mut Repeats, u64, f64, f64) -> bool,
+        ask: impl Fn(&mut DedupKeys, u64, f64, f64) -> bool,
     ) -> bool {
-        let profile = flight.job.profile;
+        let profile = flight.request.profile;
         let mut groups = self.fleet.repeats.borrow_mut();
         let repeats = groups.of(&self.scenario, host.tier, (host.zone, host.cell), profile);
         let window = self.scenario.profiles[profile].window_s * 1000.0;
-        repeats.is_some_and(|repeats| ask(repeats, flight.job.key, self.now, window))
+        repeats.is_some_and(|repeats| ask(repeats, flight.request.key, self.now, window))
     }
 
     fn served(&mut self, host: &Rc<Host>, flight: &Rc<Flight>) {
-        let keyed = self.scenario.profiles[flight.job.profile].effect == Effect::Keyed;
-        let first = self.repeats(host, flight, Repeats::work_through);
+        let keyed = self.scenario.profiles[flight.request.profile].effect == Effect::Keyed;
+        let first = self.repeats(host, flight, DedupKeys::work_through);
         if let Some(attempt) = flight.attempt.get() {
             self.records.attempts[attempt].effect = first || !keyed;
         }
@@ -288,20 +292,21 @@
         if let Some(attempt) = flight.attempt.get() {
             self.records.attempts[attempt].ended = Some((self.now, end));
         }
-        let lost = self.service.random::<f64>() >= host.struck.spared(What::LostAnswers);
+        let lost = self.service.random::<f64>() >= host.active_troubles.unaffected_share(What::LostAnswers);
         if !flight.ended.get() && !lost {
-            let hop = self.hop(host.zone, flight.job.node.zone);
-            self.agenda.put(self.now + hop, Event::AttemptEnds(flight.clone(), ending, flight.job.trace));
+            let hop = self.hop(host.zone, flight.request.node.zone);
+            self.event_queue
+                .put(self.now + hop, Event::AttemptEnds(flight.clone(), ending, flight.request.trace));
         }
     }
 
     fn call_next_tier(&mut self, host: &Rc<Host>, flight: &Rc<Flight>) {
         let node = host.node.borrow().clone();
-        let left = flight.job.limit - self.now;
+        let left = flight.request.limit - self.now;
         match node {
             Some(node) if left > 0.0 => {
                 let call = self.new_call(&node, flight);
-                self.agenda.put(self.now + BESIDE, Event::Take(node, call));
+                self.event_queue.put(self.now + SIDECAR_DELAY_MS, Event::Take(node, call));
             }
             _ => self.call_ended(host, flight, false),
         }
@@ -346,8 +351,8 @@
                 self.records.attempts[attempt].ended = Some((self.now, AttemptEnd::Lost));
             }
             if !flight.ended.get() {
-                let hop = self.hop(host.zone, flight.job.node.zone);
-                self.agenda.put(self.now + hop, Event::AttemptEnds(flight, ending, 0));
+                let hop = self.hop(host.zone, flight.request.node.zone);
+                self.event_queue.put(self.now + hop, Event::AttemptEnds(flight, ending, 0));
             }
         }
     }
@@ -357,16 +362,17 @@
         self.catch_up(&host);
         self.records.probes += 1;
         let mut server = host.server.borrow_mut();
-        if server.has_fallen() || host.struck.has(What::LostReports) {
+        if server.has_fallen() || host.active_troubles.has(What::LostReports) {
             return;
         }
-        server.burden(self.scenario.tiers[host.tier].server.probe_work_ms);
-        let report = if host.struck.has(What::StaleReports) { server.old_report() } else { server.report() };
+        server.add_work(self.scenario.tiers[host.tier].server.probe_work_ms);
+        let report =
+            if host.active_troubles.has(What::StaleReports) { server.old_report() } else { server.report() };
         drop(server);
         self.watch_host(&host);
         let hop = self.hop(host.zone, node.zone);
         let figure = if self.scenario.nodes.told_held { report.held } else { report.utilisation };
         let answer = Event::ProbeAnswered(node.clone(), address, true, vec![figure], sent);
-        self.agenda.put(self.now + hop, answer);
+        self.event_queue.put(self.now + hop, answer);
     }
 }
--- a/crates/pearfront-emulator/src/model/mod.rs
+++ b/crates/pearfront-emulator/src/model/mod.rs
@@ -1,32 +1,32 @@
 //! The model play: a scenario in simulated time round the decision module itself. One seed gives one result, byte for
 //! byte. `play` builds a world, runs it to its end and hands out the records.
 
-mod callers;
+mod clients;
 mod directory;
 mod hosts;
 mod nodes;
 mod script;
 
-use crate::agenda::Agenda;
-use crate::asks::Drawn;
 use crate::decide::{Fault, Policy};
+use crate::event_queue::EventQueue;
 use crate::list::Line;
 use crate::platform;
 use crate::record::{Answer, Records};
 use crate::scenario::Scenario;
-use callers::{AskState, Front};
+use crate::workload::Drawn;
+use clients::{AskState, Front};
 use directory::Directory;
 use hosts::{Fleet, Host};
-use nodes::{Flight, HeldJob, Node, Seat};
+use nodes::{Flight, HeldRequest, Node, NodeHost};
 use pearfront::interface::{Address, AttemptOutcome, Settings};
 use rand::prelude::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::rc::Rc;
 
 /// How long, ms, a play runs on after its last arrival at the most: everything has an answer by then.
-const RUN_OUT: f64 = 60_000.0;
+const RUN_OUT_MS: f64 = 60_000.0;
 /// One-way delay, ms, between a server and the node beside it.
-const BESIDE: f64 = 0.05;
+const SIDECAR_DELAY_MS: f64 = 0.05;
 
 #[derive(Debug, Clone, Copy)]
 pub struct Options {
@@ -44,7 +44,7 @@
 enum Event {
     Ask(Drawn),
     Try(Rc<AskState>),
-    Take(Rc<Node>, Rc<HeldJob>),
+    Take(Rc<Node>, Rc<HeldRequest>),
     Round(Rc<Node>),
     AttemptArrives(Rc<Flight>),
     AttemptTimesOut(Rc<Flight>),
@@ -54,11 +54,11 @@
     HostDue(Rc<Host>, u64),
     ProbeArrives(Rc<Node>, Address, f64),
     ProbeAnswered(Rc<Node>, Address, bool, Vec<f64>, f64),
-    Answered(Rc<HeldJob>, Answer, u64, f64),
-    CallerLeaves(Rc<HeldJob>),
+    Answered(Rc<HeldRequest>, Answer, u64, f64),
+    ClientLeaves(Rc<HeldRequest>),
     WatchAnswered(Rc<Node>, bool),
     Publish(Line),
-    Told(Rc<Node>, Vec<Line>, bool),
+    ListUpdate(Rc<Node>, Vec<Line>, bool),
     Sweep(Rc<Node>),
     Pause(Rc<Host>),
     Begin(usize),
@@ -66,20 +66,20 @@
     EndHost(Rc<Host>, u64),
     StartHost(Rc<Host>),
     DrainHost(Rc<Host>),
-    EndNode(Rc<Seat>, u64),
-    StartNode(Rc<Seat>),
-    FrontNotices(Rc<Seat>, bool),
-    FrontDrops(Rc<Seat>),
+    EndNode(Rc<NodeHost>, u64),
+    StartNode(Rc<NodeHost>),
+    FrontNotices(Rc<NodeHost>, bool),
+    FrontDrops(Rc<NodeHost>),
 }
 
 struct World {
     scenario: Rc<Scenario>,
     options: Options,
-    agenda: Agenda<Event>,
+    event_queue: EventQueue<Event>,
     now: f64,
     records: Records,
     fleet: Rc<Fleet>,
-    seats: Vec<Rc<Seat>>,
+    node_hosts: Vec<Rc<NodeHost>>,
     /// Settings of the nodes of each tier and zone.
     settings: Vec<Vec<Settings>>,
     directory: Directory,
@@ -98,12 +98,12 @@
 pub fn play(scenario: &Scenario, options: Options, progress: &mut dyn FnMut(f64)) -> Records {
     let mut world = World::new(scenario, options);
     world.begin();
-    let end = scenario.length() + RUN_OUT;
-    let mut told = 0.0;
-    while let Some((at, event)) = world.agenda.next(end) {
+    let end = scenario.length() + RUN_OUT_MS;
+    let mut last_progress = 0.0;
+    while let Some((at, event)) = world.event_queue.next(end) {
         world.now = at;
-        if at - told >= 1000.0 {
-            told = at;
+        if at - last_progress >= 1000.0 {
+            last_progress = at;
             progress((at / scenario.length()).min(1.0));
         }
         if at > scenario.length() && world.front.open == 0 {
@@ -117,9 +117,9 @@
 impl World {
     fn new(scenario: &Scenario, options: Options) -> Self {
         let stream = |number: u64| {
-            let mut chance = ChaCha8Rng::seed_from_u64(options.seed);
-            chance.set_stream(number);
-            chance
+            let mut rng = ChaCha8Rng::seed_from_u64(options.seed);
+            rng.set_stream(number);
+            rng
         };
         let settings = |tier: usize, zone: usize| {
             let siblings = if tier == 0 { scenario.nodes.count } else { scenario.tiers[tier - 1].servers };
@@ -133,11 +133,11 @@
             front: Front::new(shared.clone(), options.seed),
             scenario: shared,
             options,
-            agenda: Agenda::default(),
+            event_queue: EventQueue::default(),
             now: 0.0,
             records: Records::default(),
             fleet: Rc::default(),
-            seats: Vec::new(),
+            node_hosts: Vec::new(),
             settings: (0..scenario.tiers.len()).map(by_zone).collect(),
             directory: Directory::new(scenario),
             net: stream(2),
@@ -154,7 +154,7 @@
         self.directory.publish_all(&self.fleet);
         self.build_seats();
         for trouble in 0..self.scenario.troubles.len() {
-            self.agenda.put(self.scenario.troubles[trouble].at_s * 1000.0, Event::Begin(trouble));
+            self.event_queue.put(self.scenario.troubles[trouble].at_s * 1000.0, Event::Begin(trouble));
         }
         self.next_ask();
     }
@@ -163,7 +163,7 @@
         match event {
             Event::Ask(ask) => self.ask(ask),
             Event::Try(ask) => self.try_ask(&ask),
-            Event::Take(node, job) => self.take(&node, &job),
+            Event::Take(node, request) => self.take(&node, &request),
             Event::Round(node) => self.round(&node),
             Event::AttemptArrives(flight) => self.attempt_arrives(&flight),
             Event::AttemptTimesOut(flight) => self.attempt_times_out(&flight),
@@ -174,11 +174,11 @@
             Event::ProbeAnswered(node, address, good, report, sent) => {
                 self.probe_answered(&node, address, good, report, sent);
             }
-            Event::Answered(job, answer, body, wait) => self.answered(&job, answer, body, wait),
-            Event::CallerLeaves(job) => self.caller_leaves(&job),
+            Event::Answered(request, answer, body, wait) => self.answered(&request, answer, body, wait),
+            Event::ClientLeaves(request) => self.caller_leaves(&request),
             Event::WatchAnswered(node, good) => self.watch_answered(&node, good),
             Event::Publish(line) => self.publish(line),
-            Event::Told(node, lines, whole) => self.told(&node, lines, whole, false),
+            Event::ListUpdate(node, lines, whole) => self.list_received(&node, lines, whole, false),
             Event::Sweep(node) => self.sweep(&node),
             Event::Pause(host) => self.pause(&host),
             Event::Begin(trouble) => self.begin_trouble(trouble),
@@ -186,10 +186,10 @@
             Event::EndHost(host, life) => self.end_host(&host, life),
             Event::StartHost(host) => self.start_host(&host),
             Event::DrainHost(host) => self.drain_host(&host),
-            Event::FrontDrops(seat) => seat.dealt.set(false),
-            Event::EndNode(seat, life) => self.end_node(&seat, life),
-            Event::StartNode(seat) => self.start_node(&seat),
-            Event::FrontNotices(seat, up) => self.front_notices(&seat, up),
+            Event::FrontDrops(node_host) => node_host.dealt.set(false),
+            Event::EndNode(node_host, life) => self.end_node(&node_host, life),
+            Event::StartNode(node_host) => self.start_node(&node_host),
+            Event::FrontNotices(node_host, up) => self.front_notices(&node_host, up),
         }
     }
 
--- a/crates/pearfront-emulator/src/model/nodes.rs
+++ b/crates/pearfront-emulator/src/model/nodes.rs
@@ -3,10 +3,10 @@
 
 use super::hosts::Host;
 use super::{Event, World};
-use crate::decide::{Act, Decider, Fault, Module, Plain, Policy, Word};
+use crate::active_troubles::State;
+use crate::decide::{Action, Decider, Fault, Input, Module, Plain, Policy};
 use crate::list::Line;
-use crate::record::{Answer, Job, NodeEnd, NodeLife, Told};
-use crate::struck::State;
+use crate::record::{Answer, ListUpdate, NodeEnd, NodeLife, RequestRecord};
 use pearfront::interface::{Address, AttemptOutcome, ListedServer, ServerState};
 use rand::prelude::Rng;
 use std::cell::{Cell, RefCell};
@@ -23,7 +23,7 @@
 const LOSES_ONE_IN: u64 = 50;
 
 /// Where a node of the first tier runs; it outlives the node.
-pub struct Seat {
+pub struct NodeHost {
     pub name: String,
     pub zone: u16,
     pub node: RefCell<Option<Rc<Node>>>,
@@ -44,12 +44,12 @@
     pub started: f64,
     pub alive: Cell<bool>,
     pub decider: RefCell<Box<dyn Decider>>,
-    inbox: RefCell<Vec<Word>>,
+    inbox: RefCell<Vec<Input>>,
     last_round: Cell<f64>,
     round_at: Cell<f64>,
     /// When the module wants to be woken, which rounds that come before do not change.
     wake_at: Cell<f64>,
-    pub jobs: RefCell<BTreeMap<u32, Rc<HeldJob>>>,
+    pub requests: RefCell<BTreeMap<u32, Rc<HeldRequest>>>,
     numbered: Cell<u32>,
     pub watching: Cell<bool>,
     pub known: RefCell<BTreeMap<Address, Line>>,
@@ -61,12 +61,12 @@
 
 /// Who waits for a job's answer.
 pub enum From {
-    Caller(Rc<super::callers::AskState>),
+    Caller(Rc<super::clients::AskState>),
     /// An attempt that its server makes this call for.
     Server(Rc<Flight>),
 }
 
-pub struct HeldJob {
+pub struct HeldRequest {
     pub node: Rc<Node>,
     pub number: Cell<u32>,
     pub record: usize,
@@ -90,7 +90,7 @@
 
 /// An attempt on its way.
 pub struct Flight {
-    pub job: Rc<HeldJob>,
+    pub request: Rc<HeldRequest>,
     pub number: usize,
     pub host: Rc<Host>,
     /// The start of the host that it was sent to.
@@ -107,7 +107,7 @@
     pub fn build_seats(&mut self) {
         let zones = self.scenario.zones.len();
         for number in 0..self.scenario.nodes.count {
-            let seat = Rc::new(Seat {
+            let node_host = Rc::new(NodeHost {
                 name: format!("n{number}"),
                 zone: (number % zones) as u16,
                 node: RefCell::default(),
@@ -116,8 +116,8 @@
                 starts: Cell::new(0),
                 known: RefCell::new(self.directory.lines(0)),
             });
-            self.seats.push(seat.clone());
-            self.start_node(&seat);
+            self.node_hosts.push(node_host.clone());
+            self.start_node(&node_host);
         }
         let calling = |host: &&Rc<Host>| host.tier + 1 < self.scenario.tiers.len();
         let hosts: Vec<Rc<Host>> = self.fleet.hosts.borrow().iter().filter(calling).cloned().collect();
@@ -126,16 +126,18 @@
         }
     }
 
-    pub fn start_node(&mut self, seat: &Rc<Seat>) {
-        if seat.node.borrow().is_some() {
+    pub fn start_node(&mut self, node_host: &Rc<NodeHost>) {
+        if node_host.node.borrow().is_some() {
             return;
         }
-        seat.starts.set(seat.starts.get() + 1);
-        let known = seat.known.borrow().clone();
-        let node = self.new_node(seat.name.clone(), 0, seat.zone, known);
-        *seat.node.borrow_mut() = Some(node);
-        self.agenda
-            .put(self.now + self.scenario.callers.notice_s * 500.0, Event::FrontNotices(seat.clone(), true));
+        node_host.starts.set(node_host.starts.get() + 1);
+        let known = node_host.known.borrow().clone();
+        let node = self.new_node(node_host.name.clone(), 0, node_host.zone, known);
+        *node_host.node.borrow_mut() = Some(node);
+        self.event_queue.put(
+            self.now + self.scenario.clients.notice_s * 500.0,
+            Event::FrontNotices(node_host.clone(), true),
+        );
     }
 
     /// The node beside a server, for the next tier; it starts and ends with its server.
@@ -170,7 +172,7 @@
             last_round: Cell::new(f64::NEG_INFINITY),
             round_at: Cell::new(f64::INFINITY),
             wake_at: Cell::new(f64::INFINITY),
-            jobs: RefCell::default(),
+            requests: RefCell::default(),
             numbered: Cell::new(0),
             watching: Cell::new(self.scenario.discovery.pushed),
             known: RefCell::default(),
@@ -178,14 +180,14 @@
             answered_probes: RefCell::default(),
         });
         self.directory.watchers.push(node.clone());
-        self.told(&node, known, true, true);
-        self.agenda.put(self.now + SWEEP, Event::Sweep(node.clone()));
+        self.list_received(&node, known, true, true);
+        self.event_queue.put(self.now + SWEEP, Event::Sweep(node.clone()));
         node
     }
 
     /// Puts a word into the node's inbox and sees that a round comes.
-    pub fn tell(&mut self, node: &Rc<Node>, word: Word) {
-        node.inbox.borrow_mut().push(word);
+    pub fn queue_input(&mut self, node: &Rc<Node>, input: Input) {
+        node.inbox.borrow_mut().push(input);
         let at = self.now.max(node.last_round.get() + self.scenario.nodes.round_ms);
         self.round_by(node, at);
     }
@@ -193,7 +195,7 @@
     fn round_by(&mut self, node: &Rc<Node>, at: f64) {
         if at < node.round_at.get() {
             node.round_at.set(at);
-            self.agenda.put(at, Event::Round(node.clone()));
+            self.event_queue.put(at, Event::Round(node.clone()));
         }
     }
 
@@ -207,70 +209,78 @@
         }
         node.last_round.set(self.now);
         self.fleet.tick(self.now);
-        let words = node.inbox.take();
-        let acts = node.decider.borrow_mut().round(self.now - node.started, words);
-        acts.into_iter().for_each(|act| self.act(node, act));
+        let inputs = node.inbox.take();
+        let actions = node.decider.borrow_mut().round(self.now - node.started, inputs);
+        actions.into_iter().for_each(|act| self.act(node, act));
         self.round_by(node, node.wake_at.get());
     }
 
-    fn act(&mut self, node: &Rc<Node>, act: Act) {
-        let job = |number: u32| node.jobs.borrow().get(&number).cloned();
+    fn act(&mut self, node: &Rc<Node>, act: Action) {
+        let request = |number: u32| node.requests.borrow().get(&number).cloned();
         match act {
-            Act::Attempt { job: number, server, limit } => {
-                if let Some(job) = job(number) {
-                    self.attempt(node, &job, server, limit);
+            Action::Attempt { request: number, server, limit } => {
+                if let Some(request) = request(number) {
+                    self.attempt(node, &request, server, limit);
                 }
             }
-            Act::CallOff { job: number, attempt } => {
-                let flight = job(number).and_then(|job| job.attempts.borrow().get(attempt).cloned());
+            Action::CallOff { request: number, attempt } => {
+                let flight =
+                    request(number).and_then(|request| request.attempts.borrow().get(attempt).cloned());
                 if let Some(flight) = flight.filter(|flight| !flight.ended.get()) {
                     self.attempt_over(&flight, AttemptOutcome::Cancelled, true);
                 }
             }
-            Act::Reject { job: number, wait } => {
-                if let Some(job) = job(number) {
-                    self.give(&job, Answer::Rejected, 0, wait);
+            Action::Reject { request: number, wait } => {
+                if let Some(request) = request(number) {
+                    self.give(&request, Answer::Rejected, 0, wait);
                 }
             }
-            Act::Fail { job: number } => {
-                if let Some(job) = job(number) {
-                    self.give(&job, Answer::Failed, 0, 0.0);
+            Action::Fail { request: number } => {
+                if let Some(request) = request(number) {
+                    self.give(&request, Answer::Failed, 0, 0.0);
                 }
             }
-            Act::Probe { server } => self.probe(node, server),
-            Act::Wake { delay } => {
+            Action::Probe { server } => self.probe(node, server),
+            Action::Wake { delay } => {
                 let at = (self.now + delay).max(self.now + self.scenario.nodes.round_ms);
                 node.wake_at.set(node.wake_at.get().min(at));
             }
-            Act::Watch => self.watch(node),
+            Action::Watch => self.watch(node),
         }
     }
 
     /// A job has come in whole.
-    pub fn take(&mut self, node: &Rc<Node>, job: &Rc<HeldJob>) {
+    pub fn take(&mut self, node: &Rc<Node>, request: &Rc<HeldRequest>) {
         if !node.alive.get() {
-            return self.cut(job);
+            return self.cut(request);
         }
         let number = node.numbered.get();
         node.numbered.set(number.wrapping_add(1));
-        job.number.set(number);
-        node.jobs.borrow_mut().insert(number, job.clone());
-        let limit = job.limit - node.started;
-        let (profile, customer) = (job.profile, job.customer);
-        self.tell(node, Word::Job { id: number, profile, customer, limit });
+        request.number.set(number);
+        node.requests.borrow_mut().insert(number, request.clone());
+        let limit = request.limit - node.started;
+        let (profile, customer) = (request.profile, request.customer);
+        self.queue_input(node, Input::Request { id: number, profile, customer, limit });
     }
 
     /// A call to the next tier, made by a server for an attempt that it works on.
-    pub fn new_call(&mut self, node: &Rc<Node>, flight: &Rc<Flight>) -> Rc<HeldJob> {
-        let (above, scenario) = (&flight.job, self.scenario.clone());
+    pub fn new_call(&mut self, node: &Rc<Node>, flight: &Rc<Flight>) -> Rc<HeldRequest> {
+        let (above, scenario) = (&flight.request, self.scenario.clone());
         let fan = above.fan * f64::from(scenario.tiers[node.tier - 1].calls);
         self.new_job(node, above, scenario.tiers[node.tier].work / fan, fan, From::Server(flight.clone()))
     }
 
-    fn new_job(&mut self, node: &Rc<Node>, above: &HeldJob, share: f64, fan: f64, from: From) -> Rc<HeldJob> {
-        let record = self.records.jobs.len();
+    fn new_job(
+        &mut self,
+        node: &Rc<Node>,
+        above: &HeldRequest,
+        share: f64,
+        fan: f64,
+        from: From,
+    ) -> Rc<HeldRequest> {
+        let record = self.records.requests.len();
         let trace = record as u64 + 1;
-        self.records.jobs.push(Job {
+        self.records.requests.push(RequestRecord {
             trace,
             root: above.root,
             ask: None,
@@ -284,7 +294,7 @@
             answers: Vec::new(),
             cut: false,
         });
-        Rc::new(HeldJob {
+        Rc::new(HeldRequest {
             node: node.clone(),
             number: Cell::new(0),
             record,
@@ -304,14 +314,14 @@
         })
     }
 
-    fn attempt(&mut self, node: &Rc<Node>, job: &Rc<HeldJob>, server: Address, limit: f64) {
+    fn attempt(&mut self, node: &Rc<Node>, request: &Rc<HeldRequest>, server: Address, limit: f64) {
         let Some(host) = self.fleet.host(server) else {
-            return self.lone_end(node, job);
+            return self.lone_end(node, request);
         };
         let kept = self.kept_connection(node, &host);
         let flight = Rc::new(Flight {
-            job: job.clone(),
-            number: job.attempts.borrow().len(),
+            request: request.clone(),
+            number: request.attempts.borrow().len(),
             host: host.clone(),
             starts: kept.map_or(host.starts.get(), |(_, starts)| starts),
             sent: self.now,
@@ -319,48 +329,48 @@
             attempt: Cell::new(None),
             ended: Cell::new(false),
         });
-        job.attempts.borrow_mut().push(flight.clone());
-        self.agenda.put(self.now + limit.max(0.0), Event::AttemptTimesOut(flight.clone()));
+        request.attempts.borrow_mut().push(flight.clone());
+        self.event_queue.put(self.now + limit.max(0.0), Event::AttemptTimesOut(flight.clone()));
         let (there, back) = (self.hop(node.zone, host.zone), self.hop(host.zone, node.zone));
         let ends = |ending| Event::AttemptEnds(flight.clone(), ending, 0);
         if let Some((used, starts)) = kept {
             let closed = starts != host.starts.get()
-                || self.now - used >= host.struck.idle(self.scenario.tiers[host.tier].server.idle_s);
+                || self.now - used >= host.active_troubles.idle(self.scenario.tiers[host.tier].server.idle_s);
             if host.state.get() == State::Silent {
                 return;
             }
             if closed || !host.is_up() {
                 // The server ended it unannounced: that shows once the job has been written.
-                return self.agenda.put(self.now + there + back, ends(AttemptOutcome::ConnectionLost));
+                return self.event_queue.put(self.now + there + back, ends(AttemptOutcome::ConnectionLost));
             }
             host.flights.borrow_mut().push(flight.clone());
-            return self.agenda.put(self.now + there, Event::AttemptArrives(flight));
+            return self.event_queue.put(self.now + there, Event::AttemptArrives(flight));
         }
         match host.state.get() {
             State::Silent => {
-                self.agenda
+                self.event_queue
                     .put(self.now + self.scenario.nodes.connect_ms, ends(AttemptOutcome::ConnectFailed));
             }
             State::Up if host.server.borrow_mut().connect() => {
                 self.records.connections += 1;
                 host.flights.borrow_mut().push(flight.clone());
-                self.agenda.put(self.now + 2.0 * there + back, Event::AttemptArrives(flight));
+                self.event_queue.put(self.now + 2.0 * there + back, Event::AttemptArrives(flight));
             }
-            _ => self.agenda.put(self.now + there + back, ends(AttemptOutcome::ConnectFailed)),
+            _ => self.event_queue.put(self.now + there + back, ends(AttemptOutcome::ConnectFailed)),
         }
     }
 
     /// An attempt at an address that nobody ever had.
-    fn lone_end(&mut self, node: &Rc<Node>, job: &Rc<HeldJob>) {
-        let attempt = job.attempts.borrow().len();
-        let word = Word::AttemptEnded {
-            id: job.number.get(),
+    fn lone_end(&mut self, node: &Rc<Node>, request: &Rc<HeldRequest>) {
+        let attempt = request.attempts.borrow().len();
+        let input = Input::AttemptEnded {
+            id: request.number.get(),
             attempt,
             ending: AttemptOutcome::ConnectFailed,
             took: 0.0,
             done: false,
         };
-        self.tell(node, word);
+        self.queue_input(node, input);
     }
 
     /// The idle connection that was used last, and which start of the server it is to.
@@ -382,7 +392,7 @@
         for (address, kept) in node.idle.borrow_mut().iter_mut() {
             let Some(host) = fleet.host(*address) else { continue };
             let most = (KEPT * self.scenario.nodes.idle_s * 1000.0)
-                .min(host.struck.idle(self.scenario.tiers[host.tier].server.idle_s));
+                .min(host.active_troubles.idle(self.scenario.tiers[host.tier].server.idle_s));
             let before = kept.len();
             // What the server has closed by now is found out by its next use, as on sockets.
             kept.retain(|(used, _)| self.now - used < KEPT * self.scenario.nodes.idle_s * 1000.0);
@@ -391,7 +401,7 @@
                 host.server.borrow_mut().disconnect();
             }
         }
-        self.agenda.put(self.now + SWEEP, Event::Sweep(node.clone()));
+        self.event_queue.put(self.now + SWEEP, Event::Sweep(node.clone()));
     }
 
     pub fn attempt_times_out(&mut self, flight: &Rc<Flight>) {
@@ -403,16 +413,16 @@
 
     /// What the server or the network had to say of an attempt has come to its node.
     pub fn attempt_ends(&mut self, flight: &Rc<Flight>, ending: AttemptOutcome, body: u64) {
-        if flight.ended.get() || !flight.job.node.alive.get() {
+        if flight.ended.get() || !flight.request.node.alive.get() {
             return;
         }
-        let node = flight.job.node.clone();
+        let node = flight.request.node.clone();
         if matches!(ending, AttemptOutcome::Served | AttemptOutcome::Error | AttemptOutcome::Full) {
             let kept = (self.now, flight.starts);
             node.idle.borrow_mut().entry(flight.host.address).or_default().push(kept);
         }
         if ending == AttemptOutcome::Served {
-            self.give(&flight.job.clone(), Answer::Served, body, 0.0);
+            self.give(&flight.request.clone(), Answer::Served, body, 0.0);
         }
         self.attempt_over(flight, ending, false);
     }
@@ -420,63 +430,66 @@
     /// An attempt is over for its node; `gives_up` closes its connection, so that the server hears of it.
     fn attempt_over(&mut self, flight: &Rc<Flight>, ending: AttemptOutcome, gives_up: bool) {
         flight.ended.set(true);
-        let (job, host) = (&flight.job, &flight.host);
+        let (request, host) = (&flight.request, &flight.host);
         if gives_up {
-            let hop = self.hop(job.node.zone, host.zone);
+            let hop = self.hop(request.node.zone, host.zone);
             host.server.borrow_mut().disconnect();
-            self.agenda.put(self.now + hop, Event::CallOffArrives(flight.clone()));
+            self.event_queue.put(self.now + hop, Event::CallOffArrives(flight.clone()));
         }
-        let word = Word::AttemptEnded {
-            id: job.number.get(),
+        let input = Input::AttemptEnded {
+            id: request.number.get(),
             attempt: flight.number,
             ending,
             took: self.now - flight.sent,
-            done: job.answered.get(),
+            done: request.answered.get(),
         };
-        self.tell(&job.node.clone(), word);
-        self.forget(job);
+        self.queue_input(&request.node.clone(), input);
+        self.forget(request);
     }
 
     /// A final answer leaves the node; later ones are dropped.
-    fn give(&mut self, job: &Rc<HeldJob>, answer: Answer, body: u64, wait: f64) {
-        let again = self.options.fault == Some(Fault::AnswersTwice) && job.node.tier == 0;
-        if job.answered.replace(true) && !again {
+    fn give(&mut self, request: &Rc<HeldRequest>, answer: Answer, body: u64, wait: f64) {
+        let again = self.options.fault == Some(Fault::AnswersTwice) && request.node.tier == 0;
+        if request.answered.replace(true) && !again {
             return;
         }
         let mut body = body;
-        if job.node.tier == 0 {
+        if request.node.tier == 0 {
             match self.options.fault {
-                Some(Fault::LosesJobs) if job.trace.is_multiple_of(LOSES_ONE_IN) => return self.forget(job),
+                Some(Fault::LosesRequests) if request.trace.is_multiple_of(LOSES_ONE_IN) => {
+                    return self.forget(request);
+                }
                 Some(Fault::SwapsAnswers) if answer == Answer::Served => {
                     self.swaps += 1;
                     let last = std::mem::replace(&mut self.last_body, body);
                     body = if self.swaps.is_multiple_of(LOSES_ONE_IN) { last } else { body };
                 }
-                Some(Fault::AnswersTwice) if job.trace.is_multiple_of(LOSES_ONE_IN) => {
+                Some(Fault::AnswersTwice) if request.trace.is_multiple_of(LOSES_ONE_IN) => {
                     let hop = self.caller_hop();
-                    self.agenda.put(self.now + hop + 1.0, Event::Answered(job.clone(), answer, body, wait));
+                    self.event_queue
+                        .put(self.now + hop + 1.0, Event::Answered(request.clone(), answer, body, wait));
                 }
                 _ => {}
             }
         }
-        let hop = if job.node.tier == 0 { self.caller_hop() } else { super::BESIDE };
-        self.agenda.put(self.now + hop, Event::Answered(job.clone(), answer, body, wait));
-        self.forget(job);
+        let hop = if request.node.tier == 0 { self.caller_hop() } else { super::SIDECAR_DELAY_MS };
+        self.event_queue.put(self.now + hop, Event::Answered(request.clone(), answer, body, wait));
+        self.forget(request);
     }
 
-    fn forget(&self, job: &Rc<HeldJob>) {
-        let out = job.attempts.borrow().iter().any(|flight| !flight.ended.get());
-        if job.answered.get() && !out {
-            job.node.jobs.borrow_mut().remove(&job.number.get());
+    fn forget(&self, request: &Rc<HeldRequest>) {
+        let out = request.attempts.borrow().iter().any(|flight| !flight.ended.get());
+        if request.answered.get() && !out {
+            request.node.requests.borrow_mut().remove(&request.number.get());
         }
     }
 
     fn probe(&mut self, node: &Rc<Node>, server: Address) {
         let zone = self.fleet.host(server).map_or(node.zone, |host| host.zone);
         let hop = self.hop(node.zone, zone);
-        self.agenda.put(self.now + hop, Event::ProbeArrives(node.clone(), server, self.now));
+        self.event_queue.put(self.now + hop, Event::ProbeArrives(node.clone(), server, self.now));
         let failed = Event::ProbeAnswered(node.clone(), server, false, Vec::new(), self.now);
-        self.agenda.put(self.now + PROBE_TIME, failed);
+        self.event_queue.put(self.now + PROBE_TIME, failed);
     }
 
     pub fn probe_answered(
@@ -494,11 +507,11 @@
         if good {
             node.answered_probes.borrow_mut().push((server, sent));
         }
-        self.tell(node, Word::ProbeAnswered { server, good, report, took: self.now - sent });
+        self.queue_input(node, Input::ProbeAnswered { server, good, report, took: self.now - sent });
     }
 
     /// Lines of the list have come to a node.
-    pub fn told(&mut self, node: &Rc<Node>, lines: Vec<Line>, whole: bool, cached: bool) {
+    pub fn list_received(&mut self, node: &Rc<Node>, lines: Vec<Line>, whole: bool, cached: bool) {
         if !node.alive.get() {
             return;
         }
@@ -510,7 +523,7 @@
             let gone = known.values().filter(|old| !listed.contains(&old.life));
             let gone: Vec<usize> = gone.map(|line| line.life).collect();
             for server in gone {
-                self.records.told.push(Told {
+                self.records.list_updates.push(ListUpdate {
                     node: node.life,
                     server,
                     standing: ServerState::Gone,
@@ -520,7 +533,7 @@
             known.clear();
         }
         for line in lines {
-            self.records.told.push(Told {
+            self.records.list_updates.push(ListUpdate {
                 node: node.life,
                 server: line.life,
                 standing: line.standing,
@@ -543,7 +556,7 @@
             out.push(listing);
         }
         drop(known);
-        self.tell(node, Word::Listed { whole, cached, lines: out });
+        self.queue_input(node, Input::Listed { whole, cached, lines: out });
     }
 
     /// A node's process ends; callers' connections are reset, and servers see theirs close.
@@ -552,15 +565,15 @@
             return;
         }
         self.records.nodes[node.life].ended = Some((self.now, how));
-        let jobs = node.jobs.take();
-        for job in jobs.values() {
-            for flight in job.attempts.borrow().iter().filter(|flight| !flight.ended.replace(true)) {
+        let requests = node.requests.take();
+        for request in requests.values() {
+            for flight in request.attempts.borrow().iter().filter(|flight| !flight.ended.replace(true)) {
                 let hop = self.hop(node.zone, flight.host.zone);
                 flight.host.server.borrow_mut().disconnect();
-                self.agenda.put(self.now + hop, Event::CallOffArrives(flight.clone()));
+                self.event_queue.put(self.now + hop, Event::CallOffArrives(flight.clone()));
             }
-            if !job.answered.replace(true) {
-                self.cut(job);
+            if !request.answered.replace(true) {
+                self.cut(request);
             }
         }
         for (address, kept) in node.idle.take() {
@@ -571,26 +584,26 @@
         self.directory.watchers.retain(|other| !Rc::ptr_eq(other, node));
     }
 
-    pub fn end_node(&mut self, seat: &Rc<Seat>, starts: u64) {
-        if seat.starts.get() != starts {
+    pub fn end_node(&mut self, node_host: &Rc<NodeHost>, starts: u64) {
+        if node_host.starts.get() != starts {
             return;
         }
-        self.take_down(seat, NodeEnd::Terminated);
+        self.take_down(node_host, NodeEnd::Terminated);
     }
 
     /// Ends the node at a seat, if there is one.
-    pub fn take_down(&mut self, seat: &Rc<Seat>, how: NodeEnd) {
-        let Some(node) = seat.node.take() else { return };
-        *seat.known.borrow_mut() = node.known.borrow().values().cloned().collect();
+    pub fn take_down(&mut self, node_host: &Rc<NodeHost>, how: NodeEnd) {
+        let Some(node) = node_host.node.take() else { return };
+        *node_host.known.borrow_mut() = node.known.borrow().values().cloned().collect();
         self.stop_node(&node, how);
-        let notice = self.scenario.callers.notice_s * 1000.0;
-        self.agenda.put(self.now + notice, Event::FrontNotices(seat.clone(), false));
+        let notice = self.scenario.clients.notice_s * 1000.0;
+        self.event_queue.put(self.now + notice, Event::FrontNotices(node_host.clone(), false));
     }
 
-    pub fn front_notices(&mut self, seat: &Rc<Seat>, up: bool) {
-        let there = seat.node.borrow().is_some();
+    pub fn front_notices(&mut self, node_host: &Rc<NodeHost>, up: bool) {
+        let there = node_host.node.borrow().is_some();
         if there == up {
-            seat.dealt.set(up);
+            node_host.dealt.set(up);
         }
     }
 }
--- a/crates/pearfront-emulator/src/model/script.rs
+++ b/crates/pearfront-emulator/src/model/script.rs
@@ -1,13 +1,13 @@
 //! The script of troubles in the model play: who is struck, and what begins and ends when.
 
 use super::hosts::Host;
-use super::nodes::Seat;
+use super::nodes::NodeHost;
 use super::{Event, World};
-use crate::decide::Word;
+use crate::active_troubles::State;
+use crate::decide::Input;
 use crate::record::NodeEnd;
 use crate::scenario::{Trouble, What};
 use crate::server::Server;
-use crate::struck::State;
 use pearfront::interface::{AttemptOutcome, ServerState};
 use rand::seq::SliceRandom;
 use std::rc::Rc;
@@ -35,7 +35,7 @@
         if trouble.with_nodes {
             self.kill_zone(&trouble);
         }
-        self.agenda.put(self.now + lasts, Event::End(place));
+        self.event_queue.put(self.now + lasts, Event::End(place));
     }
 
     pub fn end_trouble(&mut self, place: usize) {
@@ -49,7 +49,7 @@
                 self.directory.old -= 1;
                 self.catch_up_list();
             }
-            What::HotNode => self.seats.iter().for_each(|seat| seat.weight.set(1.0)),
+            What::HotNode => self.node_hosts.iter().for_each(|node_host| node_host.weight.set(1.0)),
             What::KillNodes | What::RestartNodes | What::Sighup | What::Release | What::Drain => {}
             _ => self.spare_hosts(place, &trouble),
         }
@@ -89,11 +89,11 @@
         }
         for host in hosts {
             self.catch_up(&host);
-            host.struck.strike(place, trouble.what, trouble.by());
+            host.active_troubles.apply_trouble(place, trouble.what, trouble.by());
             match trouble.what {
                 What::Silent => self.silence(&host),
-                What::Stall => host.server.borrow_mut().stand_still(self.now + trouble.for_s * 1000.0),
-                What::Slow => host.server.borrow_mut().pace = host.struck.pace(),
+                What::Stall => host.server.borrow_mut().stall_until(self.now + trouble.for_s * 1000.0),
+                What::Slow => host.server.borrow_mut().speed_factor = host.active_troubles.speed_factor(),
                 What::Drain => self.drain(&host),
                 _ => {}
             }
@@ -104,12 +104,12 @@
     fn spare_hosts(&mut self, place: usize, trouble: &Trouble) {
         let hosts: Vec<Rc<Host>> = self.fleet.hosts.borrow().iter().cloned().collect();
         for host in hosts {
-            if !host.struck.spare(place) {
+            if !host.active_troubles.end_trouble(place) {
                 continue;
             }
             if trouble.what == What::Slow {
                 self.catch_up(&host);
-                host.server.borrow_mut().pace = host.struck.pace();
+                host.server.borrow_mut().speed_factor = host.active_troubles.speed_factor();
                 self.watch_host(&host);
             }
             if trouble.what == What::Silent {
@@ -151,9 +151,10 @@
         host.starts.set(host.starts.get() + 1);
         host.draining.set(false);
         host.state.set(State::Up);
-        let habits = &scenario.tiers[host.tier].server;
-        let mut server = Server::new(&scenario.kinds[host.kind], habits, &scenario.rules, self.now, self.now);
-        server.pace = host.struck.pace();
+        let behaviour = &scenario.tiers[host.tier].server;
+        let mut server =
+            Server::new(&scenario.kinds[host.kind], behaviour, &scenario.rules, self.now, self.now);
+        server.speed_factor = host.active_troubles.speed_factor();
         server.mean_work = scenario.mean_work_at(host.tier);
         *host.server.borrow_mut() = server;
         self.record_life(host);
@@ -167,7 +168,7 @@
         host.draining.set(true);
         self.announce(host, ServerState::Draining, 0.0);
         let ends = self.scenario.drains_for();
-        self.agenda.put(self.now + ends, Event::EndHost(host.clone(), host.starts.get()));
+        self.event_queue.put(self.now + ends, Event::EndHost(host.clone(), host.starts.get()));
     }
 
     pub fn end_host(&mut self, host: &Rc<Host>, starts: u64) {
@@ -189,8 +190,8 @@
         for (step, hosts) in hosts.chunks(at_once).enumerate() {
             let wait = step as f64 * trouble.for_s * 1000.0;
             for host in hosts {
-                self.agenda.put(self.now + wait, Event::StartHost(self.replacement(host)));
-                self.agenda.put(self.now + wait, Event::DrainHost(host.clone()));
+                self.event_queue.put(self.now + wait, Event::StartHost(self.replacement(host)));
+                self.event_queue.put(self.now + wait, Event::DrainHost(host.clone()));
             }
         }
     }
@@ -211,45 +212,49 @@
 
     fn strike_nodes(&mut self, trouble: &Trouble) {
         let zone = self.scenario.zone_of(trouble);
-        let fits = |seat: &&Rc<Seat>| zone.is_none_or(|zone| usize::from(seat.zone) == zone);
-        let mut seats: Vec<Rc<Seat>> = self.seats.iter().filter(fits).cloned().collect();
-        seats.shuffle(&mut self.troubles);
-        let all = if trouble.what == What::HotNode && trouble.part.is_none() { 1 } else { seats.len() };
-        seats.truncate(trouble.how_many(all));
-        let names: Vec<&str> = seats.iter().map(|seat| seat.name.as_str()).collect();
+        let fits = |node_host: &&Rc<NodeHost>| zone.is_none_or(|zone| usize::from(node_host.zone) == zone);
+        let mut node_hosts: Vec<Rc<NodeHost>> = self.node_hosts.iter().filter(fits).cloned().collect();
+        node_hosts.shuffle(&mut self.troubles);
+        let all = if trouble.what == What::HotNode && trouble.part.is_none() { 1 } else { node_hosts.len() };
+        node_hosts.truncate(trouble.how_many(all));
+        let names: Vec<&str> = node_hosts.iter().map(|node_host| node_host.name.as_str()).collect();
         self.note(format!("{:?} strikes nodes {}", trouble.what, names.join(" ")));
-        for seat in seats {
+        for node_host in node_hosts {
             match trouble.what {
                 What::KillNodes => {
-                    self.take_down(&seat, NodeEnd::Killed);
-                    self.agenda.put(self.now + trouble.for_s * 1000.0, Event::StartNode(seat));
+                    self.take_down(&node_host, NodeEnd::Killed);
+                    self.event_queue.put(self.now + trouble.for_s * 1000.0, Event::StartNode(node_host));
                 }
-                What::RestartNodes => self.terminate(&seat, trouble.for_s * 1000.0),
-                What::HotNode => seat.weight.set(seat.weight.get() * trouble.by()),
+                What::RestartNodes => self.terminate(&node_host, trouble.for_s * 1000.0),
+                What::HotNode => node_host.weight.set(node_host.weight.get() * trouble.by()),
                 // Settings are the same: in simulated time nothing is to be seen of it.
                 _ => {}
             }
         }
     }
 
-    fn terminate(&mut self, seat: &Rc<Seat>, down: f64) {
-        let Some(node) = seat.node.borrow().clone() else { return };
+    fn terminate(&mut self, node_host: &Rc<NodeHost>, down: f64) {
+        let Some(node) = node_host.node.borrow().clone() else { return };
         let longest =
             self.scenario.profiles.iter().fold(0.0, |most: f64, profile| most.max(profile.deadline_ms));
         let ends = longest.min(END_MOST - COMES_ON) + COMES_ON;
-        self.agenda.put(self.now + COMES_ON, Event::FrontDrops(seat.clone()));
+        self.event_queue.put(self.now + COMES_ON, Event::FrontDrops(node_host.clone()));
         let at = self.now + ends - node.started;
-        self.tell(&node, Word::Closing { at });
-        self.agenda.put(self.now + ends + 10.0, Event::EndNode(seat.clone(), seat.starts.get()));
-        self.agenda.put(self.now + ends + 10.0 + down, Event::StartNode(seat.clone()));
+        self.queue_input(&node, Input::Closing { at });
+        self.event_queue
+            .put(self.now + ends + 10.0, Event::EndNode(node_host.clone(), node_host.starts.get()));
+        self.event_queue.put(self.now + ends + 10.0 + down, Event::StartNode(node_host.clone()));
     }
 
     fn kill_zone(&mut self, trouble: &Trouble) {
         let zone = self.scenario.zone_of(trouble);
-        let seats: Vec<Rc<Seat>> = self.seats.clone();
-        for seat in seats.into_iter().filter(|seat| zone.is_none_or(|zone| usize::from(seat.zone) == zone)) {
-            self.take_down(&seat, NodeEnd::Killed);
-            self.agenda.put(self.now + trouble.for_s * 1000.0, Event::StartNode(seat));
+        let node_hosts: Vec<Rc<NodeHost>> = self.node_hosts.clone();
+        for node_host in node_hosts
+            .into_iter()
+            .filter(|node_host| zone.is_none_or(|zone| usize::from(node_host.zone) == zone))
+        {
+            self.take_down(&node_host, NodeEnd::Killed);
+            self.event_queue.put(self.now + trouble.for_s * 1000.0, Event::StartNode(node_host));
         }
     }
 }
--- a/crates/pearfront-emulator/src/platform.rs
+++ b/crates/pearfront-emulator/src/platform.rs
@@ -17,7 +17,7 @@
             "outer_limit": ns(profile.deadline_ms), "gain": profile.gain})
     };
     let customer = |customer: &crate::scenario::Customer| json!({"name": customer.name, "quota_per_s": customer.quota_per_s});
-    let habits = &scenario.tiers[tier].server;
+    let behaviour = &scenario.tiers[tier].server;
     json!({
         "siblings": siblings, "tier": tier, "locality": zone, "round": ns(nodes.round_ms),
         "discovery": if scenario.discovery.pushed { "pushed" } else { "on_request" },
@@ -33,8 +33,8 @@
         "objective_mix": {"whole": scenario.goal.whole, "worst_class": scenario.goal.worst_profile,
             "worst_tenant": scenario.goal.worst_customer},
         "report": {"fields": [if nodes.told_held { "outstanding" } else { "utilization" }], "via": if nodes.probes { "probe" } else { "none" }},
-        "rules": {"ask_within": ns(scenario.discovery.ask_within_s * 1000.0), "cold": ns(habits.warm_up_s * 1000.0),
-            "cold_from": habits.cold_from, "tip_multiple": scenario.rules.tip_multiple,
+        "rules": {"ask_within": ns(scenario.discovery.ask_within_s * 1000.0), "cold": ns(behaviour.warm_up_s * 1000.0),
+            "cold_from": behaviour.cold_from, "tip_multiple": scenario.rules.tip_multiple,
             "overload_for": ns(scenario.rules.tip_window_s * 1000.0)},
     })
 }
--- a/crates/pearfront-emulator/src/processes/trial.rs
+++ b/crates/pearfront-emulator/src/processes/trial.rs
@@ -4,8 +4,8 @@
 use super::judge::{Verdict, judge};
 use super::player::LATE;
 use super::test_cluster::{Program, TestCluster, run};
-use crate::again::{PLAYS, Play, in_time};
 use crate::sockets::NodeCommand;
+use crate::void_plays::{PLAYS, Play, in_time};
 use serde_json::Value;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/pearfront-emulator/src/record.rs
+++ b/crates/pearfront-emulator/src/record.rs
@@ -30,7 +30,7 @@
 
 /// A job as its caller saw it: a try of an ask, or a call between tiers.
 #[derive(Debug, Clone)]
-pub struct Job {
+pub struct RequestRecord {
     /// Its id, from 1 on.
     pub trace: u64,
     /// The id of the caller's job that it was made for; its own if it is that job.
@@ -109,7 +109,7 @@
 
 /// What discovery told a node of a server, and when.
 #[derive(Debug, Clone, Copy)]
-pub struct Told {
+pub struct ListUpdate {
     pub node: usize,
     pub server: usize,
     pub standing: ServerState,
@@ -134,11 +134,11 @@
 #[derive(Debug, Clone, Default)]
 pub struct Records {
     pub asks: Vec<Ask>,
-    pub jobs: Vec<Job>,
+    pub requests: Vec<RequestRecord>,
     pub attempts: Vec<Attempt>,
     pub servers: Vec<ServerLife>,
     pub nodes: Vec<NodeLife>,
-    pub told: Vec<Told>,
+    pub list_updates: Vec<ListUpdate>,
     /// Probes that servers answered.
     pub probes: u64,
     /// Connections that servers took.
--- a/crates/pearfront-emulator/src/report.rs
+++ b/crates/pearfront-emulator/src/report.rs
@@ -9,9 +9,9 @@
 /// Version of `result.json`; it rises when a reader of the old form would be misled.
 pub const VERSION: u32 = 1;
 /// Standard errors beyond which a difference is more than noise.
-const NOISE: f64 = 2.0;
+const NOISE_STD_ERRORS: f64 = 2.0;
 /// Difference in service that is told as noise however alike the seeds are: below it nothing was ever concluded.
-const NOISE_LEAST: f64 = 0.005;
+const MIN_NOISE: f64 = 0.005;
 const SIZE: (u32, u32) = (960, 260);
 
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
@@ -106,7 +106,7 @@
             let Second {
                 asked,
                 served,
-                jobs,
+                requests,
                 attempts,
                 attempts_served,
                 errors,
@@ -117,7 +117,7 @@
             let service = if *asked > 0.0 { served / asked } else { 1.0 };
             let _ = writeln!(
                 text,
-                "{at}\t{asked}\t{served}\t{service:.4}\t{jobs}\t{attempts}\t{attempts_served}\t{errors}\t{turned_away}\t{unanswered}\t\
+                "{at}\t{asked}\t{served}\t{service:.4}\t{requests}\t{attempts}\t{attempts_served}\t{errors}\t{turned_away}\t{unanswered}\t\
                  {:.2}\t{}",
                 second.attempts_mean, second.attempts_most
             );
@@ -279,7 +279,7 @@
         ("worst_10s", |verdict| verdict.worst_10s),
         ("worst_profile", |verdict| Verdict::worst(&verdict.profiles)),
         ("worst_customer", |verdict| Verdict::worst(&verdict.customers)),
-        ("attempts_a_job", |verdict| verdict.attempts_a_job),
+        ("attempts_a_job", |verdict| verdict.attempts_per_request),
         ("wasted", |verdict| verdict.wasted),
         ("p99_ms", |verdict| verdict.p99_ms),
     ];
@@ -287,8 +287,8 @@
         let values = |set: &[Outcome]| set.iter().map(|outcome| of(&outcome.verdict)).collect::<Vec<f64>>();
         let (one, other) = (values(one), values(other));
         let (a, b) = (mean(&one), mean(&other));
-        let least = if figure == "p99_ms" { 0.02 * a.max(b) } else { NOISE_LEAST };
-        let noise = (NOISE * (error(&one).powi(2) + error(&other).powi(2)).sqrt()).max(least);
+        let least = if figure == "p99_ms" { 0.02 * a.max(b) } else { MIN_NOISE };
+        let noise = (NOISE_STD_ERRORS * (error(&one).powi(2) + error(&other).powi(2)).sqrt()).max(least);
         Compared { figure, one: a, other: b, noise }
     });
     Ok(compared.to_vec())
--- a/crates/pearfront-emulator/src/scenario.rs
+++ b/crates/pearfront-emulator/src/scenario.rs
@@ -11,12 +11,12 @@
 mod trouble;
 
 pub(crate) use check::{above, within};
-pub use fleet::{Kind, Machine, Network, ServerHabits, Tier};
+pub use fleet::{Kind, Machine, Network, ServerBehaviour, Tier};
 pub use goal::{Goal, Rules};
 pub use reading::Mistake;
 pub(crate) use reading::read;
 pub use surroundings::{Discovery, Nodes};
-pub use traffic::{Callers, Customer, Effect, Group, Profile, Rate};
+pub use traffic::{Clients, Customer, Effect, Group, Profile, Rate};
 pub use trouble::{Trouble, What};
 
 use defaults::one;
@@ -37,7 +37,8 @@
     pub tiers: Vec<Tier>,
     pub profiles: Vec<Profile>,
     pub customers: Vec<Customer>,
-    pub callers: Callers,
+    #[serde(rename = "callers")]
+    pub clients: Clients,
     pub nodes: Nodes,
     #[serde(default)]
     pub discovery: Discovery,
@@ -67,7 +68,7 @@
     /// # Panics
     /// Where requests don't come at a steady rate.
     pub fn enlarge_requests(&mut self, times: f64) {
-        let Rate::Steady(rate) = &mut self.callers.rate else { panic!("only a steady rate is scaled") };
+        let Rate::Steady(rate) = &mut self.clients.rate else { panic!("only a steady rate is scaled") };
         *rate /= times;
         for profile in &mut self.profiles {
             profile.work_ms *= times;
@@ -128,7 +129,7 @@
     pub fn loads(&self) -> Vec<f64> {
         let share: f64 = self.kinds.iter().map(|kind| kind.share).sum();
         let each = self.kinds.iter().map(|kind| kind.share * kind.cores * kind.speed).sum::<f64>() / share;
-        let work = self.callers.rate.most() * self.mean_work() / 1000.0;
+        let work = self.clients.rate.most() * self.mean_work() / 1000.0;
         self.tiers.iter().map(|tier| work * tier.work / (tier.servers as f64 * each)).collect()
     }
 }
--- a/crates/pearfront-emulator/src/scenario/check.rs
+++ b/crates/pearfront-emulator/src/scenario/check.rs
@@ -104,25 +104,25 @@
             return Err((key("calls"), "must be at least 1, or the next tier gets no work".into()));
         }
         within(&key("calls"), f64::from(tier.calls), 0.0, 100.0)?;
-        let habits = &tier.server;
+        let behaviour = &tier.server;
         let key = |name: &str| format!("tiers[{at}].server.{name}");
-        within(&key("slots"), habits.slots, 1.0, 10_000.0)?;
-        above(&key("cold_from"), habits.cold_from, 0.0, 1.0)?;
-        within(&key("warm_up_s"), habits.warm_up_s, 0.0, 3600.0)?;
-        above(&key("crowded_at"), habits.crowded_at, 0.0, 1e6)?;
-        within(&key("calm_at"), habits.calm_at, 0.0, habits.crowded_at)?;
-        above(&key("crowded_speed"), habits.crowded_speed, 0.0, 1.0)?;
-        within(&key("pause_every_s"), habits.pause_every_s, 0.0, 86_400.0)?;
-        within(&key("pause_ms"), habits.pause_ms, 0.0, 60_000.0)?;
-        within(&key("connections"), habits.connections as f64, 1.0, 1e6)?;
-        within(&key("connect_work_ms"), habits.connect_work_ms, 0.0, 1000.0)?;
-        above(&key("idle_s"), habits.idle_s, 0.0, 86_400.0)?;
-        above(&key("report_ms"), habits.report_ms, 0.0, 60_000.0)?;
-        within(&key("probe_work_ms"), habits.probe_work_ms, 0.0, 1000.0)
+        within(&key("slots"), behaviour.slots, 1.0, 10_000.0)?;
+        above(&key("cold_from"), behaviour.cold_from, 0.0, 1.0)?;
+        within(&key("warm_up_s"), behaviour.warm_up_s, 0.0, 3600.0)?;
+        above(&key("crowded_at"), behaviour.crowded_at, 0.0, 1e6)?;
+        within(&key("calm_at"), behaviour.calm_at, 0.0, behaviour.crowded_at)?;
+        above(&key("crowded_speed"), behaviour.crowded_speed, 0.0, 1.0)?;
+        within(&key("pause_every_s"), behaviour.pause_every_s, 0.0, 86_400.0)?;
+        within(&key("pause_ms"), behaviour.pause_ms, 0.0, 60_000.0)?;
+        within(&key("connections"), behaviour.connections as f64, 1.0, 1e6)?;
+        within(&key("connect_work_ms"), behaviour.connect_work_ms, 0.0, 1000.0)?;
+        above(&key("idle_s"), behaviour.idle_s, 0.0, 86_400.0)?;
+        above(&key("report_ms"), behaviour.report_ms, 0.0, 60_000.0)?;
+        within(&key("probe_work_ms"), behaviour.probe_work_ms, 0.0, 1000.0)
     }
 
     fn check_callers(&self) -> Result<(), (String, String)> {
-        if let Rate::Curve(points) = &self.callers.rate {
+        if let Rate::Curve(points) = &self.clients.rate {
             some("callers.rate", points.len())?;
             if points.windows(2).any(|pair| pair[1].0 <= pair[0].0) {
                 return Err(("callers.rate".into(), "its seconds must rise".into()));
@@ -131,8 +131,8 @@
                 return Err(("callers.rate".into(), "a rate is no number of at least 0".into()));
             }
         }
-        above("callers.rate", self.callers.rate.most(), 0.0, 1e6)?;
-        let shares = &self.callers.zone_shares;
+        above("callers.rate", self.clients.rate.most(), 0.0, 1e6)?;
+        let shares = &self.clients.zone_shares;
         if !shares.is_empty() && shares.len() != self.zones.len() {
             let what = format!("has {} entries for {} zones", shares.len(), self.zones.len());
             return Err(("callers.zone_shares".into(), what));
@@ -142,12 +142,12 @@
         {
             return Err(("callers.zone_shares".into(), "needs shares of at least 0, not all 0".into()));
         }
-        within("callers.retries", f64::from(self.callers.retries), 0.0, 20.0)?;
-        within("callers.retry_share", self.callers.retry_share, 0.0, 1.0)?;
-        within("callers.backoff_ms", self.callers.backoff_ms, 0.0, 60_000.0)?;
-        within("callers.heed_advice", self.callers.heed_advice, 0.0, 1.0)?;
-        within("callers.impatient", self.callers.impatient, 0.0, 1.0)?;
-        within("callers.notice_s", self.callers.notice_s, 0.0, 600.0)
+        within("callers.retries", f64::from(self.clients.retries), 0.0, 20.0)?;
+        within("callers.retry_share", self.clients.retry_share, 0.0, 1.0)?;
+        within("callers.backoff_ms", self.clients.backoff_ms, 0.0, 60_000.0)?;
+        within("callers.heed_advice", self.clients.heed_advice, 0.0, 1.0)?;
+        within("callers.impatient", self.clients.impatient, 0.0, 1.0)?;
+        within("callers.notice_s", self.clients.notice_s, 0.0, 600.0)
     }
 
     fn check_surroundings(&self) -> Result<(), (String, String)> {
--- a/crates/pearfront-emulator/src/scenario/fleet.rs
+++ b/crates/pearfront-emulator/src/scenario/fleet.rs
@@ -58,13 +58,13 @@
     #[serde(default = "eight")]
     pub cells: u16,
     #[serde(default)]
-    pub server: ServerHabits,
+    pub server: ServerBehaviour,
 }
 
 /// How the servers of a tier behave.
 #[derive(Debug, Clone, Deserialize)]
-#[serde(deny_unknown_fields, default)]
-pub struct ServerHabits {
+#[serde(rename = "ServerHabits", deny_unknown_fields, default)]
+pub struct ServerBehaviour {
     /// Jobs in work at once, for each core; they share the cores.
     pub slots: f64,
     /// Jobs that wait beyond that; further ones are turned away unseen.
@@ -93,7 +93,7 @@
     pub probe_work_ms: f64,
 }
 
-impl Default for ServerHabits {
+impl Default for ServerBehaviour {
     fn default() -> Self {
         Self {
             slots: 4.0,
--- a/crates/pearfront-emulator/src/scenario/traffic.rs
+++ b/crates/pearfront-emulator/src/scenario/traffic.rs
@@ -91,8 +91,8 @@
 
 /// How many requests come from where, and what callers do behind a failure.
 #[derive(Debug, Clone, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Callers {
+#[serde(rename = "Callers", deny_unknown_fields)]
+pub struct Clients {
     /// First tries a second, all callers together.
     pub rate: Rate,
     /// Part of the traffic that comes from each zone, in their order; evenly if absent.
--- a/crates/pearfront-emulator/src/server.rs
+++ b/crates/pearfront-emulator/src/server.rs
@@ -1,15 +1,15 @@
 //! One emulated server: cores, slots, a queue and its limit, warm-up, crowding, falling over. Free of I/O and clocks:
 //! it is told the time and what comes, and says what has happened by then. Both plays drive this one.
 
-use crate::scenario::{Kind, Rules, ServerHabits};
+use crate::scenario::{Kind, Rules, ServerBehaviour};
 use std::collections::VecDeque;
 
 /// Work, ms, under which a part counts as done: below what any clock here tells apart.
-const DONE: f64 = 1e-7;
+const DONE_WORK_MS: f64 = 1e-7;
 /// Time, ms, after which the capacity of a cold server with work is looked at again.
-const COLD_STEP: f64 = 25.0;
+const COLD_STEP_MS: f64 = 25.0;
 /// Work, ms, that an error at once or a dropped repeat costs.
-const QUICK_WORK: f64 = 0.1;
+const QUICK_WORK_MS: f64 = 0.1;
 
 /// What one job needs of this server.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -34,7 +34,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Happened {
+pub enum ServerEvent {
     /// A waiting job got a slot.
     Began,
     /// It has to call the next tier, and goes on once `call_ended` is told.
@@ -72,7 +72,7 @@
     cores: f64,
     speed: f64,
     slots: usize,
-    habits: ServerHabits,
+    behaviour: ServerBehaviour,
     rules: Rules,
     /// Mean work of a request, ms, of which the rules' part for chance is taken.
     pub mean_work: f64,
@@ -83,8 +83,8 @@
     crowded: bool,
     fallen: bool,
     /// Troubles: share of the speed left, and until when nothing moves.
-    pub pace: f64,
-    still_until: f64,
+    pub speed_factor: f64,
+    stalled_until: f64,
     connections: usize,
     /// Work sent while cold, by when.
     sent: VecDeque<(f64, f64)>,
@@ -95,12 +95,12 @@
 }
 
 impl<T: Clone + PartialEq> Server<T> {
-    pub fn new(kind: &Kind, habits: &ServerHabits, rules: &Rules, started: f64, now: f64) -> Self {
+    pub fn new(kind: &Kind, behaviour: &ServerBehaviour, rules: &Rules, started: f64, now: f64) -> Self {
         Self {
             cores: kind.cores,
             speed: kind.speed,
-            slots: (kind.cores * habits.slots).ceil() as usize,
-            habits: habits.clone(),
+            slots: (kind.cores * behaviour.slots).ceil() as usize,
+            behaviour: behaviour.clone(),
             rules: rules.clone(),
             mean_work: 0.0,
             started,
@@ -108,8 +108,8 @@
             held: Vec::new(),
             crowded: false,
             fallen: false,
-            pace: 1.0,
-            still_until: f64::NEG_INFINITY,
+            speed_factor: 1.0,
+            stalled_until: f64::NEG_INFINITY,
             connections: 0,
             sent: VecDeque::new(),
             used: 0.0,
@@ -119,17 +119,17 @@
     }
 
     /// Share of its capacity that it has at a time.
-    pub fn grown(&self, at: f64) -> f64 {
-        grown(self.started, &self.habits, at)
+    pub fn warm_share(&self, at: f64) -> f64 {
+        warm_share(self.started, &self.behaviour, at)
     }
 
     /// Work, ms, that it does in a millisecond when all cores are busy, as things stand.
     pub fn capacity(&self, at: f64) -> f64 {
-        if self.fallen || at < self.still_until {
+        if self.fallen || at < self.stalled_until {
             return 0.0;
         }
-        let crowded = if self.crowded { self.habits.crowded_speed } else { 1.0 };
-        self.cores * self.speed * self.pace * self.grown(at) * crowded
+        let crowded = if self.crowded { self.behaviour.crowded_speed } else { 1.0 };
+        self.cores * self.speed * self.speed_factor * self.warm_share(at) * crowded
     }
 
     pub fn held(&self) -> usize {
@@ -144,7 +144,10 @@
 
     /// Jobs that it can hold without being crowded or turning any away.
     pub fn room(&self) -> f64 {
-        (self.habits.crowded_at * self.cores).min((self.slots + self.habits.queue) as f64).floor().max(1.0)
+        (self.behaviour.crowded_at * self.cores)
+            .min((self.slots + self.behaviour.queue) as f64)
+            .floor()
+            .max(1.0)
     }
 
     pub fn is_crowded(&self) -> bool {
@@ -156,13 +159,13 @@
     }
 
     /// Nothing moves until that time.
-    pub fn stand_still(&mut self, until: f64) {
-        self.still_until = self.still_until.max(until);
+    pub fn stall_until(&mut self, until: f64) {
+        self.stalled_until = self.stalled_until.max(until);
     }
 
     /// A new connection; false if it holds as many as it can. The handshake is work.
     pub fn connect(&mut self) -> bool {
-        if self.fallen || self.connections >= self.habits.connections {
+        if self.fallen || self.connections >= self.behaviour.connections {
             return false;
         }
         self.connections += 1;
@@ -175,28 +178,28 @@
 
     /// A job's last byte has come. `advance` to the same time goes before.
     pub fn arrive(&mut self, ticket: T, need: Need) -> Arrival {
-        if self.tips(need.work) {
+        if self.overloads_while_cold(need.work) {
             self.fallen = true;
             self.held.clear();
             return Arrival::Fell;
         }
         let working = self.working();
         let waiting = self.held.len() - working;
-        if working >= self.slots && waiting >= self.habits.queue {
+        if working >= self.slots && waiting >= self.behaviour.queue {
             return Arrival::TurnedAway;
         }
         let quick = need.fails || need.repeat;
-        let need = if quick { Need { work: QUICK_WORK, calls: 0, ..need } } else { need };
+        let need = if quick { Need { work: QUICK_WORK_MS, calls: 0, ..need } } else { need };
         let begins = working < self.slots;
         let state = if begins { State::Own } else { State::Waiting };
         let left = need.work / f64::from(need.calls + 1);
         self.held.push(Held { ticket, need, state, left, calls_left: need.calls });
-        self.crowd();
+        self.update_crowded();
         if begins { Arrival::Began } else { Arrival::Waits }
     }
 
     /// Work beside jobs, such as a probe's or a handshake's: it takes from what is under way.
-    pub fn burden(&mut self, work: f64) {
+    pub fn add_work(&mut self, work: f64) {
         if let Some(held) = self.held.iter_mut().find(|held| held.state == State::Own) {
             held.left += work;
         }
@@ -206,21 +209,21 @@
     pub fn call_off(&mut self, ticket: &T) -> bool {
         let place = self.held.iter().position(|held| held.ticket == *ticket);
         let Some(place) = place.filter(|at| self.held[*at].state == State::Waiting) else { return false };
-        if self.habits.drops_waiting {
+        if self.behaviour.drops_waiting {
             self.held.remove(place);
-            self.crowd();
+            self.update_crowded();
         }
-        self.habits.drops_waiting
+        self.behaviour.drops_waiting
     }
 
     /// The call that a job was waiting for has ended.
-    pub fn call_ended(&mut self, ticket: &T, good: bool) -> Option<Happened> {
+    pub fn call_ended(&mut self, ticket: &T, good: bool) -> Option<ServerEvent> {
         let place = self.held.iter().position(|held| held.ticket == *ticket)?;
         let held = &mut self.held[place];
         if !good {
             self.held.remove(place);
-            self.crowd();
-            return Some(Happened::Failed);
+            self.update_crowded();
+            return Some(ServerEvent::Failed);
         }
         held.state = State::Own;
         held.left = held.need.work / f64::from(held.need.calls + 1);
@@ -228,31 +231,31 @@
     }
 
     /// Works on until `now` and says what happened, in order.
-    pub fn advance(&mut self, now: f64) -> Vec<(T, Happened)> {
-        let mut happened = Vec::new();
+    pub fn advance(&mut self, now: f64) -> Vec<(T, ServerEvent)> {
+        let mut events = Vec::new();
         loop {
-            self.begin_waiting(&mut happened);
+            self.begin_waiting(&mut events);
             let at = self.due().min(now).max(self.now);
             self.work_until(at);
             let mut place = 0;
             while place < self.held.len() {
                 let held = &mut self.held[place];
-                if held.state != State::Own || held.left > DONE {
+                if held.state != State::Own || held.left > DONE_WORK_MS {
                     place += 1;
                 } else if held.calls_left > 0 && !held.need.fails {
                     held.calls_left -= 1;
                     held.state = State::Calling;
-                    happened.push((held.ticket.clone(), Happened::Calls));
+                    events.push((held.ticket.clone(), ServerEvent::Calls));
                     place += 1;
                 } else {
                     let ended = self.held.remove(place);
-                    let how = if ended.need.fails { Happened::Failed } else { Happened::Done };
-                    happened.push((ended.ticket, how));
+                    let how = if ended.need.fails { ServerEvent::Failed } else { ServerEvent::Done };
+                    events.push((ended.ticket, how));
                 }
             }
-            self.crowd();
+            self.update_crowded();
             if at >= now && !self.can_begin() {
-                return happened;
+                return events;
             }
         }
     }
@@ -263,18 +266,18 @@
         if self.fallen || own().next().is_none() {
             return f64::INFINITY;
         }
-        if self.now < self.still_until {
-            return self.still_until;
+        if self.now < self.stalled_until {
+            return self.stalled_until;
         }
         let least = own().map(|held| held.left).fold(f64::INFINITY, f64::min);
         let done = self.now + (least / self.each()).max(0.0);
-        if self.grown(self.now) < 1.0 { done.min(self.now + COLD_STEP) } else { done }
+        if self.warm_share(self.now) < 1.0 { done.min(self.now + COLD_STEP_MS) } else { done }
     }
 
     /// The load report as it was last refreshed.
     pub fn report(&mut self) -> Report {
         let since = self.now - self.used_since;
-        if since >= self.habits.report_ms {
+        if since >= self.behaviour.report_ms {
             self.report = Report {
                 utilisation: (self.used / since / self.cores).min(1.0),
                 held: self.held.len() as f64,
@@ -301,11 +304,11 @@
             && self.held.iter().any(|held| held.state == State::Waiting)
     }
 
-    fn begin_waiting(&mut self, happened: &mut Vec<(T, Happened)>) {
+    fn begin_waiting(&mut self, events: &mut Vec<(T, ServerEvent)>) {
         while self.can_begin() {
             if let Some(next) = self.held.iter_mut().find(|held| held.state == State::Waiting) {
                 next.state = State::Own;
-                happened.push((next.ticket.clone(), Happened::Began));
+                events.push((next.ticket.clone(), ServerEvent::Began));
             }
         }
     }
@@ -329,15 +332,15 @@
         self.now = at;
     }
 
-    fn crowd(&mut self) {
+    fn update_crowded(&mut self) {
         let held = self.held.len() as f64 / self.cores;
-        self.crowded = held > if self.crowded { self.habits.calm_at } else { self.habits.crowded_at };
+        self.crowded = held > if self.crowded { self.behaviour.calm_at } else { self.behaviour.crowded_at };
     }
 
     /// Has a cold server been sent more than it bears, with this?
-    fn tips(&mut self, work: f64) -> bool {
-        let grown = self.grown(self.now);
-        if grown >= 1.0 {
+    fn overloads_while_cold(&mut self, work: f64) -> bool {
+        let warm_share = self.warm_share(self.now);
+        if warm_share >= 1.0 {
             self.sent.clear();
             return false;
         }
@@ -347,17 +350,17 @@
             self.sent.pop_front();
         }
         let sent: f64 = self.sent.iter().map(|sent| sent.1).sum();
-        sent > self.rules.cold_budget(self.cores * self.speed * grown, self.mean_work)
+        sent > self.rules.cold_budget(self.cores * self.speed * warm_share, self.mean_work)
     }
 }
 
 /// Share of its capacity that a server has at a time, by when it started.
-pub fn grown(started: f64, habits: &ServerHabits, at: f64) -> f64 {
-    let warm_up = habits.warm_up_s * 1000.0;
+pub fn warm_share(started: f64, behaviour: &ServerBehaviour, at: f64) -> f64 {
+    let warm_up = behaviour.warm_up_s * 1000.0;
     if warm_up <= 0.0 || at - started >= warm_up {
         return 1.0;
     }
-    habits.cold_from + (1.0 - habits.cold_from) * ((at - started) / warm_up).max(0.0)
+    behaviour.cold_from + (1.0 - behaviour.cold_from) * ((at - started) / warm_up).max(0.0)
 }
 
 #[cfg(test)]
--- a/crates/pearfront-emulator/src/sockets/callers.rs
+++ b/crates/pearfront-emulator/src/sockets/clients.rs
@@ -1,14 +1,17 @@
 //! The callers' side of a play on sockets: the nodes of the first tier, the front that deals jobs out among them, and
 //! one task for each ask.
 
-use super::client::{Asked, Client, Heard};
+use super::http_client::{Asked, Client, Heard};
 use super::processes::{Process, Signal, says_up};
-use super::{Clock, NodeCommand, Places, SEAT, SEAT_CLUSTER, SEAT_DISCOVERY, Seen, config_among, lateness};
-use crate::asks::{Asks, Drawn, weighted};
+use super::{
+    Clock, FRONT_NODE, FRONT_NODE_CLUSTER, FRONT_NODE_DISCOVERY, NodeCommand, Places, Seen, config_among,
+    lateness,
+};
 use crate::list::{Line, address};
 use crate::platform;
-use crate::record::{Answer, Answered, Ask, Job, NodeEnd, NodeLife, Records};
+use crate::record::{Answer, Answered, Ask, NodeEnd, NodeLife, Records, RequestRecord};
 use crate::scenario::{Scenario, Trouble, What};
+use crate::workload::{Drawn, Workload, weighted};
 use hdrhistogram::Histogram;
 use pearfront::interface::ServerState;
 use rand::prelude::SeedableRng;
@@ -29,10 +32,10 @@
 /// Time between two looks whether a node is up again.
 const LOOK: Duration = Duration::from_millis(50);
 
-struct Seat {
+struct NodeHost {
     number: usize,
     zone: usize,
-    client: RefCell<Rc<Client>>,
+    http_client: RefCell<Rc<Client>>,
     process: RefCell<Option<Process>>,
     weight: Cell<f64>,
     dealt: Cell<bool>,
@@ -46,10 +49,10 @@
     command: NodeCommand,
     places: Places,
     clock: Cell<Option<Clock>>,
-    seats: RefCell<Vec<Rc<Seat>>>,
+    node_hosts: RefCell<Vec<Rc<NodeHost>>>,
     records: RefCell<Records>,
     late: RefCell<Histogram<u64>>,
-    chance: RefCell<ChaCha8Rng>,
+    rng: RefCell<ChaCha8Rng>,
     open: Cell<usize>,
     /// Troubles that still act on nodes here: one told to end is started again only when it has.
     striking: Cell<usize>,
@@ -65,17 +68,17 @@
         command: &NodeCommand,
         places: Places,
     ) -> Result<Rc<Self>, String> {
-        let mut chance = ChaCha8Rng::seed_from_u64(seed);
-        chance.set_stream(6);
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        rng.set_stream(6);
         let front = Rc::new(Self {
             seed,
             command: command.clone(),
             places,
             clock: Cell::new(None),
-            seats: RefCell::default(),
+            node_hosts: RefCell::default(),
             records: RefCell::default(),
             late: RefCell::new(lateness()),
-            chance: RefCell::new(chance),
+            rng: RefCell::new(rng),
             open: Cell::new(0),
             striking: Cell::new(0),
             over: Notify::new(),
@@ -83,25 +86,25 @@
             scenario: scenario.clone(),
         });
         for number in 0..scenario.nodes.count {
-            let seat = Rc::new(Seat {
+            let node_host = Rc::new(NodeHost {
                 number,
                 zone: number % scenario.zones.len(),
-                client: RefCell::new(Client::new(scenario.clone(), places.at(SEAT, number))),
+                http_client: RefCell::new(Client::new(scenario.clone(), places.at(FRONT_NODE, number))),
                 process: RefCell::default(),
                 weight: Cell::new(1.0),
                 dealt: Cell::new(true),
                 life: Cell::new(0),
                 starts: Cell::new(0),
             });
-            front.start_node(&seat)?;
-            front.seats.borrow_mut().push(seat);
+            front.start_node(&node_host)?;
+            front.node_hosts.borrow_mut().push(node_host);
         }
-        let seats = front.seats.borrow().clone();
-        for seat in seats {
-            let process = seat.process.take();
+        let node_hosts = front.node_hosts.borrow().clone();
+        for node_host in node_hosts {
+            let process = node_host.process.take();
             if let Some(mut process) = process {
                 let up = process.up().await;
-                *seat.process.borrow_mut() = Some(process);
+                *node_host.process.borrow_mut() = Some(process);
                 up?;
             }
         }
@@ -113,28 +116,30 @@
     }
 
     /// A node's file knows the fleet as it was at the start of the play, however often it is started.
-    fn start_node(&self, seat: &Seat) -> Result<(), String> {
+    fn start_node(&self, node_host: &NodeHost) -> Result<(), String> {
         let scenario = &self.scenario;
-        let settings = platform::settings(scenario, 0, seat.zone, scenario.nodes.count);
+        let settings = platform::settings(scenario, 0, node_host.zone, scenario.nodes.count);
         let lines = self.first_list();
         let known: Vec<_> = lines.iter().map(|line| line.json(scenario, 0.0)).collect();
-        let seed = self.seed ^ 0x5ea7 ^ (seat.number as u64) << 32 ^ seat.starts.get() << 16;
-        let name = format!("n{}", seat.number);
-        let (at, discovery) =
-            (self.places.at(SEAT, seat.number), self.places.at(SEAT_DISCOVERY, seat.number));
-        let among = (self.places, self.places.at(SEAT_CLUSTER, seat.number));
+        let seed = self.seed ^ 0x5ea7 ^ (node_host.number as u64) << 32 ^ node_host.starts.get() << 16;
+        let name = format!("n{}", node_host.number);
+        let (at, discovery) = (
+            self.places.at(FRONT_NODE, node_host.number),
+            self.places.at(FRONT_NODE_DISCOVERY, node_host.number),
+        );
+        let among = (self.places, self.places.at(FRONT_NODE_CLUSTER, node_host.number));
         let config = config_among(scenario, &settings, &known, seed, among);
-        *seat.process.borrow_mut() = Some(Process::start(&self.command, &name, at, discovery, &config)?);
-        seat.starts.set(seat.starts.get() + 1);
+        *node_host.process.borrow_mut() = Some(Process::start(&self.command, &name, at, discovery, &config)?);
+        node_host.starts.set(node_host.starts.get() + 1);
         let mut records = self.records.borrow_mut();
-        seat.life.set(records.nodes.len());
+        node_host.life.set(records.nodes.len());
         let from = self.now();
         records.nodes.push(NodeLife { name, tier: 0, from, ended: None });
-        let node = seat.life.get();
+        let node = node_host.life.get();
         // Lives of servers are numbered in the order in which they were first started.
         for line in &lines {
             let (server, standing) = (line.life, ServerState::Ready);
-            records.told.push(crate::record::Told { node, server, standing, at: from });
+            records.list_updates.push(crate::record::ListUpdate { node, server, standing, at: from });
         }
         Ok(())
     }
@@ -167,8 +172,8 @@
             spawn_local(self.clone().trouble(trouble));
         }
         let length = self.scenario.length();
-        let (mut told, mut enough) = (0.0, false);
-        for ask in Asks::new(self.scenario.clone(), self.seed) {
+        let (mut last_progress, mut enough) = (0.0, false);
+        for ask in Workload::new(self.scenario.clone(), self.seed) {
             sleep_until(clock.at(ask.at)).await;
             enough |= shown.try_recv().is_ok();
             if enough && self.striking.get() == 0 {
@@ -176,8 +181,8 @@
             }
             let late = (clock.now() - ask.at).max(0.0) * 1000.0;
             self.late.borrow_mut().saturating_record(late as u64);
-            if ask.at - told >= 1000.0 {
-                told = ask.at;
+            if ask.at - last_progress >= 1000.0 {
+                last_progress = ask.at;
                 progress(ask.at / length);
             }
             self.open.set(self.open.get() + 1);
@@ -186,9 +191,9 @@
         while self.open.get() > 0 {
             self.over.notified().await;
         }
-        let seats = self.seats.borrow().clone();
-        for seat in seats {
-            let process = seat.process.take();
+        let node_hosts = self.node_hosts.borrow().clone();
+        for node_host in node_hosts {
+            let process = node_host.process.take();
             if let Some(mut process) = process {
                 process.kill().await;
             }
@@ -221,7 +226,7 @@
     /// One try; nothing if its caller left.
     async fn try_once(&self, ask: &Drawn, place: usize) -> Option<Heard> {
         let clock = self.clock.get()?;
-        let Some(seat) = self.deal(ask.zone) else { return Some(Heard::Refused) };
+        let Some(node_host) = self.deal(ask.zone) else { return Some(Heard::Refused) };
         let trace = self.traces.replace(self.traces.get() + 2);
         let asked = Asked {
             profile: ask.profile,
@@ -232,16 +237,16 @@
             root: trace,
         };
         let sent = clock.now();
-        let job = Cell::new(None);
+        let request = Cell::new(None);
         let accepted = || {
-            if job.get().is_none() {
+            if request.get().is_none() {
                 let mut records = self.records.borrow_mut();
-                job.set(Some(records.jobs.len()));
-                records.jobs.push(Job {
+                request.set(Some(records.requests.len()));
+                records.requests.push(RequestRecord {
                     trace,
                     root: trace,
                     ask: Some(place),
-                    node: seat.life.get(),
+                    node: node_host.life.get(),
                     tier: 0,
                     profile: ask.profile,
                     key: ask.key,
@@ -253,38 +258,38 @@
                 });
             }
         };
-        let client = seat.client.borrow().clone();
+        let http_client = node_host.http_client.borrow().clone();
         let until = clock.at(ask.leaves(&self.scenario, sent));
-        let asking = client.ask(trace, &asked, ask.limit - sent, accepted);
+        let asking = http_client.ask(trace, &asked, ask.limit - sent, accepted);
         let heard = tokio::time::timeout_at(until, asking).await;
         let at = clock.now();
-        if let Some(job) = job.get() {
-            let job = &mut self.records.borrow_mut().jobs[job];
+        if let Some(request) = request.get() {
+            let request = &mut self.records.borrow_mut().requests[request];
             match heard {
-                Ok(Heard::Answer { answer, body, .. }) => job.answers.push(Answered { at, answer, body }),
-                Ok(Heard::Cut) => job.cut = true,
+                Ok(Heard::Answer { answer, body, .. }) => request.answers.push(Answered { at, answer, body }),
+                Ok(Heard::Cut) => request.cut = true,
                 // Written to a kept connection just as that was closed, and then to nobody: it was never taken.
-                Ok(Heard::Refused) | Err(_) => job.left = Some(at),
+                Ok(Heard::Refused) | Err(_) => request.left = Some(at),
             }
         }
         heard.ok()
     }
 
     /// The nodes of the caller's zone that the front knows to be up, else any.
-    fn deal(&self, zone: usize) -> Option<Rc<Seat>> {
-        let seats = self.seats.borrow();
+    fn deal(&self, zone: usize) -> Option<Rc<NodeHost>> {
+        let node_hosts = self.node_hosts.borrow();
         let at = |home: bool| {
-            let fits = |seat: &&Rc<Seat>| seat.dealt.get() && (!home || seat.zone == zone);
-            seats.iter().filter(fits).cloned().collect::<Vec<_>>()
+            let fits = |node_host: &&Rc<NodeHost>| node_host.dealt.get() && (!home || node_host.zone == zone);
+            node_hosts.iter().filter(fits).cloned().collect::<Vec<_>>()
         };
         let home = at(true);
-        let seats = if home.is_empty() { at(false) } else { home };
-        if seats.is_empty() {
+        let node_hosts = if home.is_empty() { at(false) } else { home };
+        if node_hosts.is_empty() {
             return None;
         }
-        let weights = seats.iter().map(|seat| seat.weight.get());
-        let place = weighted(&mut self.chance.borrow_mut(), weights);
-        Some(seats[place].clone())
+        let weights = node_hosts.iter().map(|node_host| node_host.weight.get());
+        let place = weighted(&mut self.rng.borrow_mut(), weights);
+        Some(node_hosts[place].clone())
     }
 
     // ---- the script ----
@@ -304,87 +309,89 @@
             return;
         }
         let zone = self.scenario.zone_of(&trouble);
-        let fits = |seat: &&Rc<Seat>| zone.is_none_or(|zone| seat.zone == zone);
-        let mut seats: Vec<Rc<Seat>> = self.seats.borrow().iter().filter(fits).cloned().collect();
+        let fits = |node_host: &&Rc<NodeHost>| zone.is_none_or(|zone| node_host.zone == zone);
+        let mut node_hosts: Vec<Rc<NodeHost>> =
+            self.node_hosts.borrow().iter().filter(fits).cloned().collect();
         if nodes {
-            seats.shuffle(&mut *self.chance.borrow_mut());
+            node_hosts.shuffle(&mut *self.rng.borrow_mut());
             let one = trouble.what == What::HotNode && trouble.part.is_none();
-            seats.truncate(trouble.how_many(if one { 1 } else { seats.len() }));
+            node_hosts.truncate(trouble.how_many(if one { 1 } else { node_hosts.len() }));
         }
-        let names: Vec<String> = seats.iter().map(|seat| format!("n{}", seat.number)).collect();
+        let names: Vec<String> =
+            node_hosts.iter().map(|node_host| format!("n{}", node_host.number)).collect();
         self.note(format!("{:?} strikes nodes {}", trouble.what, names.join(" ")));
-        for seat in seats {
+        for node_host in node_hosts {
             self.striking.set(self.striking.get() + 1);
             let (front, trouble) = (self.clone(), trouble.clone());
             spawn_local(async move {
-                front.clone().strike(trouble, seat).await;
+                front.clone().apply_trouble(trouble, node_host).await;
                 front.striking.set(front.striking.get() - 1);
             });
         }
     }
 
-    async fn strike(self: Rc<Self>, trouble: Trouble, seat: Rc<Seat>) {
+    async fn apply_trouble(self: Rc<Self>, trouble: Trouble, node_host: Rc<NodeHost>) {
         let lasts = Duration::from_secs_f64(trouble.for_s);
         match trouble.what {
             What::HotNode => {
-                seat.weight.set(trouble.by());
+                node_host.weight.set(trouble.by());
                 sleep(lasts).await;
-                seat.weight.set(1.0);
+                node_host.weight.set(1.0);
             }
             What::Sighup => {
-                if let Some(process) = seat.process.borrow().as_ref() {
+                if let Some(process) = node_host.process.borrow().as_ref() {
                     process.signal(Signal::Hup);
                 }
             }
             What::RestartNodes => {
-                self.terminate(&seat).await;
+                self.terminate(&node_host).await;
                 sleep(lasts).await;
-                self.start_again(&seat).await;
+                self.start_again(&node_host).await;
             }
             // Killed alone, or with its zone.
             _ => {
-                let process = seat.process.take();
+                let process = node_host.process.take();
                 if let Some(mut process) = process {
-                    self.ended(&seat, NodeEnd::Killed);
+                    self.ended(&node_host, NodeEnd::Killed);
                     process.kill().await;
                 }
-                sleep(Duration::from_secs_f64(self.scenario.callers.notice_s).min(lasts)).await;
-                seat.dealt.set(false);
-                sleep(lasts.saturating_sub(Duration::from_secs_f64(self.scenario.callers.notice_s))).await;
-                self.start_again(&seat).await;
+                sleep(Duration::from_secs_f64(self.scenario.clients.notice_s).min(lasts)).await;
+                node_host.dealt.set(false);
+                sleep(lasts.saturating_sub(Duration::from_secs_f64(self.scenario.clients.notice_s))).await;
+                self.start_again(&node_host).await;
             }
         }
     }
 
-    fn ended(&self, seat: &Seat, how: NodeEnd) {
-        self.records.borrow_mut().nodes[seat.life.get()].ended = Some((self.now(), how));
+    fn ended(&self, node_host: &NodeHost, how: NodeEnd) {
+        self.records.borrow_mut().nodes[node_host.life.get()].ended = Some((self.now(), how));
     }
 
-    async fn terminate(&self, seat: &Seat) {
-        let process = seat.process.take();
+    async fn terminate(&self, node_host: &NodeHost) {
+        let process = node_host.process.take();
         let Some(mut process) = process else { return };
         process.signal(Signal::Term);
         sleep(COMES_ON).await;
-        seat.dealt.set(false);
+        node_host.dealt.set(false);
         let longest =
             self.scenario.profiles.iter().fold(0.0, |most: f64, profile| most.max(profile.deadline_ms));
         let patience = Duration::from_secs_f64(longest.min(LIMIT_MOST) / 1000.0) + KILLED_AFTER;
         if tokio::time::timeout(patience, process.ended()).await.is_err() {
             process.kill().await;
         }
-        self.ended(seat, NodeEnd::Terminated);
-        seat.client.borrow().end();
+        self.ended(node_host, NodeEnd::Terminated);
+        node_host.http_client.borrow().end();
     }
 
-    async fn start_again(&self, seat: &Rc<Seat>) {
-        if let Err(problem) = self.start_node(seat) {
+    async fn start_again(&self, node_host: &Rc<NodeHost>) {
+        if let Err(problem) = self.start_node(node_host) {
             return log::warn!("{problem}");
         }
-        let address = self.places.at(SEAT, seat.number);
-        *seat.client.borrow_mut() = Client::new(self.scenario.clone(), address);
+        let address = self.places.at(FRONT_NODE, node_host.number);
+        *node_host.http_client.borrow_mut() = Client::new(self.scenario.clone(), address);
         while !says_up(address).await {
             sleep(LOOK).await;
         }
-        seat.dealt.set(true);
+        node_host.dealt.set(true);
     }
 }
--- a/crates/pearfront-emulator/src/sockets/discovery.rs
+++ b/crates/pearfront-emulator/src/sockets/discovery.rs
@@ -4,7 +4,7 @@
 use super::fleet::Side;
 use super::servers::{Host, answer};
 use crate::list::Line;
-use crate::record::Told;
+use crate::record::ListUpdate;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -28,8 +28,8 @@
 /// Whose way in it is.
 #[derive(Clone)]
 pub enum Asker {
-    Seat(usize),
-    Beside(Rc<Host>),
+    NodeHost(usize),
+    Sidecar(Rc<Host>),
 }
 
 pub struct Directory {
@@ -120,9 +120,9 @@
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let (side, asker) = (side.clone(), asker.clone());
-                let service = service_fn(move |request| {
+                let service = service_fn(move |http_request| {
                     let (side, asker) = (side.clone(), asker.clone());
-                    async move { Ok::<_, Infallible>(side.tell(tier, &asker, &request).await) }
+                    async move { Ok::<_, Infallible>(side.tell(tier, &asker, &http_request).await) }
                 });
                 spawn_local(async move {
                     // A connection may end in any way: the next call shows it.
@@ -195,10 +195,10 @@
     }
 
     fn book(&self, asker: &Asker, line: &Line, at: f64) {
-        let told = |node| Told { node, server: line.life, standing: line.standing, at };
+        let update = |node| ListUpdate { node, server: line.life, standing: line.standing, at };
         match asker {
-            Asker::Seat(number) => self.told_seats.borrow_mut().push((*number, told(0))),
-            Asker::Beside(host) => self.records.borrow_mut().told.push(told(host.node_life.get())),
+            Asker::NodeHost(number) => self.node_host_updates.borrow_mut().push((*number, update(0))),
+            Asker::Sidecar(host) => self.records.borrow_mut().list_updates.push(update(host.node_life.get())),
         }
     }
 }
--- a/crates/pearfront-emulator/src/sockets/fleet.rs
+++ b/crates/pearfront-emulator/src/sockets/fleet.rs
@@ -4,16 +4,16 @@
 use super::processes::{Process, Signal};
 use super::servers::Host;
 use super::{
-    BESIDE, BESIDE_CLUSTER, BESIDE_DISCOVERY, Clock, Enough, LOOK, NodeCommand, Places, SEAT_DISCOVERY,
-    SERVER, Seen, config_among, lateness,
+    Clock, Enough, FRONT_NODE_DISCOVERY, LOOK, NodeCommand, Places, SERVER, SIDECAR, SIDECAR_CLUSTER,
+    SIDECAR_DISCOVERY, Seen, config_among, lateness,
 };
+use crate::active_troubles::{ActiveTroubles, State};
+use crate::dedup::DedupGroups;
 use crate::list::{Line, address};
 use crate::platform;
-use crate::record::{AttemptEnd, NodeEnd, NodeLife, Records, Told};
-use crate::repeats::Groups;
+use crate::record::{AttemptEnd, ListUpdate, NodeEnd, NodeLife, Records};
 use crate::scenario::{Scenario, Trouble, What};
 use crate::server::Server;
-use crate::struck::{State, Struck};
 use hdrhistogram::Histogram;
 use pearfront::interface::ServerState;
 use rand::prelude::{Rng, SeedableRng};
@@ -31,14 +31,14 @@
     pub clock: Cell<Clock>,
     pub records: RefCell<Records>,
     pub late: RefCell<Histogram<u64>>,
-    pub chance: RefCell<ChaCha8Rng>,
+    pub rng: RefCell<ChaCha8Rng>,
     pub hosts: RefCell<Vec<Rc<Host>>>,
-    pub repeats: RefCell<Groups>,
+    pub repeats: RefCell<DedupGroups>,
     pub directory: Directory,
     /// Answers that were lost on their way: their connections stay open and silent.
     pub unanswered: RefCell<Vec<oneshot::Sender<AttemptEnd>>>,
     /// What seats' nodes were told: their lives are the callers' side's to know.
-    pub told_seats: RefCell<Vec<(usize, Told)>>,
+    pub node_host_updates: RefCell<Vec<(usize, ListUpdate)>>,
     troubles: RefCell<ChaCha8Rng>,
     command: NodeCommand,
     places: Places,
@@ -48,11 +48,11 @@
 
 pub struct FleetSeen {
     pub seen: Seen,
-    pub told_seats: Vec<(usize, Told)>,
+    pub node_host_updates: Vec<(usize, ListUpdate)>,
 }
 
 /// What the fleet's thread and the callers' tell each other.
-pub struct Words {
+pub struct Signals {
     pub ready: oneshot::Sender<Result<(), String>>,
     pub goes: oneshot::Receiver<Clock>,
     /// Told once the play has shown enough, where somebody says when that is.
@@ -66,45 +66,45 @@
     seed: u64,
     command: NodeCommand,
     places: Places,
-    words: Words,
+    signals: Signals,
 ) -> Result<FleetSeen, String> {
     let side = Side::new(scenario, seed, command, places);
     let built = side.build().await;
     let failed = built.is_err();
-    if words.ready.send(built).is_err() || failed {
+    if signals.ready.send(built).is_err() || failed {
         return Err("the fleet did not start".into());
     }
-    let clock = words.goes.await.map_err(|_| "the nodes did not start".to_string())?;
+    let clock = signals.goes.await.map_err(|_| "the nodes did not start".to_string())?;
     side.clock.set(clock);
     side.hosts.borrow().iter().for_each(|host| host.bell.notify_one());
     for place in 0..side.scenario.troubles.len() {
         spawn_local(side.clone().trouble(place));
     }
-    if let Some((enough, shown)) = words.enough {
+    if let Some((enough, shown)) = signals.enough {
         spawn_local(side.clone().watch(enough, shown));
     }
     // Whoever waits for it may have been cut short.
-    let _ = words.stops.await;
+    let _ = signals.stops.await;
     Ok(side.close().await)
 }
 
 impl Side {
     fn new(scenario: Rc<Scenario>, seed: u64, command: NodeCommand, places: Places) -> Rc<Self> {
         let stream = |number: u64| {
-            let mut chance = ChaCha8Rng::seed_from_u64(seed);
-            chance.set_stream(number);
-            RefCell::new(chance)
+            let mut rng = ChaCha8Rng::seed_from_u64(seed);
+            rng.set_stream(number);
+            RefCell::new(rng)
         };
         Rc::new(Self {
             clock: Cell::new(Clock::starting_in(std::time::Duration::from_secs(3600))),
             records: RefCell::default(),
             late: RefCell::new(lateness()),
-            chance: stream(4),
+            rng: stream(4),
             hosts: RefCell::default(),
             repeats: RefCell::default(),
             directory: Directory::default(),
             unanswered: RefCell::default(),
-            told_seats: RefCell::default(),
+            node_host_updates: RefCell::default(),
             troubles: stream(3),
             command,
             places,
@@ -135,14 +135,14 @@
             self.directory.put(&line(&host, ServerState::Ready));
         }
         for number in 0..self.scenario.nodes.count {
-            let at = self.places.at(SEAT_DISCOVERY, number);
-            self.serve_directory(at, 0, super::discovery::Asker::Seat(number))?;
+            let at = self.places.at(FRONT_NODE_DISCOVERY, number);
+            self.serve_directory(at, 0, super::discovery::Asker::NodeHost(number))?;
         }
         let calling: Vec<Rc<Host>> =
             self.hosts.borrow().iter().filter(|host| self.calls(host)).cloned().collect();
         for host in &calling {
-            let at = self.places.at(BESIDE_DISCOVERY, host.place);
-            self.serve_directory(at, host.tier + 1, super::discovery::Asker::Beside(host.clone()))?;
+            let at = self.places.at(SIDECAR_DISCOVERY, host.place);
+            self.serve_directory(at, host.tier + 1, super::discovery::Asker::Sidecar(host.clone()))?;
             self.start_node(host)?;
         }
         for host in &calling {
@@ -157,8 +157,9 @@
 
     fn add_host(self: &Rc<Self>, tier: usize, (zone, cell, kind): (u16, u16, usize), id: String) -> Rc<Host> {
         let scenario = &self.scenario;
-        let habits = &scenario.tiers[tier].server;
-        let server = Server::new(&scenario.kinds[kind], habits, &scenario.rules, f64::NEG_INFINITY, f64::MIN);
+        let behaviour = &scenario.tiers[tier].server;
+        let server =
+            Server::new(&scenario.kinds[kind], behaviour, &scenario.rules, f64::NEG_INFINITY, f64::MIN);
         let place = self.hosts.borrow().len();
         let host = Rc::new(Host {
             address: address(self.places.at(SERVER, place)),
@@ -172,13 +173,13 @@
             life: Cell::new(0),
             started: Cell::new(f64::NEG_INFINITY),
             server: RefCell::new(server),
-            struck: Struck::default(),
+            active_troubles: ActiveTroubles::default(),
             bell: Notify::new(),
             starts: watch::Sender::new(0),
             listening: RefCell::default(),
             node: RefCell::default(),
             node_life: Cell::new(0),
-            caller: RefCell::default(),
+            client: RefCell::default(),
             held: RefCell::default(),
             place,
         });
@@ -189,19 +190,19 @@
     }
 
     async fn pauses(self: Rc<Self>, host: Rc<Host>) {
-        let habits = &self.scenario.tiers[host.tier].server;
-        let Ok(waits) = Exp::new(1.0 / (habits.pause_every_s * 1000.0)) else { return };
-        if habits.pause_every_s <= 0.0 {
+        let behaviour = &self.scenario.tiers[host.tier].server;
+        let Ok(waits) = Exp::new(1.0 / (behaviour.pause_every_s * 1000.0)) else { return };
+        if behaviour.pause_every_s <= 0.0 {
             return;
         }
         let mut at = 0.0;
         loop {
-            at += waits.sample(&mut *self.chance.borrow_mut());
+            at += waits.sample(&mut *self.rng.borrow_mut());
             while self.clock.get().now() < at {
                 sleep_until(self.clock.get().at(at)).await;
             }
             self.catch_up(&host);
-            host.server.borrow_mut().stand_still(at + habits.pause_ms);
+            host.server.borrow_mut().stall_until(at + behaviour.pause_ms);
             host.bell.notify_one();
         }
     }
@@ -217,9 +218,9 @@
         let known: Vec<_> = lines.iter().map(|line| line.json(scenario, began)).collect();
         let seed = self.seed ^ (host.place as u64) << 32 ^ *host.starts.borrow();
         let name = format!("by-{}", host.place);
-        let listen = self.places.at(BESIDE, host.place);
-        let discovery = self.places.at(BESIDE_DISCOVERY, host.place);
-        let among = (self.places, self.places.at(BESIDE_CLUSTER, host.place));
+        let listen = self.places.at(SIDECAR, host.place);
+        let discovery = self.places.at(SIDECAR_DISCOVERY, host.place);
+        let among = (self.places, self.places.at(SIDECAR_CLUSTER, host.place));
         let config = config_among(scenario, &settings, &known, seed, among);
         let process = Process::start(&self.command, &name, listen, discovery, &config)?;
         *host.node.borrow_mut() = Some(process);
@@ -229,7 +230,12 @@
         records.nodes.push(NodeLife { name, tier, from, ended: None });
         let node = host.node_life.get();
         for line in &lines {
-            records.told.push(Told { node, server: line.life, standing: line.standing, at: from });
+            records.list_updates.push(ListUpdate {
+                node,
+                server: line.life,
+                standing: line.standing,
+                at: from,
+            });
         }
         Ok(())
     }
@@ -238,14 +244,15 @@
         let Some(mut process) = host.node.take() else { return Ok(()) };
         let up = process.up().await;
         *host.node.borrow_mut() = Some(process);
-        let client = super::client::Client::new(self.scenario.clone(), self.places.at(BESIDE, host.place));
-        *host.caller.borrow_mut() = Some(client);
+        let http_client =
+            super::http_client::Client::new(self.scenario.clone(), self.places.at(SIDECAR, host.place));
+        *host.client.borrow_mut() = Some(http_client);
         up
     }
 
     async fn stop_node(&self, host: &Host) {
-        if let Some(client) = host.caller.take() {
-            client.end();
+        if let Some(http_client) = host.client.take() {
+            http_client.end();
         }
         let process = host.node.take();
         if let Some(mut process) = process {
@@ -278,14 +285,14 @@
             What::Sighup => self.hup(),
             // The callers' side strikes their nodes.
             What::KillNodes | What::RestartNodes | What::HotNode => return,
-            _ => self.strike(place, &trouble).await,
+            _ => self.apply_trouble(place, &trouble).await,
         }
         sleep_until(self.clock.get().at((trouble.at_s + trouble.for_s) * 1000.0)).await;
         match trouble.what {
             What::DiscoveryDown => self.directory.go_down(false),
             What::DiscoveryOld => self.directory.grow_old(false),
             What::Release | What::Drain | What::Sighup => {}
-            _ => self.spare(place, &trouble).await,
+            _ => self.end_trouble(place, &trouble).await,
         }
         self.note(format!("{:?} is over", trouble.what));
     }
@@ -315,7 +322,7 @@
         hosts
     }
 
-    async fn strike(self: &Rc<Self>, place: usize, trouble: &Trouble) {
+    async fn apply_trouble(self: &Rc<Self>, place: usize, trouble: &Trouble) {
         let hosts = self.targets(trouble);
         self.note(format!("{:?} begins at {} servers", trouble.what, hosts.len()));
         if trouble.what == What::Release {
@@ -325,27 +332,27 @@
         let now = self.clock.get().now();
         for host in hosts {
             self.catch_up(&host);
-            host.struck.strike(place, trouble.what, trouble.by());
+            host.active_troubles.apply_trouble(place, trouble.what, trouble.by());
             match trouble.what {
                 What::Silent => {
                     host.state.set(State::Silent);
                     self.announce(&host, ServerState::Gone, self.scenario.discovery.silent_s * 1000.0);
                     self.stop_node(&host).await;
                 }
-                What::Stall => host.server.borrow_mut().stand_still(now + trouble.for_s * 1000.0),
+                What::Stall => host.server.borrow_mut().stall_until(now + trouble.for_s * 1000.0),
                 What::Drain => self.drain(&host),
                 _ => {}
             }
-            host.server.borrow_mut().pace = host.struck.pace();
+            host.server.borrow_mut().speed_factor = host.active_troubles.speed_factor();
             host.bell.notify_one();
         }
     }
 
-    async fn spare(self: &Rc<Self>, place: usize, trouble: &Trouble) {
+    async fn end_trouble(self: &Rc<Self>, place: usize, trouble: &Trouble) {
         let hosts: Vec<Rc<Host>> = self.hosts.borrow().iter().cloned().collect();
-        for host in hosts.into_iter().filter(|host| host.struck.spare(place)) {
+        for host in hosts.into_iter().filter(|host| host.active_troubles.end_trouble(place)) {
             self.catch_up(&host);
-            host.server.borrow_mut().pace = host.struck.pace();
+            host.server.borrow_mut().speed_factor = host.active_troubles.speed_factor();
             host.bell.notify_one();
             if trouble.what == What::Silent && host.state.get() == State::Silent {
                 self.lose_all(&host);
@@ -363,11 +370,11 @@
     async fn start_host(self: &Rc<Self>, host: &Rc<Host>) {
         let now = self.clock.get().now();
         let scenario = &self.scenario;
-        let habits = &scenario.tiers[host.tier].server;
+        let behaviour = &scenario.tiers[host.tier].server;
         host.started.set(now);
         host.draining.set(false);
-        let mut server = Server::new(&scenario.kinds[host.kind], habits, &scenario.rules, now, now);
-        server.pace = host.struck.pace();
+        let mut server = Server::new(&scenario.kinds[host.kind], behaviour, &scenario.rules, now, now);
+        server.speed_factor = host.active_troubles.speed_factor();
         server.mean_work = scenario.mean_work_at(host.tier);
         *host.server.borrow_mut() = server;
         self.record_life(host);
@@ -417,8 +424,8 @@
                 let id = format!("{}+", host.id.borrow());
                 let new = self.add_host(host.tier, (host.zone, host.cell, host.kind), id);
                 if self.calls(&new) {
-                    let at = self.places.at(BESIDE_DISCOVERY, new.place);
-                    let asker = super::discovery::Asker::Beside(new.clone());
+                    let at = self.places.at(SIDECAR_DISCOVERY, new.place);
+                    let asker = super::discovery::Asker::Sidecar(new.clone());
                     if let Err(problem) = self.serve_directory(at, new.tier + 1, asker) {
                         log::warn!("{problem}");
                     }
@@ -432,7 +439,7 @@
     /// Something about a server has changed; discovery notices after a while.
     fn announce(self: &Rc<Self>, host: &Host, standing: ServerState, after: f64) {
         let (soonest, latest) = self.scenario.discovery.late_ms;
-        let late = soonest + (latest - soonest) * self.chance.borrow_mut().random::<f64>();
+        let late = soonest + (latest - soonest) * self.rng.borrow_mut().random::<f64>();
         let at = self.clock.get().now() + after + late;
         let line = line(host, standing);
         let side = self.clone();
@@ -452,7 +459,7 @@
         }
         FleetSeen {
             seen: Seen { records: self.records.take(), late: self.late.borrow().clone() },
-            told_seats: self.told_seats.take(),
+            node_host_updates: self.node_host_updates.take(),
         }
     }
 }
--- a/crates/pearfront-emulator/src/sockets/client.rs
+++ b/crates/pearfront-emulator/src/sockets/http_client.rs
@@ -101,8 +101,8 @@
         asked: &Asked,
         left: f64,
     ) -> Option<Heard> {
-        let request = self.encode(trace, asked, left);
-        let answer = sender.send_request(request).await.ok()?;
+        let http_request = self.encode(trace, asked, left);
+        let answer = sender.send_request(http_request).await.ok()?;
         let (head, body) = answer.into_parts();
         let body = body.collect().await.ok()?.to_bytes();
         let number = |text: &[u8]| std::str::from_utf8(text).ok().and_then(|text| text.trim().parse().ok());
@@ -121,7 +121,7 @@
         let (work, fan, root) = (asked.work, asked.fan, asked.root);
         let target = format!("/{}/it?w={work}&f={fan}&r={root}&c={}", profile.name, asked.customer);
         let method = if profile.effect == Effect::Idempotent { "GET" } else { "POST" };
-        let mut request = Request::builder()
+        let mut http_request = Request::builder()
             .method(method)
             .uri(target)
             .header("Host", "origin.svc")
@@ -129,10 +129,10 @@
             .header("X-Customer", &self.scenario.customers[asked.customer].name)
             .header("X-Expires-In", format!("{:.4}", left.max(0.0) / 1000.0));
         if profile.effect == Effect::Keyed {
-            request = request.header("Idempotency-Key", asked.key.to_string());
+            http_request = http_request.header("Idempotency-Key", asked.key.to_string());
         }
         let body = if method == "GET" { Bytes::new() } else { Bytes::from_static(b"{}") };
-        request.body(Full::new(body)).expect("names were checked with the file")
+        http_request.body(Full::new(body)).expect("names were checked with the file")
     }
 
     /// Closes what is idle, as when its process ends.
--- a/crates/pearfront-emulator/src/sockets/mod.rs
+++ b/crates/pearfront-emulator/src/sockets/mod.rs
@@ -2,14 +2,14 @@
 //! and callers on another, each a single-threaded runtime of its own. They share nothing but the time of the start and
 //! put their records together at the end.
 
-mod callers;
-mod client;
+mod clients;
 mod discovery;
 mod fleet;
+mod http_client;
 mod processes;
 mod servers;
 
-use crate::record::{Job, NodeLife, Records};
+use crate::record::{NodeLife, Records, RequestRecord};
 use crate::scenario::Scenario;
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
@@ -28,7 +28,7 @@
 /// Time between two looks whether a play has shown what it is played for.
 const LOOK: Duration = Duration::from_millis(50);
 /// Longest lateness that is told apart, us.
-const LATE_MOST: u64 = 60_000_000;
+const MAX_LATENESS_US: u64 = 60_000_000;
 
 /// How nodes are started, and where their files go.
 #[derive(Debug, Clone)]
@@ -96,13 +96,13 @@
 
 /// Kinds of places: servers, nodes of callers, nodes beside servers, and discovery for each.
 pub const SERVER: u16 = 0;
-pub const SEAT: u16 = 1;
-pub const BESIDE: u16 = 2;
-pub const SEAT_DISCOVERY: u16 = 3;
-pub const BESIDE_DISCOVERY: u16 = 4;
+pub const FRONT_NODE: u16 = 1;
+pub const SIDECAR: u16 = 2;
+pub const FRONT_NODE_DISCOVERY: u16 = 3;
+pub const SIDECAR_DISCOVERY: u16 = 4;
 /// The same nodes among one another.
-pub const SEAT_CLUSTER: u16 = 5;
-pub const BESIDE_CLUSTER: u16 = 6;
+pub const FRONT_NODE_CLUSTER: u16 = 5;
+pub const SIDECAR_CLUSTER: u16 = 6;
 
 /// What a node is told by its file.
 pub fn config(scenario: &Scenario, settings: &Value, known: &[Value], seed: u64) -> Value {
@@ -121,7 +121,7 @@
 ) -> Value {
     let mut config = config(scenario, settings, known, seed);
     if scenario.nodes.cluster {
-        let seeds = [places.at(SEAT_CLUSTER, 0), places.at(SEAT_CLUSTER, 1)];
+        let seeds = [places.at(FRONT_NODE_CLUSTER, 0), places.at(FRONT_NODE_CLUSTER, 1)];
         config["cluster"] = json!({"installation": scenario.name, "listen": at, "seeds": seeds});
     }
     config
@@ -134,7 +134,7 @@
 }
 
 pub fn lateness() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, LATE_MOST, 3).expect("bounds that fit")
+    Histogram::new_with_bounds(1, MAX_LATENESS_US, 3).expect("bounds that fit")
 }
 
 fn run_here<T>(work: impl Future<Output = T>) -> Result<T, String> {
@@ -175,17 +175,17 @@
     let (stop, stops) = oneshot::channel::<()>();
     let (shown, is_shown) = oneshot::channel::<()>();
     let (shared, with) = (Arc::new(scenario.clone()), command.clone());
-    let words = fleet::Words { ready, goes, enough: enough.map(|enough| (enough, shown)), stops };
+    let signals = fleet::Signals { ready, goes, enough: enough.map(|enough| (enough, shown)), stops };
     let fleet_of = shared.clone();
     let side = std::thread::spawn(move || {
         let scenario = std::rc::Rc::new((*fleet_of).clone());
-        run_here(fleet::side(scenario, seed, with, places, words))
+        run_here(fleet::side(scenario, seed, with, places, signals))
     });
-    let callers = run_here(async {
-        let told = is_ready.await.map_err(|_| "the fleet's thread ended early".to_string())?;
-        told?;
+    let clients = run_here(async {
+        let fleet_ready = is_ready.await.map_err(|_| "the fleet's thread ended early".to_string())?;
+        fleet_ready?;
         let scenario = std::rc::Rc::new((*shared).clone());
-        let front = callers::Front::start(scenario.clone(), seed, command, places).await?;
+        let front = clients::Front::start(scenario.clone(), seed, command, places).await?;
         let clock = Clock::starting_in(SETTLE);
         go.send(clock).map_err(|_| "the fleet's thread ended early".to_string())?;
         let seen = front.play(clock, is_shown, progress).await;
@@ -193,42 +193,42 @@
         Ok::<Seen, String>(seen)
     })?;
     let fleet = side.join().map_err(|_| "the fleet's thread panicked".to_string())??;
-    Ok(merge(callers?, fleet?))
+    Ok(merge(clients?, fleet?))
 }
 
 /// Puts both sides' records together: jobs and attempts meet by the jobs' ids.
-fn merge(callers: Seen, fleet: fleet::FleetSeen) -> Records {
-    let mut late = callers.late;
+fn merge(clients: Seen, fleet: fleet::FleetSeen) -> Records {
+    let mut late = clients.late;
     // Both have the same bounds.
     let _ = late.add(&fleet.seen.late);
-    let mut all = callers.records;
+    let mut all = clients.records;
     let offset = all.nodes.len();
     let own = fleet.seen.records;
-    let life_of = |seat: usize, at: f64| -> Option<usize> {
-        let name = format!("n{seat}");
+    let life_of = |node_host: usize, at: f64| -> Option<usize> {
+        let name = format!("n{node_host}");
         let fits = |life: &&NodeLife| life.name == name && life.from <= at;
         let from = |life: &NodeLife| life.from;
         let last = all.nodes.iter().filter(fits).map(from).fold(f64::NEG_INFINITY, f64::max);
         all.nodes.iter().position(|life| life.name == name && life.from == last)
     };
-    let mut told = Vec::new();
-    for (seat, mut word) in fleet.told_seats {
-        if let Some(life) = life_of(seat, word.at) {
-            word.node = life;
-            told.push(word);
+    let mut list_updates = Vec::new();
+    for (node_host, mut update) in fleet.node_host_updates {
+        if let Some(life) = life_of(node_host, update.at) {
+            update.node = life;
+            list_updates.push(update);
         }
     }
-    told.extend(own.told.into_iter().map(|mut word| {
-        word.node += offset;
-        word
+    list_updates.extend(own.list_updates.into_iter().map(|mut update| {
+        update.node += offset;
+        update
     }));
-    all.told = told;
+    all.list_updates = list_updates;
     all.nodes.extend(own.nodes);
-    let moved = |mut job: Job| {
-        job.node += offset;
-        job
+    let moved = |mut request: RequestRecord| {
+        request.node += offset;
+        request
     };
-    all.jobs.extend(own.jobs.into_iter().map(moved));
+    all.requests.extend(own.requests.into_iter().map(moved));
     all.attempts = own.attempts;
     all.servers = own.servers;
     all.probes = own.probes;
--- a/crates/pearfront-emulator/src/sockets/servers.rs
+++ b/crates/pearfront-emulator/src/sockets/servers.rs
@@ -1,13 +1,13 @@
 //! Emulated servers on sockets: connections, messages and timers round the same `Server` that the model play drives.
 
-use super::client::{Asked, Client, Heard};
 use super::fleet::Side;
+use super::http_client::{Asked, Client, Heard};
 use super::processes::Process;
-use crate::record::{Answer, Attempt, AttemptEnd, Job, ServerLife};
-use crate::repeats::Repeats;
+use crate::active_troubles::{ActiveTroubles, State};
+use crate::dedup::DedupKeys;
+use crate::record::{Answer, Attempt, AttemptEnd, RequestRecord, ServerLife};
 use crate::scenario::{Effect, What};
-use crate::server::{Arrival, Happened, Need, Server};
-use crate::struck::{State, Struck};
+use crate::server::{Arrival, Need, Server, ServerEvent};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
@@ -62,7 +62,7 @@
     pub life: Cell<usize>,
     pub started: Cell<f64>,
     pub server: RefCell<Server<Ticket>>,
-    pub struck: Struck,
+    pub active_troubles: ActiveTroubles,
     /// Rings when its next due time may have moved.
     pub bell: Notify,
     /// Rises with each start; connections of earlier ones are dropped.
@@ -71,7 +71,7 @@
     /// The node beside it, and who calls through that.
     pub node: RefCell<Option<Process>>,
     pub node_life: Cell<usize>,
-    pub caller: RefCell<Option<Rc<Client>>>,
+    pub client: RefCell<Option<Rc<Client>>>,
     pub held: RefCell<Vec<Rc<Pending>>>,
     pub place: usize,
 }
@@ -129,27 +129,28 @@
 
     pub fn catch_up(self: &Rc<Self>, host: &Rc<Host>) {
         let now = self.clock.get().now();
-        let happened = host.server.borrow_mut().advance(now);
-        for (Ticket(job), what) in happened {
+        let events = host.server.borrow_mut().advance(now);
+        for (Ticket(request), what) in events {
             match what {
-                Happened::Began => {}
-                Happened::Calls => self.call_next_tier(host, job),
-                Happened::Done => {
-                    let keyed = self.scenario.profiles[job.asked.profile].effect == Effect::Keyed;
-                    let first = self.repeats(host, &job.asked, Repeats::work_through);
-                    self.records.borrow_mut().attempts[job.attempt].effect = first || !keyed;
-                    self.end(host, &job, AttemptEnd::Served);
+                ServerEvent::Began => {}
+                ServerEvent::Calls => self.call_next_tier(host, request),
+                ServerEvent::Done => {
+                    let keyed = self.scenario.profiles[request.asked.profile].effect == Effect::Keyed;
+                    let first = self.repeats(host, &request.asked, DedupKeys::work_through);
+                    self.records.borrow_mut().attempts[request.attempt].effect = first || !keyed;
+                    self.end(host, &request, AttemptEnd::Served);
                 }
-                Happened::Failed => self.end(host, &job, AttemptEnd::Error),
+                ServerEvent::Failed => self.end(host, &request, AttemptEnd::Error),
             }
         }
     }
 
-    fn end(&self, host: &Host, job: &Rc<Pending>, how: AttemptEnd) {
-        host.held.borrow_mut().retain(|other| !Rc::ptr_eq(other, job));
-        self.records.borrow_mut().attempts[job.attempt].ended = Some((self.clock.get().now(), how));
-        let lost = self.chance.borrow_mut().random::<f64>() >= host.struck.spared(What::LostAnswers);
-        let done = job.done.take();
+    fn end(&self, host: &Host, request: &Rc<Pending>, how: AttemptEnd) {
+        host.held.borrow_mut().retain(|other| !Rc::ptr_eq(other, request));
+        self.records.borrow_mut().attempts[request.attempt].ended = Some((self.clock.get().now(), how));
+        let lost =
+            self.rng.borrow_mut().random::<f64>() >= host.active_troubles.unaffected_share(What::LostAnswers);
+        let done = request.done.take();
         match done {
             // Its connection stays open and silent.
             Some(done) if lost => self.unanswered.borrow_mut().push(done),
@@ -158,76 +159,81 @@
         }
     }
 
-    fn repeats(&self, host: &Host, asked: &Asked, ask: impl Fn(&mut Repeats, u64, f64, f64) -> bool) -> bool {
+    fn repeats(
+        &self,
+        host: &Host,
+        asked: &Asked,
+        ask: impl Fn(&mut DedupKeys, u64, f64, f64) -> bool,
+    ) -> bool {
         let mut groups = self.repeats.borrow_mut();
         let repeats = groups.of(&self.scenario, host.tier, (host.zone, host.cell), asked.profile);
         let window = self.scenario.profiles[asked.profile].window_s * 1000.0;
         repeats.is_some_and(|repeats| ask(repeats, asked.key, self.clock.get().now(), window))
     }
 
-    fn call_next_tier(self: &Rc<Self>, host: &Rc<Host>, job: Rc<Pending>) {
+    fn call_next_tier(self: &Rc<Self>, host: &Rc<Host>, request: Rc<Pending>) {
         let now = self.clock.get().now();
-        let caller = host.caller.borrow().clone();
-        let Some(caller) = caller.filter(|_| job.limit > now) else {
-            return self.call_ended(host, &job, false);
+        let client = host.client.borrow().clone();
+        let Some(client) = client.filter(|_| request.limit > now) else {
+            return self.call_ended(host, &request, false);
         };
         let trace = self.next_trace();
-        let fan = job.asked.fan * f64::from(self.scenario.tiers[host.tier].calls);
-        let asked = Asked { fan, ..job.asked.clone() };
+        let fan = request.asked.fan * f64::from(self.scenario.tiers[host.tier].calls);
+        let asked = Asked { fan, ..request.asked.clone() };
         let place = {
             let mut records = self.records.borrow_mut();
-            records.jobs.push(Job {
+            records.requests.push(RequestRecord {
                 trace,
-                root: job.root,
+                root: request.root,
                 ask: None,
                 node: host.node_life.get(),
                 tier: host.tier + 1,
                 profile: asked.profile,
                 key: asked.key,
                 sent: now,
-                limit: job.limit,
+                limit: request.limit,
                 left: None,
                 answers: Vec::new(),
                 cut: false,
             });
-            records.jobs.len() - 1
+            records.requests.len() - 1
         };
         let (side, host) = (self.clone(), host.clone());
         spawn_local(async move {
             let slack = side.scenario.rules.slack_ms;
-            let until = side.clock.get().at(job.limit + slack);
+            let until = side.clock.get().at(request.limit + slack);
             let heard =
-                tokio::time::timeout_at(until, caller.ask(trace, &asked, job.limit - now, || {})).await;
+                tokio::time::timeout_at(until, client.ask(trace, &asked, request.limit - now, || {})).await;
             let at = side.clock.get().now();
             let served = {
-                let job = &mut side.records.borrow_mut().jobs[place];
+                let request = &mut side.records.borrow_mut().requests[place];
                 match heard {
                     Ok(Heard::Answer { answer, body, .. }) => {
-                        job.answers.push(crate::record::Answered { at, answer, body });
+                        request.answers.push(crate::record::Answered { at, answer, body });
                         answer == Answer::Served
                     }
                     Ok(Heard::Refused | Heard::Cut) => {
-                        job.cut = true;
+                        request.cut = true;
                         false
                     }
                     Err(_) => {
-                        job.left = Some(at);
+                        request.left = Some(at);
                         false
                     }
                 }
             };
-            side.call_ended(&host, &job, served);
+            side.call_ended(&host, &request, served);
         });
     }
 
-    fn call_ended(self: &Rc<Self>, host: &Rc<Host>, job: &Rc<Pending>, good: bool) {
-        if job.starts != *host.starts.borrow() {
+    fn call_ended(self: &Rc<Self>, host: &Rc<Host>, request: &Rc<Pending>, good: bool) {
+        if request.starts != *host.starts.borrow() {
             return;
         }
         self.catch_up(host);
-        let ended = host.server.borrow_mut().call_ended(&Ticket(job.clone()), good);
+        let ended = host.server.borrow_mut().call_ended(&Ticket(request.clone()), good);
         if ended.is_some() {
-            self.end(host, job, AttemptEnd::Error);
+            self.end(host, request, AttemptEnd::Error);
         }
         host.bell.notify_one();
     }
@@ -235,21 +241,21 @@
     /// The process is gone with all that it held.
     pub fn lose_all(&self, host: &Host) {
         let now = self.clock.get().now();
-        for job in host.held.take() {
-            self.records.borrow_mut().attempts[job.attempt].ended = Some((now, AttemptEnd::Lost));
+        for request in host.held.take() {
+            self.records.borrow_mut().attempts[request.attempt].ended = Some((now, AttemptEnd::Lost));
         }
         host.starts.send_modify(|starts| *starts += 1);
     }
 
     /// Reads a job to its end, has it worked on and answers.
-    async fn job(
+    async fn request(
         self: Rc<Self>,
         host: Rc<Host>,
-        request: Request<Incoming>,
+        http_request: Request<Incoming>,
         new: bool,
     ) -> Response<Full<Bytes>> {
         let sent = self.clock.get().now();
-        let (head, body) = request.into_parts();
+        let (head, body) = http_request.into_parts();
         let Some((trace, asked)) = self.decode(&head) else {
             return answer(StatusCode::NOT_FOUND, "no job of this play");
         };
@@ -262,7 +268,8 @@
         let now = self.clock.get().now();
         let tier = &self.scenario.tiers[host.tier];
         let own = asked.work * tier.work / asked.fan;
-        let fails = self.chance.borrow_mut().random::<f64>() >= host.struck.spared(What::FastErrors);
+        let fails =
+            self.rng.borrow_mut().random::<f64>() >= host.active_troubles.unaffected_share(What::FastErrors);
         let need = Need {
             work: own + if new { tier.server.connect_work_ms } else { 0.0 },
             calls: tier.calls,
@@ -355,14 +362,15 @@
 
     async fn probe(self: Rc<Self>, host: Rc<Host>) -> Response<Full<Bytes>> {
         self.wait_while_silent(&host).await;
-        if host.struck.has(What::LostReports) {
+        if host.active_troubles.has(What::LostReports) {
             std::future::pending::<()>().await;
         }
         self.catch_up(&host);
         self.records.borrow_mut().probes += 1;
         let mut server = host.server.borrow_mut();
-        server.burden(self.scenario.tiers[host.tier].server.probe_work_ms);
-        let report = if host.struck.has(What::StaleReports) { server.old_report() } else { server.report() };
+        server.add_work(self.scenario.tiers[host.tier].server.probe_work_ms);
+        let report =
+            if host.active_troubles.has(What::StaleReports) { server.old_report() } else { server.report() };
         let text = format!(
             "TEXT inflight={}, queue={}, util={:.3}",
             report.held, report.waiting, report.utilisation
@@ -446,14 +454,14 @@
     let new = Rc::new(Cell::new(true));
     let service = {
         let (side, host, busy, moved) = (side.clone(), host.clone(), busy.clone(), moved.clone());
-        service_fn(move |request: Request<Incoming>| {
+        service_fn(move |http_request: Request<Incoming>| {
             let (side, host, busy, moved) = (side.clone(), host.clone(), busy.clone(), moved.clone());
             let first = new.replace(false);
             async move {
                 busy.set(busy.get() + 1);
-                let answer = match request.uri().path() {
+                let answer = match http_request.uri().path() {
                     "/alive" | "/metrics/load" => side.probe(host).await,
-                    _ => side.job(host, request, first).await,
+                    _ => side.request(host, http_request, first).await,
                 };
                 busy.set(busy.get() - 1);
                 moved.notify_one();
@@ -464,7 +472,7 @@
     let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     loop {
-        let idle = host.struck.idle(side.scenario.tiers[host.tier].server.idle_s);
+        let idle = host.active_troubles.idle(side.scenario.tiers[host.tier].server.idle_s);
         tokio::select! {
             _ = &mut connection => break,
             // A new start: the old process's connections are gone.
--- a/crates/pearfront-emulator/src/asks.rs
+++ b/crates/pearfront-emulator/src/workload.rs
@@ -8,9 +8,9 @@
 use std::rc::Rc;
 
 /// A further try that has less time left than this, ms, is not made.
-const TRY_LEAST: f64 = 20.0;
+const MIN_TIME_LEFT_MS: f64 = 20.0;
 /// Part of its limit after which an impatient caller leaves.
-const IMPATIENT: f64 = 0.25;
+const IMPATIENT_SHARE: f64 = 0.25;
 
 /// One ask. Times are milliseconds from the start of the play.
 #[derive(Debug, Clone, PartialEq)]
@@ -32,29 +32,29 @@
 }
 
 /// All asks of a play, by time.
-pub struct Asks {
+pub struct Workload {
     scenario: Rc<Scenario>,
-    chance: ChaCha8Rng,
+    rng: ChaCha8Rng,
     at: f64,
     keyed: u64,
 }
 
-impl Asks {
+impl Workload {
     pub fn new(scenario: Rc<Scenario>, seed: u64) -> Self {
-        let mut chance = ChaCha8Rng::seed_from_u64(seed);
-        chance.set_stream(1);
-        Self { scenario, chance, at: 0.0, keyed: 0 }
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        rng.set_stream(1);
+        Self { scenario, rng, at: 0.0, keyed: 0 }
     }
 
     fn draw(&mut self) -> Drawn {
-        let (scenario, chance) = (&self.scenario, &mut self.chance);
-        let callers = &scenario.callers;
-        let profile = weighted(chance, scenario.profiles.iter().map(|profile| profile.share));
-        let customer = weighted(chance, scenario.customers.iter().map(|customer| customer.share));
-        let zone = if callers.zone_shares.is_empty() {
-            chance.random_range(0..scenario.zones.len())
+        let (scenario, rng) = (&self.scenario, &mut self.rng);
+        let clients = &scenario.clients;
+        let profile = weighted(rng, scenario.profiles.iter().map(|profile| profile.share));
+        let customer = weighted(rng, scenario.customers.iter().map(|customer| customer.share));
+        let zone = if clients.zone_shares.is_empty() {
+            rng.random_range(0..scenario.zones.len())
         } else {
-            weighted(chance, callers.zone_shares.iter().copied())
+            weighted(rng, clients.zone_shares.iter().copied())
         };
         let of = &scenario.profiles[profile];
         let keyed = of.effect == Effect::Keyed;
@@ -65,29 +65,29 @@
             customer,
             zone,
             key: if keyed { self.keyed } else { 0 },
-            work: draw_work(of, chance),
+            work: draw_work(of, rng),
             limit: self.at + of.deadline_ms,
-            impatient: chance.random::<f64>() < callers.impatient,
-            heeds: chance.random::<f64>() < callers.heed_advice,
-            persists: chance.random::<f64>() < callers.retry_share,
-            spread: chance.random_range(0.5..1.5),
+            impatient: rng.random::<f64>() < clients.impatient,
+            heeds: rng.random::<f64>() < clients.heed_advice,
+            persists: rng.random::<f64>() < clients.retry_share,
+            spread: rng.random_range(0.5..1.5),
         }
     }
 }
 
 /// A Poisson process, thinned to the curve.
-impl Iterator for Asks {
+impl Iterator for Workload {
     type Item = Drawn;
 
     fn next(&mut self) -> Option<Drawn> {
-        let most = self.scenario.callers.rate.most() / 1000.0;
+        let most = self.scenario.clients.rate.most() / 1000.0;
         loop {
-            self.at -= (1.0 - self.chance.random::<f64>()).ln() / most;
+            self.at -= (1.0 - self.rng.random::<f64>()).ln() / most;
             if self.at >= self.scenario.length() {
                 return None;
             }
-            let rate = self.scenario.callers.rate.at(self.at / 1000.0) / 1000.0;
-            if self.chance.random::<f64>() * most <= rate {
+            let rate = self.scenario.clients.rate.at(self.at / 1000.0) / 1000.0;
+            if self.rng.random::<f64>() * most <= rate {
                 return Some(self.draw());
             }
         }
@@ -97,7 +97,7 @@
 impl Drawn {
     /// When the caller of a try that is made now leaves without an answer; it hears what comes within the slack.
     pub fn leaves(&self, scenario: &Scenario, now: f64) -> f64 {
-        let patience = if self.impatient { IMPATIENT } else { 1.0 };
+        let patience = if self.impatient { IMPATIENT_SHARE } else { 1.0 };
         now + (self.limit - now) * patience + scenario.rules.slack_ms
     }
 
@@ -111,27 +111,27 @@
         wait: f64,
         harmless: bool,
     ) -> Option<f64> {
-        let callers = &scenario.callers;
+        let clients = &scenario.clients;
         let non_idempotent = scenario.profiles[self.profile].effect == Effect::NonIdempotent;
-        let may = self.persists && tries <= callers.retries && (harmless || !non_idempotent);
+        let may = self.persists && tries <= clients.retries && (harmless || !non_idempotent);
         let doubled = f64::from(1u32 << (tries.max(1) - 1).min(16));
-        let own = callers.backoff_ms * doubled * self.spread;
+        let own = clients.backoff_ms * doubled * self.spread;
         let advised = wait.min(scenario.nodes.advice_s * 1000.0);
         let at = now + if self.heeds { own.max(advised) } else { own };
-        (may && at + TRY_LEAST < self.limit).then_some(at)
+        (may && at + MIN_TIME_LEFT_MS < self.limit).then_some(at)
     }
 }
 
-pub fn weighted(chance: &mut ChaCha8Rng, weights: impl Iterator<Item = f64>) -> usize {
-    WeightedIndex::new(weights).map_or(0, |index| index.sample(chance))
+pub fn weighted(rng: &mut ChaCha8Rng, weights: impl Iterator<Item = f64>) -> usize {
+    WeightedIndex::new(weights).map_or(0, |index| index.sample(rng))
 }
 
 /// Log-normal with the profile's mean and spread.
-fn draw_work(profile: &Profile, chance: &mut ChaCha8Rng) -> f64 {
+fn draw_work(profile: &Profile, rng: &mut ChaCha8Rng) -> f64 {
     let spread = profile.work_spread;
     let sigma = (1.0 + spread * spread).ln().sqrt();
     let mu = profile.work_ms.ln() - sigma * sigma / 2.0;
-    LogNormal::new(mu, sigma).map_or(profile.work_ms, |drawn| drawn.sample(chance))
+    LogNormal::new(mu, sigma).map_or(profile.work_ms, |drawn| drawn.sample(rng))
 }
 
 #[cfg(test)]
