--- a/crates/pearfront-emulator/src/asks/tests.rs
+++ b/crates/pearfront-emulator/src/workload/tests.rs
@@ -9,7 +9,7 @@
 
 #[test]
 fn asks_follow_rate_and_shares() {
-    let asks: Vec<Drawn> = Asks::new(scenario(|_| {}), 5).collect();
+    let asks: Vec<Drawn> = Workload::new(scenario(|_| {}), 5).collect();
     let part = |wanted: &dyn Fn(&Drawn) -> bool| {
         asks.iter().filter(|ask| wanted(ask)).count() as f64 / asks.len() as f64
     };
@@ -23,8 +23,8 @@
 
 #[test]
 fn only_what_was_rejected_is_tried_again_if_it_is_non_idempotent() {
-    let scenario = scenario(|scenario| scenario.callers.retry_share = 1.0);
-    let ask = Asks::new(scenario.clone(), 5).find(|ask| ask.profile == 2).unwrap();
+    let scenario = scenario(|scenario| scenario.clients.retry_share = 1.0);
+    let ask = Workload::new(scenario.clone(), 5).find(|ask| ask.profile == 2).unwrap();
     assert_eq!(ask.next_try(&scenario, ask.at, 1, 0.0, false), None);
     let told = ask.next_try(&scenario, ask.at, 1, 700.0, true).unwrap();
     assert_eq!(told, ask.at + 700.0);
--- a/crates/pearfront-emulator/tests/plays.rs
+++ b/crates/pearfront-emulator/tests/plays.rs
@@ -111,7 +111,7 @@
 // The judge reads what servers and callers saw: each fault shows there, under its rule.
 #[test_case(Fault::SendsTwice, "no-effect-twice", ""; "a non-idempotent job goes out twice")]
 #[test_case(Fault::AnswersTwice, "no-job-lost", ""; "a job is answered twice")]
-#[test_case(Fault::LosesJobs, "no-job-lost", ""; "a job is lost")]
+#[test_case(Fault::LosesRequests, "no-job-lost", ""; "a job is lost")]
 #[test_case(Fault::AnswersLate, "no-job-lost", "[[troubles]]\nwhat = \"stall\"\nat_s = 5\nfor_s = 6\n"; "a job is answered after its limit")]
 #[test_case(Fault::SwapsAnswers, "no-job-lost", ""; "another job's answer is given")]
 #[test_case(Fault::SendsToDrained, "drains", "[[troubles]]\nwhat = \"drain\"\nat_s = 5\ntier = \"front\"\ncount = 1\n"; "a drained server gets jobs")]
@@ -164,7 +164,8 @@
     let scenario = Scenario::parse(&text).unwrap();
     let (records, verdict) = run(&scenario, Policy::LeastHeld, None);
     // By key: how many of the first tier's servers worked it through, and how often it had its effect.
-    let keys: BTreeMap<u64, u64> = records.jobs.iter().map(|job| (job.trace, job.key)).collect();
+    let keys: BTreeMap<u64, u64> =
+        records.requests.iter().map(|request| (request.trace, request.key)).collect();
     let mut by_key: BTreeMap<u64, (usize, usize)> = BTreeMap::new();
     for attempt in records.attempts.iter().filter(|attempt| records.servers[attempt.server].tier == 0) {
         let seen = by_key.entry(keys[&attempt.trace]).or_default();
@@ -175,7 +176,7 @@
     let repeated = by_key.values().filter(|seen| seen.0 > 1).count();
     let twice = by_key.values().filter(|seen| seen.1 > 1).count();
     assert!(repeated > 10, "{repeated} repeats are too few to tell");
-    assert_eq!((twice == 0, verdict.repeats_by_callers == 0), (dropped, dropped), "{twice} of {repeated}");
+    assert_eq!((twice == 0, verdict.repeats_by_clients == 0), (dropped, dropped), "{twice} of {repeated}");
 }
 
 // A node's own repeat outside the window is the node's fault, and the judge says so.
@@ -222,18 +223,21 @@
     let scenario = scenario("[[troubles]]\nwhat = \"kill-nodes\"\nat_s = 8\nfor_s = 2\ncount = 1\n");
     let (records, verdict) = run(&scenario, Policy::Module, None);
     assert!(broken(&verdict).is_empty(), "{:?}", verdict.broken);
-    assert!(records.jobs.iter().any(|job| job.cut && job.answers.is_empty()), "it held none");
+    assert!(records.requests.iter().any(|request| request.cut && request.answers.is_empty()), "it held none");
     assert_eq!(records.nodes.iter().filter(|life| life.name == "n0" || life.name == "n1").count(), 3);
 }
 
 #[test]
 fn a_node_that_is_told_to_end_in_a_burst_answers_all_that_it_holds() {
     let mut scenario = scenario("[[troubles]]\nwhat = \"restart-nodes\"\nat_s = 8\nfor_s = 2\n");
-    scenario.callers.rate = Rate::Curve(vec![(7.0, 150.0), (7.5, 900.0), (9.0, 900.0), (9.5, 150.0)]);
+    scenario.clients.rate = Rate::Curve(vec![(7.0, 150.0), (7.5, 900.0), (9.0, 900.0), (9.5, 150.0)]);
     let (records, verdict) = run(&scenario, Policy::Module, None);
     assert!(broken(&verdict).is_empty(), "{:?}", verdict.broken);
-    let held = records.jobs.iter().filter(|job| job.ask.is_some() && (7500.0..8000.0).contains(&job.sent));
-    assert!(held.clone().count() > 200 && held.clone().all(|job| job.answers.len() == 1));
+    let held = records
+        .requests
+        .iter()
+        .filter(|request| request.ask.is_some() && (7500.0..8000.0).contains(&request.sent));
+    assert!(held.clone().count() > 200 && held.clone().all(|request| request.answers.len() == 1));
 }
 
 #[test]
@@ -273,8 +277,11 @@
     let (records, verdict) = run(&scenario, Policy::Module, None);
     assert!(broken(&verdict).is_empty(), "{:?}", verdict.broken);
     assert!(verdict.service > 0.5, "{}", verdict.line());
-    let served =
-        records.jobs.iter().flat_map(|job| &job.answers).filter(|answered| answered.answer == Answer::Served);
+    let served = records
+        .requests
+        .iter()
+        .flat_map(|request| &request.answers)
+        .filter(|answered| answered.answer == Answer::Served);
     assert!(served.count() > 1000);
 }
 
--- a/crates/pearfront-node/tests/cluster.rs
+++ b/crates/pearfront-node/tests/cluster.rs
@@ -1,12 +1,12 @@
 //! Several node programs of one installation with the test cluster between them. What is waited for is an event; the
 //! judge reads what was done and what each told, by one clock. A play on a machine that was late is void and played again.
 
-use pearfront_emulator::again::{PLAYS, Play, in_time};
 use pearfront_emulator::processes::judge::judge;
 use pearfront_emulator::processes::relay::Weather;
 use pearfront_emulator::processes::test_cluster::{View, wait};
 use pearfront_emulator::processes::trial::{self, event};
 use pearfront_emulator::processes::{Program, Start, TestCluster, run};
+use pearfront_emulator::void_plays::{PLAYS, Play, in_time};
 use serde_json::{Value, json};
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/pearfront-node/tests/rehearsal.rs
+++ b/crates/pearfront-node/tests/rehearsal.rs
@@ -1,11 +1,11 @@
 //! The node program in a short play on sockets, through silence, errors at once, a drain, a node killed and one told to
 //! end: the judge, who knows only what servers, callers and discovery saw, finds the rules kept.
 
-use pearfront_emulator::again::{PLAYS, Play, in_time};
 use pearfront_emulator::judge::judge;
 use pearfront_emulator::record::{Answer, AttemptEnd, Records};
 use pearfront_emulator::scenario::Scenario;
 use pearfront_emulator::sockets::{NodeCommand, play_until};
+use pearfront_emulator::void_plays::{PLAYS, Play, in_time};
 use test_case::test_case;
 
 // Limits are long and slack is wide: the tests beside this one may take the machine for a while. The length is the end
@@ -140,14 +140,19 @@
     let ended =
         |how| records.attempts.iter().any(|attempt| attempt.ended.is_some_and(|(_, ended)| ended == how));
     assert!(ended(AttemptEnd::Error) && ended(AttemptEnd::Served));
-    assert!(records.told.iter().any(|told| told.standing == pearfront::interface::ServerState::Draining));
+    assert!(
+        records
+            .list_updates
+            .iter()
+            .any(|update| update.standing == pearfront::interface::ServerState::Draining)
+    );
     assert!(back(&records).is_some(), "one that came back");
     assert!(back_is_used(&records));
     let starts = |name| records.nodes.iter().filter(|life| life.name == name).count();
     // One was killed, and both were ended and started again, one after the other, while jobs came in.
     assert_eq!(starts("n0") + starts("n1"), 5);
     assert!(starts("n0") >= 2 && starts("n1") >= 2);
-    let answers = || records.jobs.iter().flat_map(|job| &job.answers);
+    let answers = || records.requests.iter().flat_map(|request| &request.answers);
     let served = answers().filter(|answered| answered.answer == Answer::Served).count();
     assert!(served * 2 > answers().count(), "{}", verdict.line());
     std::fs::remove_dir_all(folder).unwrap();
--- a/crates/pearfront-node/tests/scale.rs
+++ b/crates/pearfront-node/tests/scale.rs
@@ -1,7 +1,7 @@
 //! The measurements on real sockets, small: what they must always find, whatever the machine does. Times are not judged; a
 //! rig that was late makes the play void and it is played again.
 
-use pearfront_emulator::again::{PLAYS, Play, in_time};
+use pearfront_emulator::void_plays::{PLAYS, Play, in_time};
 use pearfront_scale::Point;
 use pearfront_scale::measure::chain::{self, Asked};
 use pearfront_scale::measure::hollow;
--- a/crates/pearfront-scale/src/measure/caller.rs
+++ b/crates/pearfront-scale/src/measure/caller.rs
@@ -6,7 +6,7 @@
     ServerState, Settings,
 };
 use pearfront::policy::Balancer;
-use pearfront_emulator::agenda::Agenda;
+use pearfront_emulator::event_queue::EventQueue;
 use rand::prelude::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -121,7 +121,7 @@
 /// One caller of one service.
 pub struct Caller {
     module: Balancer,
-    events: Agenda<Event>,
+    events: EventQueue<Event>,
     came: Vec<Event>,
     chance: ChaCha8Rng,
     now: f64,
@@ -144,7 +144,7 @@
         let mut chance = ChaCha8Rng::seed_from_u64(seed);
         let mut caller = Self {
             module: Balancer::new(settings, chance.random()),
-            events: Agenda::default(),
+            events: EventQueue::default(),
             came: Vec::new(),
             pause: 1000.0 / rate,
             now: 0.0,
--- a/crates/pearfront-scale/src/measure/distribution.rs
+++ b/crates/pearfront-scale/src/measure/distribution.rs
@@ -10,7 +10,7 @@
     ServerState, ServiceChange, Subscriber, SubscriberAction, Times, ToDistributor, ToSubscriber, ToVoter,
     decode, encode,
 };
-use pearfront_emulator::agenda::Agenda;
+use pearfront_emulator::event_queue::EventQueue;
 use rand::distr::weighted::WeightedIndex;
 use rand::prelude::{Distribution, Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -65,7 +65,7 @@
     nodes: Vec<Node>,
     links: BTreeMap<u64, usize>,
     numbered: u64,
-    events: Agenda<Event>,
+    events: EventQueue<Event>,
     woken: f64,
     chance: ChaCha8Rng,
     now: f64,
@@ -145,7 +145,7 @@
             nodes,
             links: BTreeMap::new(),
             numbered: 0,
-            events: Agenda::default(),
+            events: EventQueue::default(),
             woken: f64::INFINITY,
             chance,
             now: 0.0,
--- a/crates/pearfront-scale/src/measure/membership.rs
+++ b/crates/pearfront-scale/src/measure/membership.rs
@@ -3,7 +3,7 @@
 
 use crate::Point;
 use crate::clock::{Meter, memory_mb};
-use pearfront_emulator::agenda::Agenda;
+use pearfront_emulator::event_queue::EventQueue;
 use pearfront_membership::{Action, Destination, Identity, Membership, Times};
 use rand::prelude::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -60,7 +60,7 @@
 
 struct World {
     processes: Vec<Process>,
-    events: Agenda<Event>,
+    events: EventQueue<Event>,
     chance: ChaCha8Rng,
     now: f64,
     cut: bool,
@@ -88,7 +88,7 @@
     fn new(members: usize, seed: u64) -> Self {
         let mut world = Self {
             processes: Vec::new(),
-            events: Agenda::default(),
+            events: EventQueue::default(),
             chance: ChaCha8Rng::seed_from_u64(seed),
             now: 0.0,
             cut: false,
--- a/crates/pearfront-scale/src/measure/voters.rs
+++ b/crates/pearfront-scale/src/measure/voters.rs
@@ -5,7 +5,7 @@
 use crate::clock::{Meter, memory_mb};
 use hdrhistogram::Histogram;
 use pearfront_consensus::{Action, Message, PersistentState, Times, Voter};
-use pearfront_emulator::agenda::Agenda;
+use pearfront_emulator::event_queue::EventQueue;
 use rand::prelude::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -46,7 +46,7 @@
 
 struct World {
     seats: Vec<Seat>,
-    events: Agenda<Event>,
+    events: EventQueue<Event>,
     chance: ChaCha8Rng,
     now: f64,
     far: f64,
@@ -84,7 +84,7 @@
         let took = Histogram::new_with_bounds(1, 600_000_000, 3).map_err(|error| error.to_string())?;
         let mut world = Self {
             seats: (0..REGIONS.len()).map(seat).collect(),
-            events: Agenda::default(),
+            events: EventQueue::default(),
             chance: ChaCha8Rng::seed_from_u64(seed),
             now: 0.0,
             far: round_trip / 2.0,
