--- a/crates/pearfront-emulator/src/active_troubles.rs
+++ b/crates/pearfront-emulator/src/active_troubles.rs
@@ -1,19 +1,19 @@
-//! What troubles have struck a server, how it stands since, and what they do to it together.
+//! Active troubles of a server, its resulting process state, and their combined effect. Used by both plays.
 
 use crate::scenario::What;
 use std::cell::RefCell;
 
-/// How a server's process stands to the network.
+/// State of a server's process as seen from the network.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
     Up,
-    /// Says nothing: connections stay open and silent, new ones never come up.
+    /// Unresponsive: connections stay open without answers, new ones are never established.
     Silent,
     /// No process: connections are refused.
     Down,
 }
 
-/// Troubles under way at one server: place in the script, what, and how much.
+/// Active troubles at one server: index in the script, kind, and magnitude.
 #[derive(Debug, Default)]
 pub struct ActiveTroubles(RefCell<Vec<(usize, What, f64)>>);
 
@@ -22,7 +22,7 @@
         self.0.borrow_mut().push((place, what, by));
     }
 
-    /// Ends one; false if it did not strike here.
+    /// Ends a trouble; false if it was not active here.
     pub fn end_trouble(&self, place: usize) -> bool {
         let mut troubles = self.0.borrow_mut();
         let before = troubles.len();
@@ -34,17 +34,17 @@
         self.0.borrow().iter().any(|trouble| trouble.1 == what)
     }
 
-    /// Chance that none of the troubles of a kind strikes a job.
+    /// Probability that a request is unaffected by all active troubles of a kind.
     pub fn unaffected_share(&self, what: What) -> f64 {
         self.fold(what, 1.0, |unaffected_share, by| unaffected_share * (1.0 - by))
     }
 
-    /// Share of its speed that is left.
+    /// Remaining share of the speed.
     pub fn speed_factor(&self) -> f64 {
         self.fold(What::Slow, 1.0, |speed_factor, by| speed_factor * by)
     }
 
-    /// After this time, ms, it closes an idle connection, where that is `usual` seconds without troubles.
+    /// Idle time-out of connections, ms, given `usual` seconds without troubles.
     pub fn idle(&self, usual: f64) -> f64 {
         self.fold(What::ShortIdle, usual, f64::min) * 1000.0
     }
--- a/crates/pearfront-emulator/src/decide.rs
+++ b/crates/pearfront-emulator/src/decide.rs
@@ -1,5 +1,5 @@
-//! Who decides in a model play: the decision module, or a baseline put in its place. All get the same words and give
-//! the same acts; only `sees-all` is shown what no node can see.
+//! Decision makers of the model play: the decision module, or a baseline in its place. All take the same inputs
+//! and return the same kinds of action; only `sees-all` has access to state that no node can observe.
 
 use pearfront::interface::{
     Address, AttemptOutcome, DecisionWriter, Effect, ListedServer, Profile, ServerState, Settings,
@@ -11,12 +11,12 @@
 use std::convert::Infallible;
 use std::rc::Rc;
 
-/// What `sees-all` takes a job's own work for, ms: it is not told.
+/// Work, ms, that `sees-all` assumes for a request, as the actual work is unknown.
 const ASSUMED_WORK_MS: f64 = 10.0;
-/// How full, as a share, `sees-all` lets servers become by jobs that are not of the highest gain.
+/// Fill level, as a share, up to which `sees-all` sends requests of less than the highest gain to a server.
 const MAX_FILL_FOR_LOWER_GAIN: f64 = 0.75;
 
-/// What a node is told; times are its own.
+/// An input to a node's decisions; times are on the node's clock.
 #[derive(Debug, Clone)]
 pub enum Input {
     Request { id: u32, profile: usize, customer: usize, limit: f64 },
@@ -28,7 +28,7 @@
     Closing { at: f64 },
 }
 
-/// What a node does.
+/// An action that a node carries out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     Attempt { request: u32, server: Address, limit: f64 },
@@ -44,7 +44,7 @@
     fn round(&mut self, now: f64, inputs: Vec<Input>) -> Vec<Action>;
 }
 
-/// One who may decide, by the name on the command line.
+/// Available decision makers, by their names on the command line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Policy {
     Module,
@@ -72,7 +72,7 @@
     }
 }
 
-/// A fault that a driver is given on purpose, to see that the judge finds it.
+/// Faults injected into a driver to verify that the judge detects them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     SendsTwice,
@@ -86,16 +86,16 @@
     RejectsWhatRan,
 }
 
-/// What can be seen of a server by whom the true state is shown.
+/// True state of a server, as available to `sees-all`.
 #[derive(Debug, Clone, Copy)]
 pub struct Truth {
-    /// Work left on it, ms, and work that it does in a millisecond.
+    /// Remaining work, ms, and work done per millisecond.
     pub work: f64,
     pub capacity: f64,
-    /// It answers at all, and nearly always right.
+    /// Whether it answers at all, and whether nearly all answers are correct.
     pub up: bool,
     pub sound: bool,
-    /// Jobs that it holds as a share of what it can hold without turning slow or turning any away.
+    /// Requests held as a share of what it can hold without becoming crowded or turning any away.
     pub filled: f64,
 }
 
@@ -171,14 +171,15 @@
     }
 }
 
-/// Attempts out for a job of a baseline, and how those before ended.
+/// A request of a baseline, with its attempts so far and their outcomes.
 struct PlainRequest {
     profile: usize,
     limit: f64,
     attempts: Vec<(Address, f64, Option<AttemptOutcome>)>,
 }
 
-/// A textbook balancer: picks by one rule, tries again within the rules, refuses nothing that it can send.
+/// A baseline balancer: chooses servers by one policy, retries within the rules, and sheds no load that it can
+/// send.
 pub struct Plain {
     pick: Policy,
     fault: Option<Fault>,
@@ -187,7 +188,7 @@
     servers: BTreeMap<Address, ListedServer>,
     held: BTreeMap<Address, u32>,
     requests: BTreeMap<u32, PlainRequest>,
-    /// Limits, in bits so that they order as times do, and jobs.
+    /// Deadlines and request ids; deadlines as bits, which sort like the times.
     limits: BTreeSet<(u64, u32)>,
     asked: bool,
     ask_at: f64,
@@ -282,7 +283,7 @@
         }
     }
 
-    /// Sends a job on, or ends it where that is not allowed.
+    /// Sends the next attempt of a request, or ends the request where none is allowed.
     fn go(&mut self, now: f64, id: u32, actions: &mut Vec<Action>) {
         let request = &self.requests[&id];
         if request.attempts.iter().any(|attempt| attempt.2.is_none()) {
@@ -367,8 +368,8 @@
         }
     }
 
-    /// Where the job would be done first, by the true state. Callers' jobs are turned back where all servers are as full
-    /// as they may be, those of little gain for their work before others.
+    /// The server that would complete the request first, by the true state. Client requests are rejected when
+    /// all servers are full, those of lower gain at a lower fill level.
     fn best(&mut self, open: &[Address], id: u32) -> Option<Address> {
         let profile = self.requests[&id].profile;
         let gain = self.settings.profiles[profile].gain;
@@ -385,7 +386,7 @@
             let waits = turned.iter().filter_map(|server| wait(server, strict));
             waits.min_by(|a, b| a.1.total_cmp(&b.1)).map(|best| best.0)
         };
-        // What an inner tier is sent has cost work already: it goes somewhere.
+        // A request at an inner tier has already cost work, so it is always sent.
         least(true).or_else(|| if self.settings.tier > 0 { least(false) } else { None })
     }
 }
--- a/crates/pearfront-emulator/src/dedup.rs
+++ b/crates/pearfront-emulator/src/dedup.rs
@@ -1,9 +1,10 @@
-//! What a group of servers (all, a zone, a cell) remembers of keyed jobs. It outlives any one of its servers.
+//! Deduplication of keyed requests within a group of servers (all, a zone, a cell). The state outlives the
+//! group's individual servers.
 
 use crate::scenario::{Effect, Group, Scenario};
 use std::collections::BTreeMap;
 
-/// Keys whose effect a group has had, and until when it knows them.
+/// Keys whose effect has taken place in a group, with the time until which they are remembered.
 #[derive(Debug, Default)]
 pub struct DedupKeys {
     known: BTreeMap<u64, f64>,
@@ -11,12 +12,12 @@
 }
 
 impl DedupKeys {
-    /// Is a repeat dropped now?
+    /// Whether a repeat with this key is deduplicated now.
     pub fn knows(&self, key: u64, now: f64) -> bool {
         self.known.get(&key).is_some_and(|until| now < *until)
     }
 
-    /// A job with this key has been worked through: true if it has its effect, false if that was had before.
+    /// Completes a request with this key: true if its effect takes place, false if it already had.
     pub fn work_through(&mut self, key: u64, now: f64, window: f64) -> bool {
         if self.knows(key, now) {
             return false;
@@ -30,12 +31,12 @@
     }
 }
 
-/// The memories of all groups of a fleet, by tier, profile and group.
+/// Deduplication state of all groups of a fleet, by tier, profile and group.
 #[derive(Debug, Default)]
 pub struct DedupGroups(BTreeMap<(usize, usize, u32), DedupKeys>);
 
 impl DedupGroups {
-    /// What a server's group remembers of a profile; nothing for jobs without a key.
+    /// Deduplication state of a server's group for a profile; none for requests without a key.
     pub fn of(
         &mut self,
         scenario: &Scenario,
--- a/crates/pearfront-emulator/src/event_queue.rs
+++ b/crates/pearfront-emulator/src/event_queue.rs
@@ -1,4 +1,4 @@
-//! What is to happen in simulated time, in order: by time, then in the order in which it was put down.
+//! Event queue of simulated time: ordered by time, then by insertion.
 
 use std::collections::BinaryHeap;
 
@@ -42,7 +42,7 @@
         self.numbered += 1;
     }
 
-    /// The next entry, if it is due by `until`.
+    /// Removes and returns the next entry if it is due by `until`.
     pub fn next(&mut self, until: f64) -> Option<(f64, T)> {
         let due = self.entries.peek().is_some_and(|entry| entry.at <= until);
         due.then(|| self.entries.pop()).flatten().map(|entry| (entry.at, entry.what))
--- a/crates/pearfront-emulator/src/judge.rs
+++ b/crates/pearfront-emulator/src/judge.rs
@@ -1,5 +1,6 @@
-//! What came of a play, from the records of servers, callers and discovery alone: the four rules, the gain served in
-//! time, the work done for nothing. It knows neither the nodes nor how they decide.
+//! Judges a play by the records of servers, clients and discovery only: the four rules, the gain served in
+//! time, and wasted work. It does not depend on the nodes or their decisions. Used by `pearfront rehearse` and
+//! tests.
 
 use crate::record::{
     Answer, Answered, Ask, Attempt, AttemptEnd, NodeEnd, Records, RequestRecord, ServerLife,
@@ -11,20 +12,21 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Seconds of the window that is told as the worst.
+/// Length, s, of the window for the worst-window figure.
 const WORST_WINDOW: usize = 10;
-/// Asks that such a window must hold at the least, as a share of the mean: an all but empty one says nothing.
+/// Smallest gain asked for in such a window, as a share of the mean: an almost empty window is not meaningful.
 const MIN_WINDOW_SHARE: f64 = 0.2;
-/// Lateness of the emulator itself at the hundredth, as a share of the slack that the rules leave: beyond it a play in
-/// real time says nothing of the nodes. 5 ms of the 66 that are usual.
+/// Largest 99th-percentile lateness of the emulator itself, as a share of the rules' slack. Beyond it a
+/// real-time play is void, as it shows nothing about the nodes. Amounts to 5 ms of the usual 66 ms.
 const MAX_LATE_SHARE: f64 = 0.076;
-/// Share of a cold server's work that must come from nodes that knew, for the rule to be theirs.
+/// Share of a cold server's work that must come from nodes that knew of its start for rule 4 to count as broken
+/// by them.
 const MIN_INFORMED_SHARE: f64 = 2.0 / 3.0;
-/// Longest latency that is told apart, us: an hour.
+/// Upper bound of the latency histogram, us: one hour.
 const MAX_LATENCY_US: u64 = 3_600_000_000;
-/// Times (root of N + 1) that a cold server may get beyond N by chance.
+/// Factor on (sqrt(N) + 1) by which a cold server's load may exceed N by random variation.
 const CHANCE_FACTOR: f64 = 2.0;
-/// Cases of each broken rule that are told in words.
+/// Number of cases described in words for each broken rule.
 const MAX_EXAMPLES: usize = 5;
 
 pub const RULES: [&str; 4] = ["no-job-lost", "no-effect-twice", "drains", "cold-servers"];
@@ -33,7 +35,7 @@
 pub struct Finding {
     pub rule: String,
     pub cases: usize,
-    /// The first of them, in words.
+    /// Descriptions of the first cases.
     pub examples: Vec<String>,
 }
 
@@ -50,7 +52,7 @@
     }
 }
 
-/// One second of the play, by when things were asked for or sent.
+/// Figures of one second of the play, by the time of the request or attempt.
 #[derive(Debug, Clone, Default, Serialize, Deserialize, PartialEq)]
 pub struct Second {
     pub asked: f64,
@@ -62,19 +64,19 @@
     pub errors: u64,
     pub turned_away: u64,
     pub unanswered: u64,
-    /// Mean and highest number of attempts that servers of the first tier got.
+    /// Mean and highest number of attempts per server of the first tier.
     pub attempts_mean: f64,
     pub attempts_most: u64,
 }
 
 #[derive(Debug, Clone, Default, Serialize, Deserialize, PartialEq)]
 pub struct Verdict {
-    /// Gain served within the latency target over gain asked for.
+    /// Gain served within the latency target divided by gain asked for.
     pub service: f64,
     pub worst_10s: f64,
     pub profiles: Vec<Share>,
     pub customers: Vec<Share>,
-    /// A rule that stands here was broken.
+    /// The rules that were broken.
     pub broken: Vec<Finding>,
     pub asks: usize,
     pub tries: usize,
@@ -82,20 +84,21 @@
     pub rejected: usize,
     pub failed: usize,
     pub unanswered: usize,
-    /// Attempts at the first tier for each job, and work done at any tier for answers that nobody got, as a share.
+    /// Attempts at the first tier per request.
     #[serde(rename = "attempts_a_job")]
     pub attempts_per_request: f64,
-    /// An error that came at once counts with all the work that was asked for.
+    /// Share of the work of all tiers that was done for answers nobody received. An immediate error counts with
+    /// the full work that was requested.
     pub wasted: f64,
     pub attempts: usize,
     pub probes: u64,
     pub connections: u64,
-    /// Effects had again by a caller's own repeat: no node could know.
+    /// Effects that occurred again through a client's own retry; no node could know of it.
     #[serde(rename = "repeats_by_callers")]
     pub repeats_by_clients: usize,
     pub p50_ms: f64,
     pub p99_ms: f64,
-    /// The emulator was too late itself for this to say anything.
+    /// The emulator itself was too late for the play to be meaningful.
     pub void: bool,
     pub late_p99_us: u64,
     pub seconds: Vec<Second>,
@@ -107,7 +110,7 @@
         shares.iter().map(Share::service).fold(1.0, f64::min)
     }
 
-    /// The one line for machines.
+    /// The machine-readable summary line.
     pub fn line(&self) -> String {
         let rules: Vec<&str> = self.broken.iter().map(|finding| finding.rule.as_str()).collect();
         let rules = if rules.is_empty() { "kept".into() } else { rules.join(",") };
@@ -128,30 +131,30 @@
     }
 }
 
-/// All attempts of one job, in the order in which they came, by the job's id.
+/// Attempts of each request in order of arrival, by request id.
 type AttemptsOf<'a> = BTreeMap<u64, Vec<&'a Attempt>>;
 
 struct Judgement<'a> {
     scenario: &'a Scenario,
     records: &'a Records,
     attempts: AttemptsOf<'a>,
-    /// Which node's life each job was taken by.
+    /// The node life that accepted each request.
     nodes: BTreeMap<u64, usize>,
     cases: [Vec<String>; 4],
 }
 
-/// What all nodes together sent to a server while it was cold, at its worst, in requests of mean work.
+/// Worst load that all nodes together sent to a cold server, in requests of mean work.
 #[derive(Debug, Clone, Copy)]
 pub struct ColdLoad {
-    /// Sent within the rules' window, and the N that the rules allow then.
+    /// Load sent within the rules' window, and the N that the rules allow at that time.
     pub sent: f64,
     pub may: f64,
-    /// All that it got while cold, as a share of all that it was allowed.
+    /// Total load while cold, as a share of the total allowed.
     pub mean_share: f64,
 }
 
 impl ColdLoad {
-    /// N + 2 x root of N + 2: beyond N only that is put down to chance.
+    /// N + 2 x sqrt(N) + 2: the excess over N that is attributed to random variation.
     pub fn limit(&self) -> f64 {
         self.may + CHANCE_FACTOR * (self.may.sqrt() + 1.0)
     }
@@ -234,7 +237,7 @@
         }
     }
 
-    /// Rule 1: one whole answer in time, and nothing after it.
+    /// Rule 1: exactly one complete answer, in time.
     fn answers(&self, request: &RequestRecord) -> Option<String> {
         if request.answers.len() > 1 {
             return Some(format!("{} answers", request.answers.len()));
@@ -260,7 +263,7 @@
         }
     }
 
-    /// Rule 2: what may have run goes again, or is rejected, only where that is harmless.
+    /// Rule 2: a request that may have run is retried or rejected only where that is harmless.
     fn effects(&self, request: &RequestRecord) -> Option<String> {
         let profile = &self.scenario.profiles[request.profile];
         let attempts = self.attempts.get(&request.trace)?;
@@ -305,7 +308,7 @@
         }
     }
 
-    /// Rule 3: nothing new to a server that the node knows to drain or to be gone.
+    /// Rule 3: no new attempts to a server that the node knows to be draining or gone.
     fn drains(&mut self) {
         let mut ends: BTreeMap<(usize, usize), f64> = BTreeMap::new();
         for update in self.records.list_updates.iter().filter(|update| update.standing != ServerState::Ready)
@@ -330,7 +333,7 @@
         }
     }
 
-    /// Rule 4: no cold server is sent more than it bears by nodes that know of its start.
+    /// Rule 4: nodes that know of a server's start do not overload it while it is cold.
     fn cold(&mut self) {
         let cold: Vec<usize> = (0..self.records.servers.len())
             .filter(|server| self.records.servers[*server].started.is_finite())
@@ -403,7 +406,7 @@
         verdict.profiles = scenario.profiles.iter().map(|profile| named(&profile.name)).collect();
         verdict.customers = scenario.customers.iter().map(|customer| named(&customer.name)).collect();
         verdict.seconds = vec![Second::default(); scenario.length_s.ceil() as usize];
-        // When each ask was served, by its best try.
+        // When each ask was served: the earliest over all its tries.
         let mut served = vec![f64::INFINITY; self.records.asks.len()];
         let mut latency = Histogram::<u64>::new_with_bounds(1, MAX_LATENCY_US, 3).expect("bounds that fit");
         for request in &self.records.requests {
@@ -499,7 +502,7 @@
         verdict.repeats_by_clients = self.repeats_by_clients();
     }
 
-    /// Keys whose effect was had by two jobs, beyond what one job did itself.
+    /// Number of repeated effects of the same key that are due to different requests.
     fn repeats_by_clients(&self) -> usize {
         let keys: BTreeMap<u64, u64> =
             self.records.requests.iter().map(|request| (request.trace, request.key)).collect();
@@ -514,7 +517,7 @@
     }
 }
 
-/// What each customer may still ask for within its quota: a second's worth at the most.
+/// Token bucket of each customer's quota, with a capacity of one second's quota.
 struct Quotas {
     rates: Vec<f64>,
     left: Vec<(f64, f64)>,
--- a/crates/pearfront-emulator/src/lib.rs
+++ b/crates/pearfront-emulator/src/lib.rs
@@ -1,5 +1,6 @@
-//! Rehearsals: an emulated fleet, its callers and its discovery in simulated or real time, and a judge who knows only
-//! what these saw. `scenario` is the file, `model` the play in simulated time, `judge` what came of it.
+//! Rehearsals: an emulated fleet with clients and discovery, in simulated or real time, and a judge that sees
+//! only their records. `scenario` is the scenario file, `model` the play in simulated time, `sockets` the play
+//! in real time, `judge` the evaluation.
 
 pub mod active_troubles;
 pub mod cores;
--- a/crates/pearfront-emulator/src/list.rs
+++ b/crates/pearfront-emulator/src/list.rs
@@ -1,4 +1,4 @@
-//! A line of the server list, in the module's terms and in the platform's.
+//! A line of the server list, for the decision module and in the platform's JSON format.
 
 use crate::platform::lifecycle;
 use crate::scenario::Scenario;
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// One line of the list, and which life of a server it stands for.
+/// One line of the list, and the server life that it describes.
 #[derive(Debug, Clone)]
 pub struct Line {
     pub id: String,
@@ -21,7 +21,7 @@
 }
 
 impl Line {
-    /// As a node takes it whose time began at `from`.
+    /// The line as passed to the decision module of a node whose clock started at `from`.
     pub fn listing(&self, from: f64) -> ListedServer {
         ListedServer {
             address: self.address,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// As discovery writes it; `began` is the Unix time, ms, at which the play began.
+    /// The line as discovery sends it; `began` is the Unix time, ms, of the start of the play.
     pub fn json(&self, scenario: &Scenario, began: f64) -> Value {
         let started = if self.started.is_finite() { (began + self.started).round() } else { 0.0 };
         json!({"instanceId": self.id, "hostPort": socket(self.address).to_string(),
--- a/crates/pearfront-emulator/src/operators.rs
+++ b/crates/pearfront-emulator/src/operators.rs
@@ -1,4 +1,4 @@
-//! One call to a program's address for operators, for whoever looks at programs or moves them.
+//! A minimal HTTP client for one call to a program's admin address, used by the command line and tests.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,10 +6,10 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// The status and the body of the answer; `lines` are further lines of the call's head, each with its end.
+/// Returns the status and the body of the answer; `lines` are additional header lines, each with its line end.
 ///
 /// # Errors
-/// Why there is none: no connection, no answer in time, or nothing that is one.
+/// Why there is no answer: no connection, a time-out, or an invalid answer.
 pub async fn ask(
     address: SocketAddr,
     method: &str,
--- a/crates/pearfront-emulator/src/platform.rs
+++ b/crates/pearfront-emulator/src/platform.rs
@@ -1,5 +1,5 @@
-//! A scenario in the platform's words: the settings object and the lines of the list, as nodes on sockets get them.
-//! The model play decodes the same object, so both plays decide by the same figures.
+//! Converts a scenario to the platform's format: the settings object and list values that nodes on sockets
+//! receive. The model play decodes the same object, so both plays use the same settings.
 
 use crate::scenario::{Effect, Group, Scenario};
 use pearfront::interface::ServerState;
@@ -7,7 +7,7 @@
 
 const NS_PER_MS: f64 = 1e6;
 
-/// The settings of a node that sends to `tier`, of which there are `siblings`, in `zone`.
+/// Settings of a node in `zone` that sends to `tier`, one of `siblings` such nodes.
 pub fn settings(scenario: &Scenario, tier: usize, zone: usize, siblings: usize) -> Value {
     let ns = |ms: f64| (ms * NS_PER_MS).round();
     let nodes = &scenario.nodes;
--- a/crates/pearfront-emulator/src/record.rs
+++ b/crates/pearfront-emulator/src/record.rs
@@ -1,11 +1,11 @@
-//! What servers, callers and discovery saw of a play. The judge reads this and nothing else; no node writes into it.
-//! Times are milliseconds from the start of the play.
+//! What servers, clients and discovery observed in a play. It is the judge's only input, and no node writes
+//! into it. Times are milliseconds from the start of the play.
 
 use crate::scenario::Scenario;
 use hdrhistogram::Histogram;
 use pearfront::interface::ServerState;
 
-/// One thing that a caller wants done, whatever number of tries it takes.
+/// One operation that a client wants done, regardless of the number of tries.
 #[derive(Debug, Clone)]
 pub struct Ask {
     pub at: f64,
@@ -24,30 +24,30 @@
 pub struct Answered {
     pub at: f64,
     pub answer: Answer,
-    /// Of a served one: the job that its body was made for, 0 if for none.
+    /// If served: id of the request that the body was made for, 0 for none.
     pub body: u64,
 }
 
-/// A job as its caller saw it: a try of an ask, or a call between tiers.
+/// A request as its client saw it: one try of an ask, or a call between tiers.
 #[derive(Debug, Clone)]
 pub struct RequestRecord {
-    /// Its id, from 1 on.
+    /// Request id, from 1 on.
     pub trace: u64,
-    /// The id of the caller's job that it was made for; its own if it is that job.
+    /// Id of the client's request that caused it; its own id if it is that request.
     pub root: u64,
-    /// Place of the ask that it is a try of; none for a call between tiers.
+    /// Index of the ask that it is a try of; none for a call between tiers.
     pub ask: Option<usize>,
-    /// Place of the life of the node that took it.
+    /// Index of the life of the node that accepted it.
     pub node: usize,
     pub tier: usize,
     pub profile: usize,
     pub key: u64,
     pub sent: f64,
-    /// When its caller stops waiting.
+    /// Deadline: when its client stops waiting.
     pub limit: f64,
     pub left: Option<f64>,
     pub answers: Vec<Answered>,
-    /// The connection was refused or reset before the job was over: only a killed node may do so.
+    /// The connection was refused or reset before the request ended; permitted only for a killed node.
     pub cut: bool,
 }
 
@@ -55,11 +55,11 @@
 pub enum AttemptEnd {
     Served,
     Error,
-    /// Told at once that it never ran.
+    /// Turned away immediately; it never ran.
     TurnedAway,
-    /// Dropped from the queue after its node had given it up.
+    /// Dropped from the queue after the node had cancelled it.
     Dropped,
-    /// The server went away with it.
+    /// The server ended while holding it.
     Lost,
 }
 
@@ -67,20 +67,20 @@
 #[derive(Debug, Clone)]
 pub struct Attempt {
     pub trace: u64,
-    /// Place of the server's life.
+    /// Index of the server's life.
     pub server: usize,
-    /// When its first byte was sent, or the nearest that is known.
+    /// When its first byte was sent, or the nearest known time.
     pub sent: f64,
     pub came: f64,
-    /// Own work of this tier that it brings, ms.
+    /// Work of this tier, ms, without calls.
     pub work: f64,
     pub ended: Option<(f64, AttemptEnd)>,
-    /// It had its effect.
+    /// The effect of the request took place.
     pub effect: bool,
     pub called_off: Option<f64>,
 }
 
-/// A server from one start to the next.
+/// The life of a server, from one start to the next.
 #[derive(Debug, Clone)]
 pub struct ServerLife {
     pub id: String,
@@ -89,13 +89,13 @@
     pub cell: u16,
     pub cores: f64,
     pub speed: f64,
-    /// Negative infinity if it is long warm.
+    /// Negative infinity for a server that is warm from the beginning.
     pub started: f64,
     pub fell: Option<f64>,
 }
 
 impl ServerLife {
-    /// One that begins at `started`, of a tier, zone, cell and kind.
+    /// A life that begins at `started`, of a server of the given tier, zone, cell and kind.
     pub fn new(
         scenario: &Scenario,
         id: String,
@@ -107,7 +107,7 @@
     }
 }
 
-/// What discovery told a node of a server, and when.
+/// A state of a server that discovery reported to a node, and when.
 #[derive(Debug, Clone, Copy)]
 pub struct ListUpdate {
     pub node: usize,
@@ -122,7 +122,7 @@
     Terminated,
 }
 
-/// A node from one start to the next.
+/// The life of a node, from one start to the next.
 #[derive(Debug, Clone)]
 pub struct NodeLife {
     pub name: String,
@@ -141,10 +141,10 @@
     pub list_updates: Vec<ListUpdate>,
     /// Probes that servers answered.
     pub probes: u64,
-    /// Connections that servers took.
+    /// Connections that servers accepted.
     pub connections: u64,
-    /// What the script did, by when.
+    /// Actions of the script, with their times.
     pub script: Vec<(f64, String)>,
-    /// How late the emulator itself was, us; none in simulated time.
+    /// Lateness of the emulator itself, us; none in simulated time.
     pub late: Option<Histogram<u64>>,
 }
--- a/crates/pearfront-emulator/src/report.rs
+++ b/crates/pearfront-emulator/src/report.rs
@@ -1,16 +1,17 @@
-//! What a play leaves behind: `result.json`, a table by second, a page with plots; and two sets of results beside each
-//! other. Makes texts; whoever calls writes them.
+//! Reports of a play: `result.json`, a table by second and an HTML page with plots; and the comparison of two
+//! sets of results. Only generates text; the callers of this module write the files.
 
 use crate::judge::{Second, Verdict};
 use plotters::prelude::*;
 use serde::{Deserialize, Serialize};
 use std::fmt::Write;
 
-/// Version of `result.json`; it rises when a reader of the old form would be misled.
+/// Version of `result.json`; raised on incompatible changes.
 pub const VERSION: u32 = 1;
-/// Standard errors beyond which a difference is more than noise.
+/// Number of standard errors beyond which a difference is more than noise.
 const NOISE_STD_ERRORS: f64 = 2.0;
-/// Difference in service that is told as noise however alike the seeds are: below it nothing was ever concluded.
+/// Differences in service up to this are noise however little the seeds vary: smaller ones have never been
+/// conclusive.
 const MIN_NOISE: f64 = 0.005;
 const SIZE: (u32, u32) = (960, 260);
 
@@ -21,7 +22,7 @@
     pub play: String,
     pub policy: String,
     pub seed: u64,
-    /// A service curve that was recorded elsewhere, by second, and its mean distance from this one.
+    /// A service curve recorded elsewhere, by second, and its mean distance from the curve of this play.
     pub recorded: Vec<(f64, f64)>,
     pub recorded_distance: Option<f64>,
     pub verdict: Verdict,
@@ -63,7 +64,7 @@
         Ok(outcome)
     }
 
-    /// Mean absolute distance to the recorded curve, each of its points standing for the time up to the next.
+    /// Mean absolute distance to the recorded curve; each of its points covers the time up to the next one.
     fn distance(&self) -> Option<f64> {
         let spans: Vec<(f64, f64)> = self.spans()?;
         let distance = |((_, was), (_, is)): (&(f64, f64), &(f64, f64))| (was - is).abs();
@@ -85,7 +86,8 @@
         (!spans.is_empty()).then_some(spans)
     }
 
-    /// The distance to the recorded curve of all these plays together, which one play's chance moves less.
+    /// Distance of the combined curve of these plays to the recorded curve; varies less with the seed than that
+    /// of a single play.
     pub fn distance_together(outcomes: &[Self]) -> Option<f64> {
         let mut all = outcomes.first()?.clone();
         for outcome in &outcomes[1..] {
@@ -97,7 +99,7 @@
         all.distance()
     }
 
-    /// One line a second, separated by tabs.
+    /// A tab-separated table with one line per second.
     pub fn table(&self) -> String {
         let mut text = String::from(
             "second\tasked\tserved\tservice\tjobs\tattempts\tattempts_served\terrors\tturned_away\tunanswered\tattempts_mean\tattempts_most\n",
@@ -125,7 +127,7 @@
         text
     }
 
-    /// One page that needs nothing else.
+    /// A self-contained HTML page.
     pub fn page(&self) -> Result<String, String> {
         let verdict = &self.verdict;
         let seconds = &verdict.seconds;
@@ -239,16 +241,16 @@
     Ok(svg)
 }
 
-/// A figure's name, and where it stands.
+/// Name of a figure, and how to read it from a verdict.
 type Figure = (&'static str, fn(&Verdict) -> f64);
 
-/// One figure of two sets of plays.
+/// Comparison of one figure between two sets of plays.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Compared {
     pub figure: &'static str,
     pub one: f64,
     pub other: f64,
-    /// Difference that chance alone makes; the seeds say.
+    /// Difference that random variation alone explains, estimated from the seeds.
     pub noise: f64,
 }
 
@@ -264,7 +266,7 @@
     }
 }
 
-/// Sets of plays of one scenario, several seeds each, beside one another.
+/// Compares two sets of plays of one scenario, with several seeds each.
 pub fn compare(one: &[Outcome], other: &[Outcome]) -> Result<Vec<Compared>, String> {
     let (Some(first), Some(second)) = (one.first(), other.first()) else {
         return Err("a folder without results".into());
@@ -298,7 +300,7 @@
     values.iter().sum::<f64>() / values.len() as f64
 }
 
-/// Standard error of the mean; infinite with one value, which says nothing of noise.
+/// Standard error of the mean; infinite for a single value, from which noise can't be estimated.
 fn error(values: &[f64]) -> f64 {
     let (count, mean) = (values.len() as f64, mean(values));
     if values.len() < 2 {
--- a/crates/pearfront-emulator/src/scenario.rs
+++ b/crates/pearfront-emulator/src/scenario.rs
@@ -1,5 +1,6 @@
-//! A rehearsal as its file describes it: fleet, callers, nodes, discovery and the script of troubles. Keys in `_s` are
-//! seconds, in `_ms` milliseconds; keys that are not known are refused. `Scenario::parse` is the only way in.
+//! The scenario file of a rehearsal: fleet, clients, nodes, discovery and the script of troubles. Keys ending
+//! in `_s` are seconds, in `_ms` milliseconds; unknown keys are rejected. Scenarios are always created through
+//! `Scenario::parse`.
 
 mod check;
 mod defaults;
@@ -22,7 +23,7 @@
 use defaults::one;
 use serde::Deserialize;
 
-/// A rehearsal as its file describes it.
+/// A parsed scenario file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
@@ -48,13 +49,14 @@
     pub goal: Goal,
     #[serde(default)]
     pub troubles: Vec<Trouble>,
-    /// A service curve recorded elsewhere, `[second, service]`, that the report draws beside this one.
+    /// A service curve recorded elsewhere, as `[second, service]`; the report plots it together with the curve
+    /// of this play.
     #[serde(default)]
     pub recorded: Vec<(f64, f64)>,
 }
 
 impl Scenario {
-    /// Reads and checks a file's text; the first mistake is told with its key and line.
+    /// Parses and validates a file's text; reports the first mistake with its key and line.
     pub fn parse(text: &str) -> Result<Self, Mistake> {
         read(text, Self::check)
     }
@@ -63,10 +65,10 @@
         self.length_s * 1000.0
     }
 
-    /// Makes requests so many times as large, at as much work in all: each has so many times as long, and so many fewer come.
+    /// Scales the work, latency target and deadline of requests by `times` and divides their rate by it, so that the total work is unchanged.
     ///
     /// # Panics
-    /// Where requests don't come at a steady rate.
+    /// If the rate is not steady.
     pub fn enlarge_requests(&mut self, times: f64) {
         let Rate::Steady(rate) = &mut self.clients.rate else { panic!("only a steady rate is scaled") };
         *rate /= times;
@@ -81,7 +83,7 @@
         self.tiers.iter().position(|tier| tier.name == name)
     }
 
-    /// Mean work of a job, ms, over the profiles.
+    /// Mean work of a request, ms, weighted over the profiles.
     pub fn mean_work(&self) -> f64 {
         let shares: f64 = self.profiles.iter().map(|profile| profile.share).sum();
         self.profiles.iter().map(|profile| profile.share * profile.work_ms).sum::<f64>() / shares
@@ -92,7 +94,8 @@
         self.mean_work() * self.tiers[tier].work
     }
 
-    /// All machines at the start, tier by tier: kinds by their shares, zones in turn, cells that no two zones share.
+    /// All machines at the start, tier by tier: kinds are assigned by share, zones round-robin; no cell spans
+    /// two zones.
     pub fn machines(&self) -> impl Iterator<Item = (usize, Machine)> {
         let zones = self.zones.len();
         self.tiers.iter().enumerate().flat_map(move |(at, tier)| {
@@ -120,12 +123,13 @@
         self.zones.iter().position(|name| name == zone)
     }
 
-    /// How long, ms, a draining server works on: the slowest word of it, the grace, and half a second more.
+    /// How long, ms, a draining server keeps serving: the longest publication delay, the grace period, and half
+    /// a second of margin.
     pub fn drains_for(&self) -> f64 {
         self.discovery.late_ms.1 + self.rules.drain_grace_s * 1000.0 + 500.0
     }
 
-    /// Work asked for at the highest rate as a share of each tier's capacity.
+    /// Offered work at the peak rate as a share of each tier's capacity.
     pub fn loads(&self) -> Vec<f64> {
         let share: f64 = self.kinds.iter().map(|kind| kind.share).sum();
         let each = self.kinds.iter().map(|kind| kind.share * kind.cores * kind.speed).sum::<f64>() / share;
--- a/crates/pearfront-emulator/src/scenario/check.rs
+++ b/crates/pearfront-emulator/src/scenario/check.rs
@@ -1,10 +1,10 @@
-//! What a scenario has to say to be played: each value within its bounds, and each name known. The first mistake is told with its
-//! key.
+//! Validation of a scenario: every value must be within its bounds and every name known. Reports the first
+//! mistake with its key.
 
 use super::{Rate, Scenario, Tier, Trouble, What};
 
 impl Scenario {
-    /// The first mistake, in the order of the file's parts: its key, and what is wrong with it.
+    /// Returns the first mistake in file order: its key, and what is wrong.
     pub(super) fn check(&self) -> Result<(), (String, String)> {
         above("length_s", self.length_s, 0.0, 86_400.0)?;
         self.check_lists()?;
--- a/crates/pearfront-emulator/src/scenario/defaults.rs
+++ b/crates/pearfront-emulator/src/scenario/defaults.rs
@@ -1,4 +1,4 @@
-//! What keys say that are left out of a file, as `serde` asks for it: by a function for each value.
+//! Default values of optional scenario keys, as functions because `serde` requires one for each value.
 
 use super::Group;
 
--- a/crates/pearfront-emulator/src/scenario/fleet.rs
+++ b/crates/pearfront-emulator/src/scenario/fleet.rs
@@ -1,16 +1,16 @@
-//! The machines of a rehearsal: the network between them, their kinds, and the tiers of servers.
+//! Scenario settings of the machines: the network between them, their kinds, and the tiers of servers.
 
 use super::defaults::{eight, whole};
 use serde::Deserialize;
 
-/// One-way delays.
+/// One-way network delays.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Network {
     pub hop_ms: f64,
     pub cross_ms: f64,
     pub caller_ms: f64,
-    /// Largest part by which a delay is longer than stated, drawn evenly.
+    /// Largest share by which a delay exceeds its stated value; drawn uniformly.
     pub jitter: f64,
 }
 
@@ -20,7 +20,7 @@
     }
 }
 
-/// Where a machine stands.
+/// Number, location and kind of a machine.
 #[derive(Debug, Clone, Copy)]
 pub struct Machine {
     pub number: usize,
@@ -35,24 +35,24 @@
 pub struct Kind {
     pub name: String,
     pub cores: f64,
-    /// Work done by a core in a millisecond, ms of work.
+    /// Work, ms, that a core does per millisecond.
     #[serde(default = "whole")]
     pub speed: f64,
-    /// Part of a tier's servers that are of this kind.
+    /// Share of a tier's servers that are of this kind.
     #[serde(default = "whole")]
     pub share: f64,
 }
 
-/// Servers that do the same part of each job.
+/// A tier: servers that do the same part of each request.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tier {
     pub name: String,
     pub servers: usize,
-    /// Part of a job's work that is done here.
+    /// Share of a request's work that is done in this tier.
     #[serde(default = "whole")]
     pub work: f64,
-    /// Calls that each job makes to the next tier, one after another; the servers' slots stay taken.
+    /// Sequential calls that each request makes to the next tier; the server's slot stays occupied meanwhile.
     #[serde(default)]
     pub calls: u32,
     #[serde(default = "eight")]
@@ -65,31 +65,32 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(rename = "ServerHabits", deny_unknown_fields, default)]
 pub struct ServerBehaviour {
-    /// Jobs in work at once, for each core; they share the cores.
+    /// Concurrent requests per core; they share the cores.
     pub slots: f64,
-    /// Jobs that wait beyond that; further ones are turned away unseen.
+    /// Length of the waiting queue; requests beyond it are turned away without running.
     pub queue: usize,
-    /// Capacity at the start as a share of the full one, and the time until it is full.
+    /// Capacity at the start as a share of the full capacity, and the warm-up time until it is full.
     pub cold_from: f64,
     pub warm_up_s: f64,
-    /// Jobs held for each core from which on it is slow, and down to which it stays so.
+    /// Requests held per core above which the server is crowded (slow), and at or below which it recovers.
     pub crowded_at: f64,
     pub calm_at: f64,
-    /// Share of its speed that is left while crowded.
+    /// Share of the speed that remains while crowded.
     pub crowded_speed: f64,
-    /// Short stand-stills: mean time between two, and how long each lasts; 0 for none.
+    /// Short pauses: mean time between two, and the length of each; 0 for none.
     pub pause_every_s: f64,
     pub pause_ms: f64,
-    /// Connections that it holds at the most, and the work that a new one costs.
+    /// Connection limit, and the work that a new connection costs.
     pub connections: usize,
     pub connect_work_ms: f64,
-    /// It closes idle connections after this time, unannounced. The settings say `nodes.idle_s`.
+    /// The server closes idle connections after this time without notice. The nodes' settings state
+    /// `nodes.idle_s` instead.
     pub idle_s: f64,
-    /// Time between two refreshes of its load report.
+    /// Refresh interval of the load report.
     pub report_ms: f64,
-    /// Work that called-off jobs still waiting cost: dropped if true, run all the same if false.
+    /// Whether cancelled requests that are still queued are dropped; if false they run all the same.
     pub drops_waiting: bool,
-    /// Work that a probe costs.
+    /// Work, ms, that a probe costs.
     pub probe_work_ms: f64,
 }
 
--- a/crates/pearfront-emulator/src/scenario/goal.rs
+++ b/crates/pearfront-emulator/src/scenario/goal.rs
@@ -1,24 +1,25 @@
-//! What a rehearsal is judged by: the figures of the rules, and what the parts of the goal weigh.
+//! Parameters by which a rehearsal is judged: the rules, and the weights of the objective.
 
 use serde::Deserialize;
 
-/// Figures of the four rules.
+/// Parameters of the four rules.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// Time after the limit in which an answer still counts as given.
+    /// Time after the deadline within which an answer still counts as in time.
     pub slack_ms: f64,
     pub drain_grace_s: f64,
-    /// A cold server that is sent more than this multiple of its present capacity over the window falls over.
+    /// A cold server fails if it is sent more than this multiple of its current capacity within the window.
     pub tip_multiple: f64,
     pub tip_window_s: f64,
-    /// Beyond the N requests of mean work that this comes to, so many times (root of N + 1) count as chance.
+    /// If the budget amounts to N requests of mean work, this factor times (sqrt(N) + 1) more are allowed as
+    /// random variation.
     pub tip_chance: f64,
 }
 
 impl Rules {
-    /// Work, ms, that a server of this capacity (ms of work a ms) bears while cold within the window, where a request
-    /// brings `mean_work` in the mean.
+    /// Work, ms, that a cold server of this capacity (ms of work per ms) tolerates within the window, for
+    /// requests of `mean_work` on average.
     pub fn cold_budget(&self, capacity: f64, mean_work: f64) -> f64 {
         let work = self.tip_multiple * capacity * self.tip_window_s * 1000.0;
         work + self.tip_chance * ((work * mean_work).sqrt() + mean_work)
@@ -31,14 +32,14 @@
     }
 }
 
-/// What the parts of the goal weigh, as nodes are told it.
+/// Weights of the objective, as stated in the nodes' settings.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Goal {
     pub whole: f64,
     pub worst_profile: f64,
     pub worst_customer: f64,
-    /// What a job beyond its customer's quota is worth, as a share.
+    /// Value of a request beyond its customer's quota, as a share of its gain.
     pub excess_gain: f64,
 }
 
--- a/crates/pearfront-emulator/src/scenario/reading.rs
+++ b/crates/pearfront-emulator/src/scenario/reading.rs
@@ -1,8 +1,8 @@
-//! From a file's text to what it describes, or to the first mistake with its key and line.
+//! Deserializes a scenario file and validates it; reports the first mistake with its key and line.
 
 use serde::de::DeserializeOwned;
 
-/// A mistake in a scenario file: which key, at which line, and what is wrong with it.
+/// A mistake in a scenario file: the key, the line, and what is wrong.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Mistake {
     pub key: String,
@@ -16,7 +16,8 @@
     }
 }
 
-/// Words of scenario files that have been renamed: what is told beside the parser's own word.
+/// Keys and values of scenario files that were renamed, as (old, new); the error for an old name states the new
+/// one.
 const RENAMED: [(&str, &str); 6] = [
     ("most_shots", "most_attempts"),
     ("contract_ms", "latency_target_ms"),
@@ -26,7 +27,7 @@
     ("irreversible", "non-idempotent"),
 ];
 
-/// What the parser says, and the new name where an old one stands there.
+/// The parser's message, replaced by a hint to the new name where the file uses an old one.
 fn with_new_name(what: String) -> String {
     let unknown = |old: &str| {
         what.starts_with(&format!("unknown field `{old}`"))
@@ -38,7 +39,7 @@
     }
 }
 
-/// Reads and checks a file's text; the first mistake is told with its key and line.
+/// Parses and validates a file's text; reports the first mistake with its key and line.
 pub(crate) fn read<T: DeserializeOwned>(
     text: &str,
     check: impl Fn(&T) -> Result<(), (String, String)>,
@@ -59,7 +60,8 @@
     Ok(scenario)
 }
 
-/// Where a key as `tiers[0].server.queue` stands in the text; the nearest one above it if it is not there itself.
+/// Byte offset of a key such as `tiers[0].server.queue` in the text; of its nearest existing parent if the key
+/// is absent.
 fn place(text: &str, key: &str) -> Option<usize> {
     use toml::de::{DeTable, DeValue};
     let top = DeTable::parse(text).ok()?;
--- a/crates/pearfront-emulator/src/scenario/surroundings.rs
+++ b/crates/pearfront-emulator/src/scenario/surroundings.rs
@@ -1,13 +1,14 @@
-//! What stands between callers and servers: the nodes, and how the server list reaches them.
+//! Scenario settings of the nodes, and of the discovery service that sends them the server list.
 
 use super::defaults::{connect, four, memory, probe_price, sockets, thirty, three, two, yes};
 use serde::Deserialize;
 
-/// The nodes, and what their settings say.
+/// The nodes and their settings.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Nodes {
-    /// Nodes of the first tier; every server of a tier that makes calls has one of its own beside them.
+    /// Number of nodes in front of the first tier. Every server of a tier that calls the next one also has a
+    /// node of its own.
     pub count: usize,
     #[serde(default = "three")]
     pub most_attempts: u32,
@@ -17,14 +18,14 @@
     pub call_off: bool,
     #[serde(default)]
     pub second_copies: bool,
-    /// Longest advice that callers are told; 0 if they are told none.
+    /// Longest retry-after advice given to clients; 0 for none.
     #[serde(default = "two")]
     pub advice_s: f64,
     #[serde(default = "four")]
     pub round_ms: f64,
     #[serde(default = "connect")]
     pub connect_ms: f64,
-    /// What the settings say of idle connections.
+    /// Idle time-out of connections as stated in the settings.
     #[serde(default = "thirty")]
     pub idle_s: f64,
     #[serde(default = "memory")]
@@ -33,32 +34,33 @@
     pub sockets: f64,
     #[serde(default)]
     pub cross_zone_price: f64,
-    /// Probes tell of jobs held in place of the utilisation; at a low `probe_price` nodes then ask before a draw.
+    /// Probes report the number of requests held instead of the utilisation; at a low `probe_price` nodes then
+    /// probe before choosing a server.
     #[serde(default)]
     pub told_held: bool,
     #[serde(default = "probe_price")]
     pub probe_price: f64,
-    /// On sockets: they know of one another, as one installation.
+    /// In plays on sockets: the nodes form one cluster.
     #[serde(default)]
     pub cluster: bool,
 }
 
-/// How the server list reaches nodes.
+/// How the server list reaches the nodes.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Discovery {
-    /// Changes come by themselves; else a node has to ask.
+    /// Changes are pushed to the nodes; otherwise a node has to request them.
     pub pushed: bool,
-    /// Time from a change to its publication, drawn evenly between the two.
+    /// Time from a change to its publication, drawn uniformly between the two values.
     pub late_ms: (f64, f64),
-    /// Time from a machine's falling silent to the list saying so.
+    /// Time from a machine's becoming unresponsive until the list shows it.
     pub silent_s: f64,
-    /// Lines that it can send in a second, all nodes together, and what a call costs beside its lines.
+    /// Lines that discovery can send per second to all nodes together, and the overhead of a call, in lines.
     pub lines_per_s: f64,
     pub call_lines: f64,
-    /// A call that waits longer fails.
+    /// A call that is queued for longer than this fails.
     pub timeout_ms: f64,
-    /// Nodes must ask within this time.
+    /// Nodes have to request the list within this time.
     pub ask_within_s: f64,
 }
 
--- a/crates/pearfront-emulator/src/scenario/traffic.rs
+++ b/crates/pearfront-emulator/src/scenario/traffic.rs
@@ -1,9 +1,10 @@
-//! What a rehearsal's callers send: profiles of requests, customers, the rate over time, and what callers do behind a failure.
+//! Scenario settings of the traffic: request profiles, customers, the rate over time, and how clients react to
+//! failures.
 
 use super::defaults::{every, five, half, hundred, two, whole};
 use serde::Deserialize;
 
-/// What a second run of a request does.
+/// Whether a request may safely run twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Effect {
@@ -12,7 +13,7 @@
     NonIdempotent,
 }
 
-/// Servers among which the repeat of a keyed request is known as one.
+/// Servers that share the deduplication state of keyed requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Group {
@@ -21,7 +22,7 @@
     Cell,
 }
 
-/// A kind of request.
+/// A request profile.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Profile {
@@ -29,33 +30,33 @@
     pub effect: Effect,
     #[serde(default = "every")]
     pub group: Group,
-    /// For keyed jobs: how long their servers know a key.
+    /// For keyed requests: how long the servers remember a key.
     #[serde(default = "five")]
     pub window_s: f64,
     pub latency_target_ms: f64,
-    /// The deadline: how long the caller waits at the most.
+    /// The deadline: the longest time that the client waits.
     pub deadline_ms: f64,
     pub gain: f64,
-    /// Part of all jobs.
+    /// Share of all requests.
     pub share: f64,
-    /// Mean work of a job over all tiers, ms on a core of speed 1.
+    /// Mean work of a request over all tiers, ms on a core of speed 1.
     pub work_ms: f64,
-    /// Standard deviation of the work as a share of the mean: 0 for always the same, else log-normal.
+    /// Standard deviation of the work as a share of the mean: 0 for constant work, otherwise log-normal.
     #[serde(default = "half")]
     pub work_spread: f64,
 }
 
-/// A customer, its part of the traffic and its quota.
+/// A customer, its share of the traffic and its quota.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Customer {
     pub name: String,
-    /// Part of all jobs.
+    /// Share of all requests.
     pub share: f64,
     pub quota_per_s: f64,
 }
 
-/// A rate over time: one figure, or points `[second, jobs a second]` joined by lines.
+/// A request rate over time: a constant, or points `[second, requests per second]` with linear interpolation.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(untagged)]
 pub enum Rate {
@@ -64,7 +65,7 @@
 }
 
 impl Rate {
-    /// Jobs a second at a time in seconds.
+    /// Requests per second at the given second.
     pub fn at(&self, second: f64) -> f64 {
         match self {
             Rate::Steady(rate) => *rate,
@@ -89,30 +90,30 @@
     }
 }
 
-/// How many requests come from where, and what callers do behind a failure.
+/// Request rate, origin of the requests, and how clients react to failures.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(rename = "Callers", deny_unknown_fields)]
 pub struct Clients {
-    /// First tries a second, all callers together.
+    /// First tries per second of all clients together.
     pub rate: Rate,
-    /// Part of the traffic that comes from each zone, in their order; evenly if absent.
+    /// Share of the traffic from each zone, in the order of the zones; even if absent.
     #[serde(default)]
     pub zone_shares: Vec<f64>,
-    /// Further tries of one job that was rejected or failed (non-idempotent ones only if rejected).
+    /// Retries of a request that was rejected or failed (non-idempotent ones only if rejected).
     #[serde(default)]
     pub retries: u32,
-    /// Chance that a caller makes its next try at all.
+    /// Probability that a client retries at all.
     #[serde(default = "whole")]
     pub retry_share: f64,
     #[serde(default = "hundred")]
     pub backoff_ms: f64,
-    /// Chance that a caller keeps away as long as it is told.
+    /// Probability that a client obeys the retry-after advice.
     #[serde(default = "whole")]
     pub heed_advice: f64,
-    /// Part of the callers that leave at a quarter of their limit.
+    /// Share of the clients that leave after a quarter of their deadline.
     #[serde(default)]
     pub impatient: f64,
-    /// How long the front goes on sending to a node that has died.
+    /// How long the client-side balancer keeps sending to a node that has died.
     #[serde(default = "two")]
     pub notice_s: f64,
 }
--- a/crates/pearfront-emulator/src/scenario/trouble.rs
+++ b/crates/pearfront-emulator/src/scenario/trouble.rs
@@ -1,36 +1,37 @@
-//! The script of troubles: what befalls which machines, when and for how long.
+//! The script of troubles: which faults are injected, where, when and for how long.
 
 use super::defaults::two;
 use serde::Deserialize;
 
-/// What befalls machines, nodes or discovery.
+/// A kind of fault that is injected into machines, nodes or discovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum What {
-    /// Machines say nothing; they come back cold, at the same addresses under new ids with `new_ids`.
+    /// Machines become unresponsive; they come back cold at the same addresses, under new ids if `new_ids` is
+    /// set.
     Silent,
-    /// A part `by` of jobs ends in an error at once.
+    /// A share `by` of the requests fails immediately.
     FastErrors,
-    /// Nothing moves, then all goes on.
+    /// Processing stops for a while, then continues.
     Stall,
-    /// Speed is `by` times what it was.
+    /// Speed is multiplied by `by`.
     Slow,
-    /// Answers are lost on their way, a part `by`.
+    /// A share `by` of the answers is lost on the way.
     LostAnswers,
-    /// Load reports stay as they were.
+    /// Load reports are no longer refreshed.
     StaleReports,
-    /// Load reports do not come: probes fail.
+    /// Load reports are not sent: probes fail.
     LostReports,
     /// Idle connections are closed by servers after `by` seconds.
     ShortIdle,
     DiscoveryDown,
-    /// The list stays as it was.
+    /// The published list is no longer updated.
     DiscoveryOld,
-    /// One node gets `by` times its share.
+    /// One node gets `by` times its share of the traffic.
     HotNode,
-    /// Servers are drained and replaced under new ids, `by` of them at once.
+    /// Rolling release: servers are drained and replaced under new ids, `by` at a time.
     Release,
-    /// Servers drain, end and are not replaced.
+    /// Servers drain, stop and are not replaced.
     Drain,
     KillNodes,
     /// Nodes get SIGTERM and start again.
@@ -44,17 +45,17 @@
 pub struct Trouble {
     pub what: What,
     pub at_s: f64,
-    /// How long it lasts; where it has no length, how long a node is down or a server takes to be replaced.
+    /// Duration; for troubles without one, how long a node is down or a server takes to be replaced.
     #[serde(default = "two")]
     pub for_s: f64,
-    /// Servers of this tier (all tiers if absent), of this zone and kind, and how many: a part of them, or a number.
+    /// Affects servers of this tier (all if absent), zone and kind; `part` or `count` limits how many.
     pub tier: Option<String>,
     pub zone: Option<String>,
     pub kind: Option<String>,
     pub part: Option<f64>,
     pub count: Option<usize>,
     pub by: Option<f64>,
-    /// With the nodes of the zone.
+    /// The nodes of the zone are affected as well.
     #[serde(default)]
     pub with_nodes: bool,
     #[serde(default)]
@@ -62,7 +63,7 @@
 }
 
 impl Trouble {
-    /// How many of those that fit are struck.
+    /// Number of affected targets among `all` that match.
     pub fn how_many(&self, all: usize) -> usize {
         match (self.part, self.count) {
             (Some(part), _) => ((all as f64 * part).round() as usize).clamp(1, all.max(1)),
--- a/crates/pearfront-emulator/src/server.rs
+++ b/crates/pearfront-emulator/src/server.rs
@@ -1,25 +1,25 @@
-//! One emulated server: cores, slots, a queue and its limit, warm-up, crowding, falling over. Free of I/O and clocks:
-//! it is told the time and what comes, and says what has happened by then. Both plays drive this one.
+//! An emulated server: cores, slots, a bounded queue, warm-up, crowding and failure under overload. Without I/O
+//! or clocks: the time and arrivals are passed in, and it returns the events up to then. Used by both plays.
 
 use crate::scenario::{Kind, Rules, ServerBehaviour};
 use std::collections::VecDeque;
 
-/// Work, ms, under which a part counts as done: below what any clock here tells apart.
+/// Remaining work, ms, below which a part counts as done; below the resolution of every clock used here.
 const DONE_WORK_MS: f64 = 1e-7;
-/// Time, ms, after which the capacity of a cold server with work is looked at again.
+/// Interval, ms, at which the capacity of a busy cold server is recomputed.
 const COLD_STEP_MS: f64 = 25.0;
-/// Work, ms, that an error at once or a dropped repeat costs.
+/// Work, ms, of an immediate error or a deduplicated repeat.
 const QUICK_WORK_MS: f64 = 0.1;
 
-/// What one job needs of this server.
+/// What one request requires of this server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Need {
-    /// Own work, ms, in `calls` + 1 equal parts.
+    /// Work at this server, ms, in `calls` + 1 equal parts.
     pub work: f64,
     pub calls: u32,
-    /// It ends in an error at once instead.
+    /// The request fails immediately instead.
     pub fails: bool,
-    /// Its key is known here: answered without its effect.
+    /// The key is already known: answered without running the effect.
     pub repeat: bool,
 }
 
@@ -27,23 +27,23 @@
 pub enum Arrival {
     Began,
     Waits,
-    /// Never ran and never will: the queue was full.
+    /// The queue was full: the request never runs.
     TurnedAway,
-    /// This was too much for a cold server: it has fallen, and so has all that it held.
+    /// The request overloaded a cold server, which failed and lost all requests it held.
     Fell,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerEvent {
-    /// A waiting job got a slot.
+    /// A waiting request got a slot.
     Began,
-    /// It has to call the next tier, and goes on once `call_ended` is told.
+    /// The request calls the next tier and continues after `call_ended`.
     Calls,
     Done,
     Failed,
 }
 
-/// Its load report's values.
+/// Values of the load report.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Report {
     pub utilisation: f64,
@@ -67,28 +67,28 @@
     calls_left: u32,
 }
 
-/// `T` names a job held; it is handed back as it came.
+/// `T` identifies a request held; it is returned unchanged in events.
 pub struct Server<T> {
     cores: f64,
     speed: f64,
     slots: usize,
     behaviour: ServerBehaviour,
     rules: Rules,
-    /// Mean work of a request, ms, of which the rules' part for chance is taken.
+    /// Mean work of a request, ms, from which the rules' allowance for random variation is computed.
     pub mean_work: f64,
-    /// Negative infinity if it is long warm.
+    /// Negative infinity for a server that is warm from the beginning.
     started: f64,
     now: f64,
     held: Vec<Held<T>>,
     crowded: bool,
     fallen: bool,
-    /// Troubles: share of the speed left, and until when nothing moves.
+    /// Injected troubles: the remaining share of the speed, and until when processing is stalled.
     pub speed_factor: f64,
     stalled_until: f64,
     connections: usize,
-    /// Work sent while cold, by when.
+    /// Work received while cold, with arrival times.
     sent: VecDeque<(f64, f64)>,
-    /// Core time used since the last refresh of the report, ms, and when that was.
+    /// Core time used since the last refresh of the report, ms, and the time of that refresh.
     used: f64,
     used_since: f64,
     report: Report,
@@ -118,12 +118,12 @@
         }
     }
 
-    /// Share of its capacity that it has at a time.
+    /// Share of the full capacity available at a time.
     pub fn warm_share(&self, at: f64) -> f64 {
         warm_share(self.started, &self.behaviour, at)
     }
 
-    /// Work, ms, that it does in a millisecond when all cores are busy, as things stand.
+    /// Work, ms, done per millisecond when all cores are busy, in the current state.
     pub fn capacity(&self, at: f64) -> f64 {
         if self.fallen || at < self.stalled_until {
             return 0.0;
@@ -136,13 +136,13 @@
         self.held.len()
     }
 
-    /// Own work, ms, that is still to be done for what it holds.
+    /// Remaining work at this server, ms, of all requests held.
     pub fn work_left(&self) -> f64 {
         let part = |held: &Held<T>| held.need.work / f64::from(held.need.calls + 1);
         self.held.iter().map(|held| held.left + part(held) * f64::from(held.calls_left)).sum()
     }
 
-    /// Jobs that it can hold without being crowded or turning any away.
+    /// Number of requests it can hold without becoming crowded or turning any away.
     pub fn room(&self) -> f64 {
         (self.behaviour.crowded_at * self.cores)
             .min((self.slots + self.behaviour.queue) as f64)
@@ -158,12 +158,12 @@
         self.fallen
     }
 
-    /// Nothing moves until that time.
+    /// Stalls processing until the given time.
     pub fn stall_until(&mut self, until: f64) {
         self.stalled_until = self.stalled_until.max(until);
     }
 
-    /// A new connection; false if it holds as many as it can. The handshake is work.
+    /// Opens a connection; false if the connection limit is reached. The handshake costs work.
     pub fn connect(&mut self) -> bool {
         if self.fallen || self.connections >= self.behaviour.connections {
             return false;
@@ -176,7 +176,7 @@
         self.connections = self.connections.saturating_sub(1);
     }
 
-    /// A job's last byte has come. `advance` to the same time goes before.
+    /// A request has been received completely. Call `advance` to the same time first.
     pub fn arrive(&mut self, ticket: T, need: Need) -> Arrival {
         if self.overloads_while_cold(need.work) {
             self.fallen = true;
@@ -198,14 +198,14 @@
         if begins { Arrival::Began } else { Arrival::Waits }
     }
 
-    /// Work beside jobs, such as a probe's or a handshake's: it takes from what is under way.
+    /// Adds work other than requests, such as a probe or a handshake; it delays a running request.
     pub fn add_work(&mut self, work: f64) {
         if let Some(held) = self.held.iter_mut().find(|held| held.state == State::Own) {
             held.left += work;
         }
     }
 
-    /// Its caller waits no more: true if it was waiting and is dropped, so that it never runs.
+    /// Cancels a request: true if it was still queued and is dropped, so that it never runs.
     pub fn call_off(&mut self, ticket: &T) -> bool {
         let place = self.held.iter().position(|held| held.ticket == *ticket);
         let Some(place) = place.filter(|at| self.held[*at].state == State::Waiting) else { return false };
@@ -216,7 +216,7 @@
         self.behaviour.drops_waiting
     }
 
-    /// The call that a job was waiting for has ended.
+    /// The call that a request was waiting for has ended.
     pub fn call_ended(&mut self, ticket: &T, good: bool) -> Option<ServerEvent> {
         let place = self.held.iter().position(|held| held.ticket == *ticket)?;
         let held = &mut self.held[place];
@@ -230,7 +230,7 @@
         None
     }
 
-    /// Works on until `now` and says what happened, in order.
+    /// Advances to `now` and returns the events in order.
     pub fn advance(&mut self, now: f64) -> Vec<(T, ServerEvent)> {
         let mut events = Vec::new();
         loop {
@@ -260,7 +260,7 @@
         }
     }
 
-    /// When something happens next if nothing comes in; infinity if nothing will.
+    /// Time of the next event if nothing arrives; infinity if there is none.
     pub fn due(&self) -> f64 {
         let own = || self.held.iter().filter(|held| held.state == State::Own);
         if self.fallen || own().next().is_none() {
@@ -274,7 +274,7 @@
         if self.warm_share(self.now) < 1.0 { done.min(self.now + COLD_STEP_MS) } else { done }
     }
 
-    /// The load report as it was last refreshed.
+    /// The load report, refreshed first if it is due.
     pub fn report(&mut self) -> Report {
         let since = self.now - self.used_since;
         if since >= self.behaviour.report_ms {
@@ -289,7 +289,7 @@
         self.report
     }
 
-    /// The load report without a look at whether it is due.
+    /// The load report without refreshing it.
     pub fn old_report(&self) -> Report {
         self.report
     }
@@ -313,7 +313,7 @@
         }
     }
 
-    /// Work a millisecond for each job that is in own work.
+    /// Work per millisecond for each running request.
     fn each(&self) -> f64 {
         let active = self.held.iter().filter(|held| held.state == State::Own).count() as f64;
         self.capacity(self.now) / self.cores * (self.cores / active.max(1.0)).min(1.0)
@@ -337,7 +337,7 @@
         self.crowded = held > if self.crowded { self.behaviour.calm_at } else { self.behaviour.crowded_at };
     }
 
-    /// Has a cold server been sent more than it bears, with this?
+    /// Whether this work exceeds the budget of a cold server.
     fn overloads_while_cold(&mut self, work: f64) -> bool {
         let warm_share = self.warm_share(self.now);
         if warm_share >= 1.0 {
@@ -354,7 +354,7 @@
     }
 }
 
-/// Share of its capacity that a server has at a time, by when it started.
+/// Share of its full capacity that a server started at `started` has at a time.
 pub fn warm_share(started: f64, behaviour: &ServerBehaviour, at: f64) -> f64 {
     let warm_up = behaviour.warm_up_s * 1000.0;
     if warm_up <= 0.0 || at - started >= warm_up {
--- a/crates/pearfront-emulator/src/server/tests.rs
+++ b/crates/pearfront-emulator/src/server/tests.rs
@@ -17,7 +17,7 @@
     Need { work, calls: 0, fails: false, repeat: false }
 }
 
-/// All that happens until the end, with times.
+/// All events until the end, with their times.
 fn play(server: &mut Server<u32>) -> Vec<(f64, u32, ServerEvent)> {
     let mut all = Vec::new();
     while server.due().is_finite() {
--- a/crates/pearfront-emulator/src/void_plays.rs
+++ b/crates/pearfront-emulator/src/void_plays.rs
@@ -1,21 +1,22 @@
-//! Plays of processes on a machine that has other work: one that came late says so and is played again, and none is
-//! judged by what the machine did. All tests that start processes go through here.
+//! Repeats real-time plays that are void because the machine was too busy, so that none is judged by the
+//! machine's delays. Used by all tests that start processes.
 
-/// Plays that may be void: a machine may be busy for a while, not for as long as these take.
+/// Number of plays before giving up: a machine may be busy for a while, but not for as long as this many plays
+/// take.
 pub const PLAYS: usize = 5;
 
-/// What came of one play.
+/// Result of one play.
 #[derive(Debug)]
 pub enum Play<T> {
     InTime(T),
-    /// The machine was too late for it to say anything; why it is thought so.
+    /// The machine was too late for the play to be meaningful, with the reason.
     Void(String),
 }
 
-/// Plays until a play came in time, so many times at the most; each void one is told on standard error.
+/// Repeats a play until one is in time, at most `tries` times; reports each void one on standard error.
 ///
 /// # Errors
-/// What a play could not do, at once; or that each was void, with the reason of the last.
+/// The error of a play, immediately; or that all were void, with the reason of the last.
 pub fn in_time<T>(tries: usize, mut play: impl FnMut(usize) -> Result<Play<T>, String>) -> Result<T, String> {
     let mut last = String::new();
     for number in 1..=tries {
--- a/crates/pearfront-emulator/src/workload.rs
+++ b/crates/pearfront-emulator/src/workload.rs
@@ -1,4 +1,5 @@
-//! What callers ask for and when, drawn ahead of all that nodes do with it, and when they try again. Both plays use it.
+//! Generates the client workload independently of what the nodes do, and decides when clients retry. Used by
+//! both plays.
 
 use crate::scenario::{Effect, Profile, Scenario};
 use rand::distr::weighted::WeightedIndex;
@@ -7,23 +8,23 @@
 use rand_distr::LogNormal;
 use std::rc::Rc;
 
-/// A further try that has less time left than this, ms, is not made.
+/// Clients do not retry with less time left than this, ms.
 const MIN_TIME_LEFT_MS: f64 = 20.0;
-/// Part of its limit after which an impatient caller leaves.
+/// Share of its deadline after which an impatient client leaves.
 const IMPATIENT_SHARE: f64 = 0.25;
 
-/// One ask. Times are milliseconds from the start of the play.
+/// One operation that a client asks for. Times are milliseconds from the start of the play.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Drawn {
     pub at: f64,
     pub profile: usize,
     pub customer: usize,
     pub zone: usize,
-    /// From 1 on for keyed jobs, else 0.
+    /// From 1 on for keyed requests, otherwise 0.
     pub key: u64,
     /// Work over all tiers, ms.
     pub work: f64,
-    /// When its caller stops waiting, over all tries.
+    /// Deadline over all tries.
     pub limit: f64,
     impatient: bool,
     heeds: bool,
@@ -31,7 +32,7 @@
     spread: f64,
 }
 
-/// All asks of a play, by time.
+/// Iterator over all asks of a play in order of time.
 pub struct Workload {
     scenario: Rc<Scenario>,
     rng: ChaCha8Rng,
@@ -75,7 +76,7 @@
     }
 }
 
-/// A Poisson process, thinned to the curve.
+/// A Poisson process, thinned to the rate curve.
 impl Iterator for Workload {
     type Item = Drawn;
 
@@ -95,14 +96,15 @@
 }
 
 impl Drawn {
-    /// When the caller of a try that is made now leaves without an answer; it hears what comes within the slack.
+    /// When the client of a try that starts now gives up without an answer; answers within the slack are still
+    /// received.
     pub fn leaves(&self, scenario: &Scenario, now: f64) -> f64 {
         let patience = if self.impatient { IMPATIENT_SHARE } else { 1.0 };
         now + (self.limit - now) * patience + scenario.rules.slack_ms
     }
 
-    /// When its next try is made after `tries` in vain, if ever: `harmless` if the last one was rejected, `wait` ms
-    /// what its caller was told.
+    /// When the client retries after `tries` unsuccessful tries, if at all: `harmless` if the last one was
+    /// rejected, `wait` is the retry-after advice, ms.
     pub fn next_try(
         &self,
         scenario: &Scenario,
--- a/crates/pearfront-emulator/src/workload/tests.rs
+++ b/crates/pearfront-emulator/src/workload/tests.rs
@@ -28,7 +28,7 @@
     assert_eq!(ask.next_try(&scenario, ask.at, 1, 0.0, false), None);
     let told = ask.next_try(&scenario, ask.at, 1, 700.0, true).unwrap();
     assert_eq!(told, ask.at + 700.0);
-    // Two further tries, then none; none that would come too late either.
+    // Two retries, then none; and none that would start too late.
     assert_eq!(ask.next_try(&scenario, ask.at, 3, 0.0, true), None);
     assert_eq!(ask.next_try(&scenario, ask.limit - 30.0, 1, 0.0, true), None);
 }
