--- a/crates/pearfront-emulator/benches/cold.rs
+++ b/crates/pearfront-emulator/benches/cold.rs
@@ -1,16 +1,17 @@
-//! What all nodes together send to cold servers: `rehearsals/cold-starts.toml` with 2 to 100 nodes, even and uneven
-//! traffic, one and many servers that start at once, small and large requests, reports of utilisation, of jobs held
-//! and of jobs held that are asked for before a draw, ten seeds each. `cargo bench -p pearfront-emulator --bench cold`; not part of the tests.
+//! Load that all nodes together send to cold servers: `rehearsals/cold-starts.toml` with 2 to 100 nodes, even and uneven
+//! traffic, one or many servers starting at once, small and large requests, reports of utilisation, of requests held, and
+//! of requests held probed before each choice, ten seeds each. Run by
+//! `cargo bench -p pearfront-emulator --bench cold`; not part of the tests.
 
 use pearfront_emulator::judge::{ColdLoad, cold_loads};
 use pearfront_emulator::model::{Options, play};
 use pearfront_emulator::scenario::{Scenario, Trouble};
 
 const FILE: &str = include_str!("../../../rehearsals/cold-starts.toml");
-/// A part of the nodes, one in so many, gets ten times the mean where traffic is uneven.
+/// With uneven traffic, one node in this many gets ten times the mean.
 const HOT: usize = 20;
 const TIMES: f64 = 10.0;
-/// No server falls in these plays: one that has fallen gets no more, and its sum would say nothing.
+/// No server fails in these plays: a failed server gets no more load, which would make its sum meaningless.
 const NEVER: f64 = 1e6;
 const SEEDS: u64 = 10;
 
@@ -32,7 +33,7 @@
     scenario
 }
 
-/// Weighted so that each of them gets ten times the mean, as far as there are nodes enough.
+/// Weighted so that each of them gets ten times the mean, if there are enough nodes.
 fn hot_nodes(nodes: usize, length_s: f64) -> Trouble {
     let hot = (nodes / HOT).max(1);
     let (all, some) = (nodes as f64, hot as f64);
--- a/crates/pearfront-emulator/benches/distribute.rs
+++ b/crates/pearfront-emulator/benches/distribute.rs
@@ -1,5 +1,6 @@
-//! What one change costs a distributor and a node: processor time and bytes by subscribers of the service, by its servers and
-//! by services called; one thread, links at once. `make bench-distribute`. One line a point, for slopes.
+//! Cost of one change for a distributor and a node: CPU time and bytes by the number of subscribers of the
+//! service, of its servers and of services called; one thread, links without delay. Run by `make
+//! bench-distribute`. Prints one line per point, for slopes.
 
 use pearfront_distribute::{
     Catalog, ChangeSet, Command, Distributor, DistributorAction, FromVoter, Peer, ProcessId, Subscriber,
@@ -7,7 +8,7 @@
 };
 use std::time::{Duration, Instant};
 
-/// Changes in each point, one server each, one after another acknowledged.
+/// Number of changes per point, one server each, acknowledged one after another.
 const CHANGES: u64 = 50;
 
 fn set(number: u64, services: &str) -> ChangeSet {
@@ -74,7 +75,7 @@
         world
     }
 
-    /// Carries what is to be sent until there is nothing more.
+    /// Delivers messages until there are none left.
     fn settle(&mut self, now: f64) {
         loop {
             let started = Instant::now();
--- a/crates/pearfront-emulator/benches/model.rs
+++ b/crates/pearfront-emulator/benches/model.rs
@@ -1,5 +1,5 @@
-//! What the model play costs with size: 100, 333 and 1,000 servers with a tenth of as many nodes, 60 s at 5 jobs a second
-//! for each server, on one core. `make bench-model`; not part of the tests.
+//! Cost of the model play by size: 100, 333 and 1,000 servers with a tenth as many nodes, 60 s at 5 requests
+//! per second per server, on one core. Run by `make bench-model`; not part of the tests.
 
 use pearfront_emulator::judge::judge;
 use pearfront_emulator::model::{Options, play};
@@ -55,7 +55,7 @@
 }
 
 fn main() {
-    // One size a process, or the peak of memory would be the largest one's.
+    // One process per size; otherwise the memory peak would be that of the largest size.
     if let Some(servers) = std::env::args().skip(1).find_map(|argument| argument.parse().ok()) {
         let scenario = scenario(servers);
         let started = Instant::now();
--- a/crates/pearfront-emulator/benches/node.rs
+++ b/crates/pearfront-emulator/benches/node.rs
@@ -1,7 +1,8 @@
-//! How much a node carries: jobs a second and CPU time a job through one node on one core, beside a straight relay
-//! (hyper in, hyper out, no decisions) and a direct call, in one run. `make bench-node`; not part of the tests.
+//! Throughput of a node: requests per second and CPU time per request through one node on one core, compared with a
+//! plain relay (hyper in, hyper out, no decisions) and a direct call, in one run. Run by `make bench-node`; not part of
+//! the tests.
 //!
-//! Server, callers and the one in the middle have a core each. Callers ask again as soon as they are answered.
+//! Server, clients and the process in the middle have one core each. Clients send again as soon as they are answered.
 
 use bytes::Bytes;
 use hdrhistogram::Histogram;
@@ -26,21 +27,22 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{LocalSet, spawn_local};
 
-/// Cores for the server, the one in the middle, and callers.
+/// Cores for the server, the process in the middle, and the clients.
 const SERVER_CORE: usize = 0;
 const MIDDLE_CORE: usize = 1;
 const CALLERS_CORE: usize = 2;
-/// How long each figure is taken over, after a warm-up.
+/// Measuring time of each figure, after a warm-up.
 const WARM_UP: Duration = Duration::from_secs(1);
 const MEASURE: Duration = Duration::from_secs(3);
-/// Servers that the node knows, all in one process: with few the module's window, some eight jobs a server, would bind.
+/// Number of servers that the node knows, all in one process: with few, the module's limit of about eight
+/// requests per server would limit the rate.
 const SERVERS: u8 = 32;
-/// Times the whole round of figures is taken; the middle one is told.
+/// Number of rounds of measurements; the median is reported.
 const ROUNDS: usize = 3;
-/// Nodes of the cluster beside which the node is measured once more; the others have the cores from this one on.
+/// Number of cluster nodes for the measurement within a cluster; the others run on the cores from this one on.
 const MEMBERS: u16 = 16;
 const MEMBERS_CORE: usize = 3;
-/// Set for a process that is to be the straight relay: where it listens and where it sends.
+/// Set for a process that acts as the plain relay: its listen address and its target.
 const RELAY: &str = "PEARFRONT_BENCH_RELAY";
 
 const SCENARIO: &str = r#"
@@ -152,7 +154,7 @@
     }
 }
 
-/// The round whose rate is in the middle.
+/// The round with the median rate.
 fn middle(mut rounds: Vec<Figures>) -> Figures {
     rounds.sort_by(|a, b| a.rate.total_cmp(&b.rate));
     rounds.swap_remove(rounds.len() / 2)
@@ -179,7 +181,7 @@
     }
 }
 
-/// The addresses of the servers: the first one's host and the next ones.
+/// Addresses of the servers: consecutive from the first one's.
 fn servers(first: SocketAddrV4) -> impl Iterator<Item = SocketAddrV4> {
     let [a, b, c, _] = first.ip().octets();
     (1..=SERVERS).map(move |host| SocketAddrV4::new(Ipv4Addr::new(a, b, c, host), first.port()))
@@ -206,7 +208,7 @@
     }
 }
 
-/// Calls are accepted and never answered: the node goes on with the list from its file.
+/// Accepts calls and never answers: the node continues with the list from its file.
 async fn no_discovery(at: SocketAddrV4) {
     let listener = TcpListener::bind(at).await.expect("a loopback address of our own");
     let mut open = Vec::new();
@@ -226,7 +228,7 @@
     std::env::temp_dir().join(format!("pearfront-bench-{}-{number}.json", std::process::id()))
 }
 
-/// One of the nodes that know of one another; the first is measured, and has the core of the one in the middle.
+/// One node of the cluster; the first one is measured and runs on the core of the process in the middle.
 fn start_member(
     program: &str,
     place: &impl Fn(u16) -> SocketAddrV4,
@@ -279,7 +281,7 @@
     process
 }
 
-/// Hyper in, hyper out: what a relay costs that decides nothing and keeps nothing but connections.
+/// A plain relay (hyper in, hyper out) that makes no decisions and only pools connections.
 fn run_relay(places: &str) {
     let (at, to) = places.split_once(' ').expect("two places");
     let (at, to): (SocketAddrV4, SocketAddrV4) = (at.parse().expect("a place"), to.parse().expect("a place"));
@@ -373,27 +375,27 @@
         let sent = Instant::now();
         stream.write_all(head.as_bytes()).await.expect("an open connection");
         let mut got = 0;
-        // All answers here are short and end with their two bytes.
+        // All answers here are short and end with a two-byte body.
         while !answer[..got].ends_with(b"\r\n\r\nok") {
             let more = stream.read(&mut answer[got..]).await.expect("an open connection");
             assert!(more > 0 && got + more < answer.len(), "{}", String::from_utf8_lossy(&answer[..got]));
             got += more;
         }
         if counts.get() {
-            // Nanoseconds, so that what a direct call takes can be told.
+            // Nanoseconds, as needed to resolve the duration of a direct call.
             latencies.borrow_mut().saturating_record(sent.elapsed().as_nanos() as u64);
         }
     }
 }
 
-/// Most memory, MB, that a process has had.
+/// Peak memory of a process, MB.
 fn memory_mb(process: u32) -> f64 {
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).expect("it runs");
     let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap_or("0");
     line.split_whitespace().next().and_then(|word| word.parse::<f64>().ok()).unwrap_or(0.0) / 1024.0
 }
 
-/// CPU time, s, that a process has used.
+/// CPU time used by a process, s.
 fn cpu(process: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{process}/stat")).expect("it runs");
     let after = stat.rsplit_once(") ").expect("a name in brackets").1;
--- a/crates/pearfront-emulator/benches/readiness.rs
+++ b/crates/pearfront-emulator/benches/readiness.rs
@@ -1,9 +1,9 @@
-//! How soon a process that was just started is ready, and has had its first job served: from the call that starts it to the
-//! first 200 of `/up` and of a job, by what discovery does, alone, thirty at once, behind a kill, and in a hand-over.
-//! `make bench-readiness`; not part of the tests.
+//! Start-up time of a node: from the call that starts the process to the first 200 of `/up` and of a request, by the
+//! behaviour of discovery, for a single process, thirty at once, after a kill, and in a hand-over.
+//! Run by `make bench-readiness`; not part of the tests.
 //!
-//! Thirty share six cores by their affinity: a fifth of a core each, while all are busy. Of a process in a hand-over
-//! `/_ready` is asked, as `/up` may be answered by the one before it.
+//! The thirty processes share six cores by affinity: a fifth of a core each while all are busy. A process in a
+//! hand-over is asked for `/_ready`, as `/up` may be answered by its predecessor.
 
 use pearfront_emulator::scenario::Scenario;
 use pearfront_emulator::{platform, sockets};
@@ -19,19 +19,19 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// Cores that the measured processes share, and how many are started at once there: a fifth of a core each.
+/// Cores that the measured processes share, and number of processes started at once: a fifth of a core each.
 const CORES: usize = 6;
 const CROWD: u16 = 30;
-/// Starts of one process by itself for each row.
+/// Number of single starts per row.
 const SINGLE: u16 = 5;
-/// Pause between two looks, and how long it is looked for.
+/// Poll interval, and time-out of the wait.
 const LOOK: Duration = Duration::from_millis(5);
 const PATIENCE: Duration = Duration::from_secs(30);
-/// What is asked for of nine in ten.
+/// Required time for nine of ten starts.
 const WANTED: Duration = Duration::from_secs(10);
-/// How long slow discovery takes for an answer.
+/// Answer time of slow discovery.
 const SLOW: Duration = Duration::from_secs(1);
-/// Connections that a killed process leaves in TIME_WAIT.
+/// Number of connections that a killed process leaves in TIME_WAIT.
 const LEFT: usize = 100;
 
 const SCENARIO: &str = r#"
@@ -65,9 +65,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Discovery {
     There,
-    /// Nobody listens at its address.
+    /// Nothing listens at its address.
     Down,
-    /// Connections come up, and nothing is ever said.
+    /// Connections are accepted, and nothing is ever sent.
     Silent,
     /// Each answer takes `SLOW`.
     Slow,
@@ -78,15 +78,15 @@
 const DISCOVERIES: [Discovery; 5] =
     [Discovery::There, Discovery::Down, Discovery::Silent, Discovery::Slow, Discovery::Refusing];
 
-/// How the process comes by its listener.
+/// How the process gets its listener.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Way {
     Alone,
-    /// At the address of one that was killed with connections in TIME_WAIT.
+    /// At the address of a process that was killed with connections in TIME_WAIT.
     BehindKill,
-    /// An inherited listener, nobody before it.
+    /// An inherited listener that no process serves.
     Inherited,
-    /// An inherited listener, and one that serves it already.
+    /// An inherited listener that another process serves already.
     HandOver,
 }
 
@@ -95,7 +95,7 @@
     SocketAddrV4::new(Ipv4Addr::new(127, 232 | own[2] & 7, own[3], 1), port)
 }
 
-/// Serves every connection at an address with one answer to each message, after a while.
+/// Serves every connection at an address with one answer per message, after a delay.
 fn answer_at(at: SocketAddrV4, after: Duration, answer: Option<&'static str>) {
     let listener = TcpListener::bind(at).expect("a loopback address of our own");
     spawn(move || {
@@ -119,7 +119,7 @@
     });
 }
 
-/// A message's head; no message here has a body that is read.
+/// Reads the head of a message; no body is read here.
 fn head(from: &mut impl BufRead) -> Option<String> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -138,7 +138,7 @@
 fn start_discovery(kind: Discovery) -> SocketAddrV4 {
     let at = place(23_100 + kind as u16);
     match kind {
-        // A watch is held for a moment: nothing changes.
+        // Holds a watch for a moment without changes.
         Discovery::There => answer_at(at, Duration::from_millis(50), Some(NOTHING_NEW)),
         Discovery::Slow => answer_at(at, SLOW, Some(NOTHING_NEW)),
         Discovery::Refusing => {
@@ -199,7 +199,7 @@
         discovery: SocketAddrV4,
         inherited: Option<&TcpListener>,
     ) -> Started {
-        // Two in a hand-over need an operators' address each.
+        // Both processes of a hand-over need an admin address of their own.
         let (address, admin) = (self.address(number), place(27_000 + 2 * number + u16::from(second)));
         let mut command = match inherited {
             None => Command::new(&self.program),
@@ -233,7 +233,7 @@
     }
 }
 
-/// The status of one call on a connection of its own; none if it had no answer.
+/// Status of a call on its own connection; none without an answer.
 fn call(at: SocketAddrV4, message: &str) -> Option<u16> {
     let mut stream = TcpStream::connect(at).ok()?;
     stream.set_read_timeout(Some(PATIENCE)).ok()?;
@@ -257,7 +257,7 @@
     table.lines().filter(|connection| connection.contains(&line) && connection.contains(" 06 ")).count()
 }
 
-/// How long after its start a process gave its first 200; none within `PATIENCE`.
+/// Time from the start of a process to its first 200; none within `PATIENCE`.
 fn first(begun: Instant, at: SocketAddrV4, message: impl Fn() -> String) -> Option<Duration> {
     while begun.elapsed() < PATIENCE {
         if call(at, &message()) == Some(200) {
@@ -276,7 +276,7 @@
     )
 }
 
-/// When it was ready, and when its first job was served.
+/// Times until it was ready and until its first request was served.
 type Times = (Option<Duration>, Option<Duration>);
 
 fn times(started: &Started, way: Way) -> Times {
@@ -289,14 +289,14 @@
     (ready, first(started.begun, started.address, job))
 }
 
-/// Starts one process in this way and waits for it.
+/// Starts one process in this way and waits until it is ready.
 fn play(stage: &Stage, way: Way, number: u16, discovery: SocketAddrV4, there: SocketAddrV4) -> Times {
     match way {
         Way::Alone => times(&stage.start(number, false, discovery, None), way),
         Way::BehindKill => {
             let before = stage.start(number, false, there, None);
             times(&before, Way::Alone);
-            // Answered with the end of the connection, which the process closes first.
+            // The answer ends with the connection, which the process closes first.
             for _ in 0..LEFT {
                 leave_behind(before.address);
             }
--- a/crates/pearfront-emulator/src/model/clients.rs
+++ b/crates/pearfront-emulator/src/model/clients.rs
@@ -1,4 +1,4 @@
-//! Callers of the model play: the front that deals their jobs out, answers, tries after the first.
+//! Clients of the model play: the front that distributes their requests over the nodes, answers, and retries.
 
 use super::nodes::{From, HeldRequest, NodeHost};
 use super::{Event, World};
@@ -8,7 +8,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// An ask under way.
+/// An ask in progress.
 pub struct AskState {
     place: usize,
     ask: Drawn,
@@ -18,7 +18,7 @@
 
 pub struct Front {
     asks: Workload,
-    /// Asks that are not over yet.
+    /// Number of asks that have not ended.
     pub open: usize,
 }
 
@@ -88,7 +88,7 @@
         self.event_queue.put(leaves, Event::ClientLeaves(request));
     }
 
-    /// The front sends to the nodes of the caller's zone that it knows to be up, else to any.
+    /// The front sends to nodes of the client's zone that it considers up, otherwise to any that is up.
     fn deal(&mut self, zone: usize) -> Option<Rc<NodeHost>> {
         let at = |home: bool| {
             let fits = |node_host: &&Rc<NodeHost>| {
@@ -107,7 +107,7 @@
         Some(node_hosts[place].clone())
     }
 
-    /// An answer has come to whoever waits for it.
+    /// Delivers an answer to the client or server that waits for it.
     pub fn answered(&mut self, request: &Rc<HeldRequest>, answer: Answer, body: u64, wait: f64) {
         let left = self.records.requests[request.record].left.is_some();
         if !left {
@@ -135,7 +135,7 @@
         }
     }
 
-    /// The node is gone, and the job's connection with it.
+    /// The node ended, which resets the request's connection.
     pub fn cut(&mut self, request: &Rc<HeldRequest>) {
         self.records.requests[request.record].cut = true;
         if request.over.replace(true) {
@@ -143,7 +143,7 @@
         }
         match &request.from {
             From::Caller(ask) => self.failed(&ask.clone()),
-            // It ends with its server; nobody waits.
+            // A server's node ends together with the server, so nobody waits.
             From::Server(_) => {}
         }
     }
@@ -167,7 +167,7 @@
         self.again(ask, 0.0, false);
     }
 
-    /// A try was in vain; the next one follows where the caller may and wants to.
+    /// A try did not succeed: schedules the next one if the client may retry and does.
     fn again(&mut self, ask: &Rc<AskState>, wait: f64, harmless: bool) {
         match ask.ask.next_try(&self.scenario, self.now, ask.tries.get(), wait, harmless) {
             Some(at) => self.event_queue.put(at, Event::Try(ask.clone())),
--- a/crates/pearfront-emulator/src/model/directory.rs
+++ b/crates/pearfront-emulator/src/model/directory.rs
@@ -1,4 +1,4 @@
-//! Discovery in the model play: the list as it was published, calls that are worked through in turn, and who watches.
+//! Discovery in the model play: the published list, calls that are processed sequentially, and watching nodes.
 
 use super::hosts::{Fleet, Host};
 use super::nodes::Node;
@@ -16,7 +16,7 @@
     published: BTreeMap<String, Line>,
     pub watchers: Vec<Rc<Node>>,
     busy_until: f64,
-    /// Troubles that keep it down or old, and what waits until they are over.
+    /// Number of active troubles that keep it down or stale, and updates held back until they end.
     pub down: u32,
     pub old: u32,
     held_back: VecDeque<Line>,
@@ -35,12 +35,12 @@
         }
     }
 
-    /// The list of a tier as it was published.
+    /// The published list of a tier.
     pub fn lines(&self, tier: usize) -> Vec<Line> {
         self.published.values().filter(|line| line.tier == tier).cloned().collect()
     }
 
-    /// When a call that comes now is answered; nothing if it waits too long.
+    /// When a call that arrives now is answered; none if it would time out.
     fn turn(&mut self, now: f64, lines: f64, timeout: f64) -> Option<f64> {
         let begins = now.max(self.busy_until);
         if begins - now > timeout {
@@ -66,7 +66,7 @@
 }
 
 impl World {
-    /// Something about a server has changed; discovery notices after a while.
+    /// A server's state has changed; discovery publishes it after a delay.
     pub fn announce(&mut self, host: &Host, standing: ServerState, after: f64) {
         let (soonest, latest) = self.scenario.discovery.late_ms;
         let late = soonest + (latest - soonest) * self.net.random::<f64>();
@@ -78,7 +78,7 @@
             return self.directory.held_back.push_back(line);
         }
         let known = self.directory.published.get(&line.id);
-        // A line of an earlier life may be overtaken by one of a later.
+        // A line of an earlier life may arrive after one of a later life.
         if known.is_some_and(|known| known.life > line.life) {
             return;
         }
@@ -95,14 +95,14 @@
         }
     }
 
-    /// What was held back while the list was old is published.
+    /// Publishes the updates that were held back while the list was stale.
     pub fn catch_up_list(&mut self) {
         while let Some(line) = self.directory.held_back.pop_front() {
             self.publish(line);
         }
     }
 
-    /// A node asks for the list and its changes.
+    /// A node requests the list and its changes.
     pub fn watch(&mut self, node: &Rc<Node>) {
         let hop = self.hop(node.zone, node.zone);
         let discovery = &self.scenario.discovery;
@@ -126,7 +126,7 @@
         self.list_received(node, lines, true, false);
     }
 
-    /// Discovery is down: watches end.
+    /// Discovery is down: all watches end.
     pub fn end_watches(&mut self) {
         if self.scenario.discovery.pushed {
             return;
--- a/crates/pearfront-emulator/src/model/hosts.rs
+++ b/crates/pearfront-emulator/src/model/hosts.rs
@@ -1,4 +1,5 @@
-//! Machines of the model play: servers at their addresses, what troubles do to them, and the attempts that reach them.
+//! Machines of the model play: servers at their addresses, the effect of troubles on them, and the attempts
+//! that reach them.
 
 use super::nodes::{Flight, Node};
 use super::{Event, SIDECAR_DELAY_MS, World};
@@ -15,7 +16,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// An attempt as its server's ticket: the same one, not an equal one.
+/// An attempt as the ticket given to its server; compared by identity.
 #[derive(Clone)]
 pub struct Ticket(pub Rc<Flight>);
 
@@ -31,16 +32,16 @@
     pub zone: u16,
     pub cell: u16,
     pub kind: usize,
-    /// What the list calls it; a new one with each replacement.
+    /// Instance id in the server list; new with each replacement.
     pub id: RefCell<String>,
     pub state: Cell<State>,
     pub draining: Cell<bool>,
-    /// Place of its present life in the records, and a number that rises with each start.
+    /// Index of its current life in the records, and a counter of starts.
     pub life: Cell<usize>,
     pub starts: Cell<u64>,
     pub started: Cell<f64>,
     pub server: RefCell<Server<Ticket>>,
-    /// The node beside it that its calls go through.
+    /// Its own node, through which its calls go.
     pub node: RefCell<Option<Rc<Node>>>,
     pub flights: RefCell<Vec<Rc<Flight>>>,
     pub active_troubles: ActiveTroubles,
@@ -48,7 +49,7 @@
 }
 
 impl Host {
-    /// A machine of the given tier, zone, cell and kind, long warm.
+    /// A warm machine of the given tier, zone, cell and kind.
     pub fn new(
         scenario: &Scenario,
         address: Address,
@@ -78,7 +79,7 @@
         })
     }
 
-    /// One that takes its place, not up yet.
+    /// A replacement for this host that is not up yet.
     pub fn twin(&self, scenario: &Scenario, address: Address) -> Rc<Self> {
         let place = (self.tier, self.zone, self.cell, self.kind);
         let twin = Self::new(scenario, address, place, format!("{}+", self.id.borrow()), State::Down);
@@ -91,14 +92,14 @@
     }
 }
 
-/// Share of its answers that a server must give right and whole for `sees-all` to use it freely.
+/// Share of complete and correct answers above which `sees-all` uses a server without restriction.
 const SOUND: f64 = 0.95;
 
 #[derive(Default)]
 pub struct Fleet {
     pub hosts: RefCell<Vec<Rc<Host>>>,
     pub at: RefCell<BTreeMap<Address, Rc<Host>>>,
-    /// What each group of servers knows of keys.
+    /// Deduplication state of each group of servers.
     pub repeats: RefCell<DedupGroups>,
     now: Cell<f64>,
     pub addressed: Cell<u32>,
@@ -116,7 +117,7 @@
         [10, a, b, c, 0x1f, 0x90]
     }
 
-    /// Everything in the fleet knows this time, so that the true state is that of now.
+    /// Current time, shared within the fleet so that the true state is always current.
     pub fn tick(&self, now: f64) {
         self.now.set(now);
     }
@@ -131,7 +132,7 @@
             * host.active_troubles.unaffected_share(What::LostAnswers)
             > SOUND;
         let up = host.is_up() && !host.draining.get() && capacity > 0.0;
-        // Attempts on their way weigh as much as those that have come.
+        // Attempts in flight count the same as those that have arrived.
         let coming = host.flights.borrow().iter().filter(|flight| flight.attempt.get().is_none()).count();
         let each = if server.held() > 0 { server.work_left() / server.held() as f64 } else { 0.0 };
         let held = (server.held() + coming) as f64;
@@ -188,7 +189,7 @@
         self.next_pause(host);
     }
 
-    /// Has the server work on until now, and carries out what happened meanwhile.
+    /// Advances the server to now and processes the events up to then.
     pub fn catch_up(&mut self, host: &Rc<Host>) {
         self.fleet.tick(self.now);
         let events = host.server.borrow_mut().advance(self.now);
@@ -204,7 +205,7 @@
         }
     }
 
-    /// Looks at the server again when its next thing is due.
+    /// Schedules an event for when the server's next event is due.
     pub fn watch_host(&mut self, host: &Rc<Host>) {
         host.version.set(host.version.get() + 1);
         let due = host.server.borrow().due();
@@ -263,7 +264,7 @@
         self.watch_host(&host);
     }
 
-    /// Asks the memory of keys that this attempt falls under; false for jobs without one.
+    /// Queries the deduplication state that applies to this attempt; false for requests without a key.
     fn repeats(
         &self,
         host: &Host,
@@ -286,7 +287,8 @@
         self.server_ends(host, flight, AttemptEnd::Served, AttemptOutcome::Served);
     }
 
-    /// The server is done with an attempt: books it and answers, unless nobody listens or the answer is lost.
+    /// The server has finished an attempt: records it and answers, unless the client left or the answer is
+    /// lost.
     fn server_ends(&mut self, host: &Rc<Host>, flight: &Rc<Flight>, end: AttemptEnd, ending: AttemptOutcome) {
         host.flights.borrow_mut().retain(|other| !Rc::ptr_eq(other, flight));
         if let Some(attempt) = flight.attempt.get() {
@@ -312,7 +314,7 @@
         }
     }
 
-    /// The call that a job was waiting for is over.
+    /// The call that a request was waiting for has ended.
     pub fn call_ended(&mut self, host: &Rc<Host>, flight: &Rc<Flight>, good: bool) {
         if flight.starts != host.starts.get() || !host.is_up() {
             return;
@@ -342,7 +344,7 @@
         self.watch_host(&host);
     }
 
-    /// The process is gone, and all that it held; its connections are reset.
+    /// The process ended with all requests it held; its connections are reset.
     pub fn lose_all(&mut self, host: &Rc<Host>, ending: AttemptOutcome) {
         for flight in host.flights.take() {
             if let Some(attempt) =
--- a/crates/pearfront-emulator/src/model/mod.rs
+++ b/crates/pearfront-emulator/src/model/mod.rs
@@ -1,5 +1,5 @@
-//! The model play: a scenario in simulated time round the decision module itself. One seed gives one result, byte for
-//! byte. `play` builds a world, runs it to its end and hands out the records.
+//! The model play: runs a scenario in simulated time around the actual decision module. The same seed gives the
+//! same result, byte for byte. `play` builds the world, runs it to the end and returns the records.
 
 mod clients;
 mod directory;
@@ -23,9 +23,9 @@
 use rand_chacha::ChaCha8Rng;
 use std::rc::Rc;
 
-/// How long, ms, a play runs on after its last arrival at the most: everything has an answer by then.
+/// Longest time, ms, that a play continues after the last arrival; every request has an answer by then.
 const RUN_OUT_MS: f64 = 60_000.0;
-/// One-way delay, ms, between a server and the node beside it.
+/// One-way delay, ms, between a server and its own node.
 const SIDECAR_DELAY_MS: f64 = 0.05;
 
 #[derive(Debug, Clone, Copy)]
@@ -48,7 +48,7 @@
     Round(Rc<Node>),
     AttemptArrives(Rc<Flight>),
     AttemptTimesOut(Rc<Flight>),
-    /// Told to its node, which may know better by now.
+    /// Reported to its node, which may have ended the attempt already.
     AttemptEnds(Rc<Flight>, AttemptOutcome, u64),
     CallOffArrives(Rc<Flight>),
     HostDue(Rc<Host>, u64),
@@ -80,21 +80,22 @@
     records: Records,
     fleet: Rc<Fleet>,
     node_hosts: Vec<Rc<NodeHost>>,
-    /// Settings of the nodes of each tier and zone.
+    /// Settings of the nodes, by tier and zone.
     settings: Vec<Vec<Settings>>,
     directory: Directory,
     front: Front,
-    /// Chance of the network, of servers and of the script; callers have their own, so that all policies meet the same.
+    /// Random streams of the network, the servers and the script; clients have a separate stream, so that all
+    /// policies get the same workload.
     net: ChaCha8Rng,
     troubles: ChaCha8Rng,
     service: ChaCha8Rng,
     node_salt: ChaCha8Rng,
-    /// Body that a driver with swapped answers hands to the next job.
+    /// Body that a driver with the fault `SwapsAnswers` returns for the next request.
     last_body: u64,
     swaps: u64,
 }
 
-/// Plays the scenario; `progress` hears now and then what share of it is done.
+/// Plays the scenario; `progress` is called from time to time with the share that is done.
 pub fn play(scenario: &Scenario, options: Options, progress: &mut dyn FnMut(f64)) -> Records {
     let mut world = World::new(scenario, options);
     world.begin();
--- a/crates/pearfront-emulator/src/model/nodes.rs
+++ b/crates/pearfront-emulator/src/model/nodes.rs
@@ -1,5 +1,5 @@
-//! Nodes of the model play: what stands between callers, the one who decides, and servers. Messages, connections and
-//! timers are simulated; every decision is the decider's.
+//! Nodes of the model play. They simulate messages, connections and timers between clients and servers; every
+//! decision is made by the `Decider`.
 
 use super::hosts::Host;
 use super::{Event, World};
@@ -13,33 +13,33 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Share of the stated idle time for which a node keeps a connection.
+/// Share of the stated idle time-out for which a node keeps a connection.
 const KEPT: f64 = 0.8;
-/// Time, ms, a probe may take.
+/// Time-out of a probe, ms.
 const PROBE_TIME: f64 = 250.0;
-/// Time, ms, between two looks through a node's idle connections.
+/// Interval, ms, at which a node closes expired idle connections.
 const SWEEP: f64 = 5000.0;
-/// Of jobs of a driver that loses some: one in so many.
+/// A driver with the fault `LosesRequests` loses one request in this many.
 const LOSES_ONE_IN: u64 = 50;
 
-/// Where a node of the first tier runs; it outlives the node.
+/// A place where nodes of the first tier run, one life after another.
 pub struct NodeHost {
     pub name: String,
     pub zone: u16,
     pub node: RefCell<Option<Rc<Node>>>,
-    /// Its share of the traffic beside the others'.
+    /// Weight of its share of the traffic.
     pub weight: Cell<f64>,
-    /// Whether the front sends there.
+    /// Whether the front sends requests to it.
     pub dealt: Cell<bool>,
     pub starts: Cell<u64>,
-    /// The list as its last node had it.
+    /// The server list as the previous node knew it.
     pub known: RefCell<Vec<Line>>,
 }
 
 pub struct Node {
     pub tier: usize,
     pub zone: u16,
-    /// Place of its life in the records.
+    /// Index of its life in the records.
     pub life: usize,
     pub started: f64,
     pub alive: Cell<bool>,
@@ -47,22 +47,22 @@
     inbox: RefCell<Vec<Input>>,
     last_round: Cell<f64>,
     round_at: Cell<f64>,
-    /// When the module wants to be woken, which rounds that come before do not change.
+    /// When the decision module asked to be woken; earlier rounds do not change it.
     wake_at: Cell<f64>,
     pub requests: RefCell<BTreeMap<u32, Rc<HeldRequest>>>,
     numbered: Cell<u32>,
     pub watching: Cell<bool>,
     pub known: RefCell<BTreeMap<Address, Line>>,
-    /// Idle connections to each server: when each was used last.
+    /// Idle connections to each server, with the time of last use.
     idle: RefCell<BTreeMap<Address, Vec<(f64, u64)>>>,
-    /// Probes that were answered, by when they were sent: their failure is still on the agenda.
+    /// Answered probes, with the time at which they were sent; their time-outs are still in the event queue.
     answered_probes: RefCell<Vec<(Address, f64)>>,
 }
 
-/// Who waits for a job's answer.
+/// Who waits for the answer to a request.
 pub enum From {
     Caller(Rc<super::clients::AskState>),
-    /// An attempt that its server makes this call for.
+    /// The attempt for which its server makes this call.
     Server(Rc<Flight>),
 }
 
@@ -76,30 +76,30 @@
     pub profile: usize,
     pub customer: usize,
     pub limit: f64,
-    /// Own work of this tier, ms, and of the whole ask over all tiers.
+    /// Work of this tier, ms, and of the whole ask over all tiers.
     pub work: f64,
     pub whole_work: f64,
-    /// How many jobs of this tier one ask makes.
+    /// Number of requests of this tier that one ask causes.
     pub fan: f64,
     pub from: From,
     pub attempts: RefCell<Vec<Rc<Flight>>>,
     pub answered: Cell<bool>,
-    /// Its caller has what it will get.
+    /// The final answer was sent.
     pub over: Cell<bool>,
 }
 
-/// An attempt on its way.
+/// An attempt in flight.
 pub struct Flight {
     pub request: Rc<HeldRequest>,
     pub number: usize,
     pub host: Rc<Host>,
-    /// The start of the host that it was sent to.
+    /// Start number of the host that it was sent to.
     pub starts: u64,
     pub sent: f64,
     pub new_connection: bool,
-    /// Its place in the records once it has come.
+    /// Its index in the records once it has arrived.
     pub attempt: Cell<Option<usize>>,
-    /// Its node knows how it ended.
+    /// The node knows its outcome.
     pub ended: Cell<bool>,
 }
 
@@ -140,7 +140,7 @@
         );
     }
 
-    /// The node beside a server, for the next tier; it starts and ends with its server.
+    /// Starts a server's own node, which sends to the next tier; it starts and ends with the server.
     pub fn start_node_beside(&mut self, host: &Rc<Host>) {
         let known = self.directory.lines(host.tier + 1);
         let node = self.new_node(format!("by-{}", host.id.borrow()), host.tier + 1, host.zone, known);
@@ -153,7 +153,7 @@
         let (policy, fault) = (self.options.policy, self.options.fault);
         let decider: Box<dyn Decider> = match policy {
             Policy::Module => Box::new(Module::new(settings, salt)),
-            // A driver with a fault has it where callers come in; behind it all is well.
+            // An injected fault affects only nodes of the first tier; nodes behind them work correctly.
             _ => {
                 let fault = fault.filter(|_| tier == 0);
                 Box::new(Plain::new(policy, fault, settings, salt, self.fleet.clone()))
@@ -185,7 +185,7 @@
         node
     }
 
-    /// Puts a word into the node's inbox and sees that a round comes.
+    /// Puts an input into the node's inbox and schedules a round.
     pub fn queue_input(&mut self, node: &Rc<Node>, input: Input) {
         node.inbox.borrow_mut().push(input);
         let at = self.now.max(node.last_round.get() + self.scenario.nodes.round_ms);
@@ -249,7 +249,7 @@
         }
     }
 
-    /// A job has come in whole.
+    /// A request was received completely.
     pub fn take(&mut self, node: &Rc<Node>, request: &Rc<HeldRequest>) {
         if !node.alive.get() {
             return self.cut(request);
@@ -263,7 +263,7 @@
         self.queue_input(node, Input::Request { id: number, profile, customer, limit });
     }
 
-    /// A call to the next tier, made by a server for an attempt that it works on.
+    /// A call to the next tier that a server makes for an attempt in progress.
     pub fn new_call(&mut self, node: &Rc<Node>, flight: &Rc<Flight>) -> Rc<HeldRequest> {
         let (above, scenario) = (&flight.request, self.scenario.clone());
         let fan = above.fan * f64::from(scenario.tiers[node.tier - 1].calls);
@@ -340,7 +340,8 @@
                 return;
             }
             if closed || !host.is_up() {
-                // The server ended it unannounced: that shows once the job has been written.
+                // The server closed the connection without notice; this shows once the request has been
+                // written.
                 return self.event_queue.put(self.now + there + back, ends(AttemptOutcome::ConnectionLost));
             }
             host.flights.borrow_mut().push(flight.clone());
@@ -360,7 +361,7 @@
         }
     }
 
-    /// An attempt at an address that nobody ever had.
+    /// An attempt at an address that no server ever had.
     fn lone_end(&mut self, node: &Rc<Node>, request: &Rc<HeldRequest>) {
         let attempt = request.attempts.borrow().len();
         let input = Input::AttemptEnded {
@@ -373,7 +374,7 @@
         self.queue_input(node, input);
     }
 
-    /// The idle connection that was used last, and which start of the server it is to.
+    /// Takes the most recently used idle connection, with the start number of the server it leads to.
     fn kept_connection(&self, node: &Node, host: &Host) -> Option<(f64, u64)> {
         let mut idle = node.idle.borrow_mut();
         let kept = idle.get_mut(&host.address)?.pop()?;
@@ -394,7 +395,7 @@
             let most = (KEPT * self.scenario.nodes.idle_s * 1000.0)
                 .min(host.active_troubles.idle(self.scenario.tiers[host.tier].server.idle_s));
             let before = kept.len();
-            // What the server has closed by now is found out by its next use, as on sockets.
+            // A connection that the server has closed meanwhile is detected at its next use, as on sockets.
             kept.retain(|(used, _)| self.now - used < KEPT * self.scenario.nodes.idle_s * 1000.0);
             let closed = kept.iter().filter(|(used, _)| self.now - used >= most).count();
             for _ in 0..(before - kept.len()).saturating_sub(closed) {
@@ -406,12 +407,13 @@
 
     pub fn attempt_times_out(&mut self, flight: &Rc<Flight>) {
         if !flight.ended.get() {
-            // Never written where the connection has not come up: then it was told as unconnected before.
+            // Not written if the connection was never established: the attempt was reported as unconnected
+            // before.
             self.attempt_over(flight, AttemptOutcome::TimedOut, true);
         }
     }
 
-    /// What the server or the network had to say of an attempt has come to its node.
+    /// The outcome of an attempt has reached its node.
     pub fn attempt_ends(&mut self, flight: &Rc<Flight>, ending: AttemptOutcome, body: u64) {
         if flight.ended.get() || !flight.request.node.alive.get() {
             return;
@@ -427,7 +429,7 @@
         self.attempt_over(flight, ending, false);
     }
 
-    /// An attempt is over for its node; `gives_up` closes its connection, so that the server hears of it.
+    /// Ends an attempt at its node; `gives_up` closes the connection, which notifies the server.
     fn attempt_over(&mut self, flight: &Rc<Flight>, ending: AttemptOutcome, gives_up: bool) {
         flight.ended.set(true);
         let (request, host) = (&flight.request, &flight.host);
@@ -447,7 +449,7 @@
         self.forget(request);
     }
 
-    /// A final answer leaves the node; later ones are dropped.
+    /// Sends the final answer of a request; later ones are dropped.
     fn give(&mut self, request: &Rc<HeldRequest>, answer: Answer, body: u64, wait: f64) {
         let again = self.options.fault == Some(Fault::AnswersTwice) && request.node.tier == 0;
         if request.answered.replace(true) && !again {
@@ -500,7 +502,7 @@
         report: Vec<f64>,
         sent: f64,
     ) {
-        // Each probe has its failure on the agenda; it counts only if no answer came before.
+        // The time-out of every probe is in the event queue; it counts only if no answer came before.
         if !node.alive.get() || !good && node.answered_probe(server, sent) {
             return;
         }
@@ -510,7 +512,7 @@
         self.queue_input(node, Input::ProbeAnswered { server, good, report, took: self.now - sent });
     }
 
-    /// Lines of the list have come to a node.
+    /// A node received lines of the server list.
     pub fn list_received(&mut self, node: &Rc<Node>, lines: Vec<Line>, whole: bool, cached: bool) {
         if !node.alive.get() {
             return;
@@ -518,7 +520,7 @@
         let mut known = node.known.borrow_mut();
         let mut out: Vec<ListedServer> = Vec::new();
         if whole {
-            // Who the whole list lacks is gone, as far as this node is told.
+            // Servers that are missing from a whole list count as gone for this node.
             let listed: BTreeSet<usize> = lines.iter().map(|line| line.life).collect();
             let gone = known.values().filter(|old| !listed.contains(&old.life));
             let gone: Vec<usize> = gone.map(|line| line.life).collect();
@@ -545,7 +547,7 @@
             }
             let listing = line.listing(node.started);
             if newcomer {
-                // Whoever comes to another's address is told of after that one has gone.
+                // A server at a reused address is reported after the previous one has gone.
                 out.push(ListedServer { state: ServerState::Gone, ..listing });
             }
             if line.standing == ServerState::Gone {
@@ -559,7 +561,7 @@
         self.queue_input(node, Input::Listed { whole, cached, lines: out });
     }
 
-    /// A node's process ends; callers' connections are reset, and servers see theirs close.
+    /// Ends a node's process: clients' connections are reset, and servers see theirs close.
     pub fn stop_node(&mut self, node: &Rc<Node>, how: NodeEnd) {
         if !node.alive.replace(false) {
             return;
@@ -591,7 +593,7 @@
         self.take_down(node_host, NodeEnd::Terminated);
     }
 
-    /// Ends the node at a seat, if there is one.
+    /// Ends the node at a node host, if there is one.
     pub fn take_down(&mut self, node_host: &Rc<NodeHost>, how: NodeEnd) {
         let Some(node) = node_host.node.take() else { return };
         *node_host.known.borrow_mut() = node.known.borrow().values().cloned().collect();
--- a/crates/pearfront-emulator/src/model/script.rs
+++ b/crates/pearfront-emulator/src/model/script.rs
@@ -1,4 +1,4 @@
-//! The script of troubles in the model play: who is struck, and what begins and ends when.
+//! The script of troubles in the model play: selects the targets, and begins and ends each trouble.
 
 use super::hosts::Host;
 use super::nodes::NodeHost;
@@ -12,9 +12,9 @@
 use rand::seq::SliceRandom;
 use std::rc::Rc;
 
-/// How long, ms, callers still come to a node after SIGTERM.
+/// How long, ms, clients still send to a node after SIGTERM.
 const COMES_ON: f64 = 300.0;
-/// Longest, ms, that a node may take to end after SIGTERM.
+/// Longest time, ms, that a node may take to end after SIGTERM.
 const END_MOST: f64 = 3400.0;
 
 impl World {
@@ -56,7 +56,7 @@
         self.note(format!("{:?} is over", trouble.what));
     }
 
-    /// Who is struck: of the servers that fit, as many as the script says, by chance.
+    /// Targets of a trouble: a random choice of as many matching servers as the script states.
     fn targets(&mut self, trouble: &Trouble) -> Vec<Rc<Host>> {
         let tier = trouble.tier.as_ref().and_then(|name| self.scenario.tier(name));
         let zone = self.scenario.zone_of(trouble);
@@ -126,7 +126,7 @@
         }
     }
 
-    /// A machine that was silent starts anew, cold.
+    /// An unresponsive machine starts again, cold.
     fn come_back(&mut self, host: &Rc<Host>, new_id: bool) {
         if host.state.get() != State::Silent {
             return;
@@ -140,10 +140,10 @@
         self.start_host(host);
     }
 
-    /// A process starts at the host's address: cold, with nothing known of it.
+    /// Starts a new process at the host's address, cold and without any state.
     pub fn start_host(&mut self, host: &Rc<Host>) {
         let scenario = self.scenario.clone();
-        // One that was silent has its pauses drawn already.
+        // A host that was unresponsive has its pauses scheduled already.
         if host.state.get() != State::Silent {
             self.next_pause(host);
         }
@@ -184,7 +184,7 @@
         self.announce(host, ServerState::Gone, 0.0);
     }
 
-    /// A rolling release: some at a time drain, end, and are replaced at new addresses.
+    /// A rolling release: batches of servers drain, end, and are replaced at new addresses.
     fn release(&mut self, trouble: &Trouble, hosts: &[Rc<Host>]) {
         let at_once = trouble.by().max(1.0) as usize;
         for (step, hosts) in hosts.chunks(at_once).enumerate() {
@@ -196,7 +196,7 @@
         }
     }
 
-    /// A machine that is not up yet, to take another's place.
+    /// A machine that is not up yet, to replace another one.
     fn replacement(&self, host: &Host) -> Rc<Host> {
         let new = host.twin(&self.scenario, self.fleet.fresh_address());
         self.fleet.at.borrow_mut().insert(new.address, new.clone());
@@ -227,7 +227,7 @@
                 }
                 What::RestartNodes => self.terminate(&node_host, trouble.for_s * 1000.0),
                 What::HotNode => node_host.weight.set(node_host.weight.get() * trouble.by()),
-                // Settings are the same: in simulated time nothing is to be seen of it.
+                // The settings are unchanged, so a reload has no effect in simulated time.
                 _ => {}
             }
         }
--- a/crates/pearfront-emulator/src/report.rs
+++ b/crates/pearfront-emulator/src/report.rs
@@ -1,5 +1,5 @@
 //! Reports of a play: `result.json`, a table by second and an HTML page with plots; and the comparison of two
-//! sets of results. Only generates text; the callers of this module write the files.
+//! sets of results. Only generates text; the clients of this module write the files.
 
 use crate::judge::{Second, Verdict};
 use plotters::prelude::*;
--- a/crates/pearfront-emulator/src/server/tests.rs
+++ b/crates/pearfront-emulator/src/server/tests.rs
@@ -83,7 +83,7 @@
     for ticket in 0..100 {
         came.push(server.arrive(ticket, work(100.0)));
     }
-    // 4 x 0.3 of a core for 2 s are 2400 ms of work, whether it was taken or turned away.
+    // 4 x 0.3 of a core for 2 s are 2400 ms of work, whether accepted or turned away.
     assert_eq!(came.iter().position(|came| *came == Arrival::Fell), Some(24));
     assert_eq!((server.held(), server.due(), server.connect()), (0, f64::INFINITY, false));
 }
@@ -105,7 +105,7 @@
     assert!(!server.is_crowded());
     server.arrive(3, work(90.0));
     assert!(server.is_crowded());
-    // Three end at 4 x 30 / 0.25; the last one, alone, goes on at full speed.
+    // Three end at 4 x 30 / 0.25; the last one, alone, continues at full speed.
     let ends = play(&mut server);
     assert_eq!((ends[2].0, ends[3].0), (480.0, 540.0));
     assert!(!server.is_crowded());
--- a/crates/pearfront-emulator/src/sockets/clients.rs
+++ b/crates/pearfront-emulator/src/sockets/clients.rs
@@ -1,5 +1,5 @@
-//! The callers' side of a play on sockets: the nodes of the first tier, the front that deals jobs out among them, and
-//! one task for each ask.
+//! The client side of a play on sockets: the nodes of the first tier, the front that distributes requests over
+//! them, and one task per ask.
 
 use super::http_client::{Asked, Client, Heard};
 use super::processes::{Process, Signal, says_up};
@@ -24,12 +24,13 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until};
 
-/// How long callers still come to a node after SIGTERM.
+/// How long clients still send to a node after SIGTERM.
 const COMES_ON: Duration = Duration::from_millis(300);
-/// When a node that was told to end is killed, after its jobs' longest limit (3 s at most).
+/// Margin after the longest deadline of its requests (3 s at most) after which a node that got SIGTERM is
+/// killed.
 const KILLED_AFTER: Duration = Duration::from_millis(700);
 const LIMIT_MOST: f64 = 3000.0;
-/// Time between two looks whether a node is up again.
+/// Poll interval while waiting for a node to be up again.
 const LOOK: Duration = Duration::from_millis(50);
 
 struct NodeHost {
@@ -54,7 +55,8 @@
     late: RefCell<Histogram<u64>>,
     rng: RefCell<ChaCha8Rng>,
     open: Cell<usize>,
-    /// Troubles that still act on nodes here: one told to end is started again only when it has.
+    /// Number of troubles still acting on nodes; a node that got SIGTERM is started again only after it has
+    /// ended.
     striking: Cell<usize>,
     over: Notify,
     traces: Cell<u64>,
@@ -115,7 +117,7 @@
         self.clock.get().map_or(f64::NEG_INFINITY, |clock| clock.now())
     }
 
-    /// A node's file knows the fleet as it was at the start of the play, however often it is started.
+    /// A node's configuration file lists the fleet as at the start of the play, also on later starts.
     fn start_node(&self, node_host: &NodeHost) -> Result<(), String> {
         let scenario = &self.scenario;
         let settings = platform::settings(scenario, 0, node_host.zone, scenario.nodes.count);
@@ -136,7 +138,7 @@
         let from = self.now();
         records.nodes.push(NodeLife { name, tier: 0, from, ended: None });
         let node = node_host.life.get();
-        // Lives of servers are numbered in the order in which they were first started.
+        // Server lives are numbered in the order in which they were first started.
         for line in &lines {
             let (server, standing) = (line.life, ServerState::Ready);
             records.list_updates.push(crate::record::ListUpdate { node, server, standing, at: from });
@@ -160,7 +162,8 @@
         machines.map(line).collect()
     }
 
-    /// Plays all asks, or those until `shown` hears that the rest isn't needed, and waits until each is over.
+    /// Plays all asks, or only those until `shown` signals that the rest is not needed, and waits until each
+    /// has ended.
     pub async fn play(
         self: Rc<Self>,
         clock: Clock,
@@ -223,7 +226,7 @@
         self.over.notify_one();
     }
 
-    /// One try; nothing if its caller left.
+    /// Makes one try; returns none if its client left.
     async fn try_once(&self, ask: &Drawn, place: usize) -> Option<Heard> {
         let clock = self.clock.get()?;
         let Some(node_host) = self.deal(ask.zone) else { return Some(Heard::Refused) };
@@ -268,14 +271,16 @@
             match heard {
                 Ok(Heard::Answer { answer, body, .. }) => request.answers.push(Answered { at, answer, body }),
                 Ok(Heard::Cut) => request.cut = true,
-                // Written to a kept connection just as that was closed, and then to nobody: it was never taken.
+                // Written to a reused connection just as it was closed, and then refused on a new one: the
+                // request was never accepted.
                 Ok(Heard::Refused) | Err(_) => request.left = Some(at),
             }
         }
         heard.ok()
     }
 
-    /// The nodes of the caller's zone that the front knows to be up, else any.
+    /// Chooses among the nodes of the client's zone that the front considers up, otherwise among all that are
+    /// up.
     fn deal(&self, zone: usize) -> Option<Rc<NodeHost>> {
         let node_hosts = self.node_hosts.borrow();
         let at = |home: bool| {
@@ -348,7 +353,7 @@
                 sleep(lasts).await;
                 self.start_again(&node_host).await;
             }
-            // Killed alone, or with its zone.
+            // Killed alone or together with its zone.
             _ => {
                 let process = node_host.process.take();
                 if let Some(mut process) = process {
--- a/crates/pearfront-emulator/src/sockets/discovery.rs
+++ b/crates/pearfront-emulator/src/sockets/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery on sockets: a versioned list for each tier, held calls, and one way in for each node, so that it is known
-//! who was told what.
+//! Discovery on sockets: a versioned list for each tier, long polling, and an address of its own for each node,
+//! so that the records show which node received what.
 
 use super::fleet::Side;
 use super::servers::{Host, answer};
@@ -25,7 +25,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// Whose way in it is.
+/// The node that a discovery address belongs to.
 #[derive(Clone)]
 pub enum Asker {
     NodeHost(usize),
@@ -33,7 +33,8 @@
 }
 
 pub struct Directory {
-    /// Each id's last line and the version that brought it; lines of those gone are kept, to be told.
+    /// Last line of each id and the version that introduced it; lines of servers that are gone are kept, to be
+    /// reported.
     lines: RefCell<BTreeMap<String, (u64, Line)>>,
     version: Cell<u64>,
     news: Notify,
@@ -58,12 +59,12 @@
 }
 
 impl Directory {
-    /// Part of the first list.
+    /// Whether the server is part of the first list.
     pub fn put(&self, line: &Line) {
         self.lines.borrow_mut().insert(line.id.clone(), (self.version.get(), line.clone()));
     }
 
-    /// The list of a tier as it is published.
+    /// The published list of a tier.
     pub fn lines(&self, tier: usize) -> Vec<Line> {
         let lines = self.lines.borrow();
         let fits = |line: &&Line| line.tier == tier && line.standing != ServerState::Gone;
@@ -75,7 +76,7 @@
             return self.held_back.borrow_mut().push(line);
         }
         let mut lines = self.lines.borrow_mut();
-        // A line of an earlier life may be overtaken by one of a later.
+        // A line of an earlier life may arrive after one of a later life.
         if lines.get(&line.id).is_some_and(|(_, known)| known.life > line.life) {
             return;
         }
@@ -125,7 +126,7 @@
                     async move { Ok::<_, Infallible>(side.tell(tier, &asker, &http_request).await) }
                 });
                 spawn_local(async move {
-                    // A connection may end in any way: the next call shows it.
+                    // A connection may end in any way; the next call detects it.
                     let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
                 });
             }
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Calls are worked through in turn; false if this one would wait too long.
+    /// Calls are processed sequentially; false if this one would time out.
     async fn wait_for_turn(&self, tier: usize) -> bool {
         let discovery = &self.scenario.discovery;
         let now = self.clock.get().now();
@@ -182,7 +183,7 @@
         let clock = self.clock.get();
         let at = clock.now();
         if whole {
-            // Who the whole list lacks is gone, as far as this node is told.
+            // Servers that are missing from a whole list count as gone for this node.
             let all = self.directory.lines.borrow();
             for (_, line) in all.values().filter(|(_, line)| line.standing == ServerState::Gone) {
                 self.book(asker, line, at);
--- a/crates/pearfront-emulator/src/sockets/fleet.rs
+++ b/crates/pearfront-emulator/src/sockets/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet's side of a play on sockets: servers, the nodes beside them, discovery, and what the script does to these.
+//! The fleet side of a play on sockets: servers, their own nodes, discovery, and the troubles of these.
 
 use super::discovery::Directory;
 use super::processes::{Process, Signal};
@@ -35,9 +35,9 @@
     pub hosts: RefCell<Vec<Rc<Host>>>,
     pub repeats: RefCell<DedupGroups>,
     pub directory: Directory,
-    /// Answers that were lost on their way: their connections stay open and silent.
+    /// Answers that were lost on the way: their connections stay open without an answer.
     pub unanswered: RefCell<Vec<oneshot::Sender<AttemptEnd>>>,
-    /// What seats' nodes were told: their lives are the callers' side's to know.
+    /// List updates sent to nodes of the first tier; their lives are recorded by the client side.
     pub node_host_updates: RefCell<Vec<(usize, ListUpdate)>>,
     troubles: RefCell<ChaCha8Rng>,
     command: NodeCommand,
@@ -51,16 +51,16 @@
     pub node_host_updates: Vec<(usize, ListUpdate)>,
 }
 
-/// What the fleet's thread and the callers' tell each other.
+/// Channels between the fleet's thread and the clients' thread.
 pub struct Signals {
     pub ready: oneshot::Sender<Result<(), String>>,
     pub goes: oneshot::Receiver<Clock>,
-    /// Told once the play has shown enough, where somebody says when that is.
+    /// Signalled once the play has shown enough, if there is a condition for that.
     pub enough: Option<(Enough, oneshot::Sender<()>)>,
     pub stops: oneshot::Receiver<()>,
 }
 
-/// Runs the fleet from before the nodes of callers start until it is told to stop.
+/// Runs the fleet, from before the nodes of the first tier start until it is stopped.
 pub async fn side(
     scenario: Rc<Scenario>,
     seed: u64,
@@ -83,7 +83,7 @@
     if let Some((enough, shown)) = signals.enough {
         spawn_local(side.clone().watch(enough, shown));
     }
-    // Whoever waits for it may have been cut short.
+    // The receiver may have ended already.
     let _ = signals.stops.await;
     Ok(side.close().await)
 }
@@ -114,7 +114,7 @@
         })
     }
 
-    /// Ids of calls are even, those of callers' jobs odd.
+    /// Ids of calls are even, those of client requests odd.
     pub fn next_trace(&self) -> u64 {
         self.traces.replace(self.traces.get() + 2)
     }
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Starts the node beside a server; `node_up` tells when callers may use it.
+    /// Starts a server's own node; `node_up` shows when it may be used.
     fn start_node(&self, host: &Rc<Host>) -> Result<(), String> {
         let scenario = &self.scenario;
         let tier = host.tier + 1;
@@ -262,7 +262,7 @@
         }
     }
 
-    /// Says so once the script is through and the records show what the play is for.
+    /// Signals once the script has ended and the records meet the condition of the play.
     async fn watch(self: Rc<Self>, enough: Enough, shown: oneshot::Sender<()>) {
         let ends = self.scenario.troubles.iter().map(|trouble| trouble.at_s + trouble.for_s);
         let over = ends.fold(0.0, f64::max) * 1000.0;
@@ -270,7 +270,7 @@
         while !enough(&self.records.borrow()) {
             sleep(LOOK).await;
         }
-        // The other side may be through by itself.
+        // The other side may have ended already.
         let _ = shown.send(());
     }
 
@@ -283,7 +283,7 @@
             What::DiscoveryDown => self.directory.go_down(true),
             What::DiscoveryOld => self.directory.grow_old(true),
             What::Sighup => self.hup(),
-            // The callers' side strikes their nodes.
+            // Troubles of these nodes are applied by the client side.
             What::KillNodes | What::RestartNodes | What::HotNode => return,
             _ => self.apply_trouble(place, &trouble).await,
         }
@@ -366,7 +366,7 @@
         }
     }
 
-    /// A process starts at the host's address: cold, with nothing known of it.
+    /// Starts a new process at the host's address, cold and without any state.
     async fn start_host(self: &Rc<Self>, host: &Rc<Host>) {
         let now = self.clock.get().now();
         let scenario = &self.scenario;
@@ -436,7 +436,7 @@
         }
     }
 
-    /// Something about a server has changed; discovery notices after a while.
+    /// A server's state has changed; discovery publishes it after a delay.
     fn announce(self: &Rc<Self>, host: &Host, standing: ServerState, after: f64) {
         let (soonest, latest) = self.scenario.discovery.late_ms;
         let late = soonest + (latest - soonest) * self.rng.borrow_mut().random::<f64>();
--- a/crates/pearfront-emulator/src/sockets/http_client.rs
+++ b/crates/pearfront-emulator/src/sockets/http_client.rs
@@ -1,5 +1,5 @@
-//! One who sends jobs to a node and hears its answers: callers, and servers that call the next tier. It keeps
-//! connections, sends one job at a time on each, and opens more when all are busy.
+//! HTTP client of a node, used by clients and by servers that call the next tier. It pools connections, sends
+//! one request at a time on each, and opens more when all are busy.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -15,19 +15,20 @@
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
 
-/// What a job looks like on the wire, beside its id and time.
+/// Contents of a request on the wire, apart from its id and deadline.
 #[derive(Debug, Clone)]
 pub struct Asked {
     pub profile: usize,
     pub customer: usize,
     pub key: u64,
-    /// Work over all tiers, and how many jobs of this tier one ask makes; the emulator's own, in the target.
+    /// Work over all tiers, and the number of requests of this tier per ask; for the emulator only, passed in
+    /// the request target.
     pub work: f64,
     pub fan: f64,
     pub root: u64,
 }
 
-/// What came back.
+/// Result of a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Heard {
     Answer {
@@ -35,9 +36,9 @@
         body: u64,
         wait: f64,
     },
-    /// Nobody took the connection.
+    /// The connection was refused.
     Refused,
-    /// The connection ended without a whole answer.
+    /// The connection ended without a complete answer.
     Cut,
 }
 
@@ -52,7 +53,7 @@
         Rc::new(Self { scenario, address, idle: RefCell::default() })
     }
 
-    /// Sends a job whose caller waits `left` ms; `accepted` is called once a connection stands.
+    /// Sends a request whose client waits `left` ms; `accepted` is called once a connection is established.
     pub async fn ask(&self, trace: u64, asked: &Asked, left: f64, accepted: impl Fn()) -> Heard {
         loop {
             let kept = self.kept();
@@ -68,7 +69,8 @@
                     self.idle.borrow_mut().push(sender);
                     return heard;
                 }
-                // The node closed a kept connection just as the job was written: once more on a new one.
+                // The node closed a reused connection just as the request was written: sent once more on a new
+                // one.
                 None if reused => self.idle.borrow_mut().clear(),
                 None => return Heard::Cut,
             }
@@ -89,7 +91,7 @@
         let stream = TcpStream::connect(self.address).await.ok()?;
         stream.set_nodelay(true).ok()?;
         let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
-        // Its end shows at the sender.
+        // The end of the connection shows at the sender.
         spawn_local(async move { drop(connection.await) });
         Some(sender)
     }
@@ -135,7 +137,7 @@
         http_request.body(Full::new(body)).expect("names were checked with the file")
     }
 
-    /// Closes what is idle, as when its process ends.
+    /// Closes the idle connections, as at the end of a process.
     pub fn end(&self) {
         self.idle.borrow_mut().clear();
     }
--- a/crates/pearfront-emulator/src/sockets/mod.rs
+++ b/crates/pearfront-emulator/src/sockets/mod.rs
@@ -1,6 +1,6 @@
-//! The play on sockets: node programs on loopback addresses, between an emulated fleet with its discovery on one thread
-//! and callers on another, each a single-threaded runtime of its own. They share nothing but the time of the start and
-//! put their records together at the end.
+//! The play on sockets: node programs on loopback addresses, between an emulated fleet with its discovery on
+//! one thread and clients on another, each on its own single-threaded runtime. They share only the start time,
+//! and their records are merged at the end.
 
 mod clients;
 mod discovery;
@@ -23,25 +23,26 @@
 use tokio::task::LocalSet;
 use tokio::time::Instant;
 
-/// Time between all nodes' being up and the start.
+/// Delay between all nodes being up and the start.
 const SETTLE: Duration = Duration::from_millis(500);
-/// Time between two looks whether a play has shown what it is played for.
+/// Interval at which the condition of a play is checked.
 const LOOK: Duration = Duration::from_millis(50);
-/// Longest lateness that is told apart, us.
+/// Upper bound of the lateness histogram, us.
 const MAX_LATENESS_US: u64 = 60_000_000;
 
-/// How nodes are started, and where their files go.
+/// How nodes are started, and the folder of their files.
 #[derive(Debug, Clone)]
 pub struct NodeCommand {
-    /// Given to the shell, as the deploy file's `run` is.
+    /// Run by the shell, like `run` of the deploy file.
     pub run: String,
     pub folder: PathBuf,
 }
 
-/// Told of the fleet's records: has the play shown what it is for? Asked only once all troubles are over.
+/// Condition on the fleet's records under which a play may end early. Checked only after all troubles have
+/// ended.
 pub type Enough = fn(&Records) -> bool;
 
-/// Milliseconds since the start of the play; negative before it.
+/// Clock of a play: milliseconds since its start, negative before it.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     start: Instant,
@@ -69,7 +70,7 @@
     }
 }
 
-/// Plays of this process, each of which has addresses of its own.
+/// Number of plays of this process; each has its own addresses.
 static PLAYS: AtomicU32 = AtomicU32::new(0);
 
 /// Loopback addresses that no other play on this machine uses at the same time.
@@ -85,33 +86,35 @@
         Self { network: [128 | (high & 0x7f), low] }
     }
 
-    /// The how many-th of a kind of place.
+    /// Address number `number` of a kind.
     pub fn at(&self, kind: u16, number: usize) -> SocketAddrV4 {
         let [high, low] = self.network;
-        // 127 is the loopback network; the process has a part of it, each number an address there.
+        // 127.0.0.0/8 is the loopback network; the play uses part of it, with one address per number.
         let third = (number / 250) as u8 ^ low;
         SocketAddrV4::new(Ipv4Addr::new(127, high, third, 1 + (number % 250) as u8), 21_000 + kind)
     }
 }
 
-/// Kinds of places: servers, nodes of callers, nodes beside servers, and discovery for each.
+/// Kinds of addresses: servers, nodes of the first tier, servers' own nodes, and the discovery addresses of
+/// both.
 pub const SERVER: u16 = 0;
 pub const FRONT_NODE: u16 = 1;
 pub const SIDECAR: u16 = 2;
 pub const FRONT_NODE_DISCOVERY: u16 = 3;
 pub const SIDECAR_DISCOVERY: u16 = 4;
-/// The same nodes among one another.
+/// Cluster addresses of the nodes.
 pub const FRONT_NODE_CLUSTER: u16 = 5;
 pub const SIDECAR_CLUSTER: u16 = 6;
 
-/// What a node is told by its file.
+/// Contents of a node's configuration file.
 pub fn config(scenario: &Scenario, settings: &Value, known: &[Value], seed: u64) -> Value {
     json!({"seed": format!("{seed:016x}"),
         "limits": {"memory_mb": scenario.nodes.memory_mb, "sockets": scenario.nodes.sockets},
         "known": {"generation": 1, "reset": true, "instances": known}, "settings": settings})
 }
 
-/// The same, for one that knows of the others where the scenario says so: it listens there, and asks the first two seats.
+/// Like `config`, with a `cluster` section if the scenario asks for it: the node listens at `at` and uses the
+/// first two nodes as seeds.
 pub fn config_among(
     scenario: &Scenario,
     settings: &Value,
@@ -127,7 +130,7 @@
     config
 }
 
-/// What one side of the play saw. Places of nodes are those of its own list.
+/// Records of one side of the play. Node indices refer to its own list.
 pub struct Seen {
     pub records: Records,
     pub late: Histogram<u64>,
@@ -143,10 +146,10 @@
     Ok(LocalSet::new().block_on(&runtime, work))
 }
 
-/// Plays the scenario in real time; `progress` hears now and then what share of it is done.
+/// Plays the scenario in real time; `progress` is called from time to time with the share that is done.
 ///
 /// # Errors
-/// What could not be started, in one line.
+/// Which program or address could not be started, in one line.
 pub fn play(
     scenario: &Scenario,
     seed: u64,
@@ -156,10 +159,10 @@
     play_until(scenario, seed, command, progress, None)
 }
 
-/// The same, but no new jobs come once `enough` says so: the scenario's length is then only the end of patience.
+/// Like `play`, but no new requests are sent once `enough` returns true; the scenario's length is then only an upper limit.
 ///
 /// # Errors
-/// What could not be started, in one line.
+/// Which program or address could not be started, in one line.
 pub fn play_until(
     scenario: &Scenario,
     seed: u64,
@@ -196,10 +199,10 @@
     Ok(merge(clients?, fleet?))
 }
 
-/// Puts both sides' records together: jobs and attempts meet by the jobs' ids.
+/// Merges the records of both sides: requests and attempts are joined by request id.
 fn merge(clients: Seen, fleet: fleet::FleetSeen) -> Records {
     let mut late = clients.late;
-    // Both have the same bounds.
+    // Both histograms have the same bounds.
     let _ = late.add(&fleet.seen.late);
     let mut all = clients.records;
     let offset = all.nodes.len();
--- a/crates/pearfront-emulator/src/sockets/processes.rs
+++ b/crates/pearfront-emulator/src/sockets/processes.rs
@@ -1,4 +1,5 @@
-//! Node programs: started as the deploy file says, told to end, killed. Only processes that were started here.
+//! Node processes: started by the command of the deploy file, signalled, killed. Signals go only to processes
+//! started here.
 
 use super::NodeCommand;
 use serde_json::Value;
@@ -10,9 +11,9 @@
 use tokio::process::{Child, Command};
 use tokio::time::{sleep, timeout};
 
-/// Longest that a node may take to be up.
+/// Start-up time-out of a node.
 const UP_WITHIN: Duration = Duration::from_secs(20);
-/// Time between two looks whether it is.
+/// Poll interval while waiting for start-up.
 const LOOK: Duration = Duration::from_millis(20);
 
 pub struct Process {
@@ -21,7 +22,7 @@
     address: SocketAddrV4,
 }
 
-/// Signals that the script sends.
+/// Signals sent by the script.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Signal {
     Term,
@@ -29,7 +30,8 @@
 }
 
 impl NodeCommand {
-    /// Starts a program under that name; its file and its log, which goes on over its lives, are in the folder.
+    /// Starts a program under the given name; its configuration file and its log, which is appended to over
+    /// restarts, are in the folder.
     pub fn spawn(
         &self,
         name: &str,
@@ -74,7 +76,7 @@
         Ok(Self { name: name.into(), child, address })
     }
 
-    /// Waits until it says that it is up.
+    /// Waits until the node reports that it is up.
     pub async fn up(&mut self) -> Result<(), String> {
         let looks = async {
             while !says_up(self.address).await {
@@ -105,7 +107,7 @@
         }
     }
 
-    /// Waits until it has ended by itself.
+    /// Waits until the process has exited.
     pub async fn ended(&mut self) {
         let _ = self.child.wait().await;
     }
--- a/crates/pearfront-emulator/src/sockets/servers.rs
+++ b/crates/pearfront-emulator/src/sockets/servers.rs
@@ -1,4 +1,5 @@
-//! Emulated servers on sockets: connections, messages and timers round the same `Server` that the model play drives.
+//! Emulated servers on sockets: connections, messages and timers around the same `Server` that the model play
+//! uses.
 
 use super::fleet::Side;
 use super::http_client::{Asked, Client, Heard};
@@ -26,12 +27,12 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{sleep, sleep_until};
 
-/// Connections that the kernel keeps for a server that is up.
+/// Listen backlog of a server that is up.
 const BACKLOG: i32 = 1024;
-/// Connections of our own that fill the queue of a silent one; more than it takes.
+/// Number of own connections that fill the listen backlog of an unresponsive server; more than it holds.
 const FILL: usize = 3;
 
-/// A job that a server holds.
+/// A request that a server holds.
 pub struct Pending {
     root: u64,
     asked: Asked,
@@ -63,12 +64,12 @@
     pub started: Cell<f64>,
     pub server: RefCell<Server<Ticket>>,
     pub active_troubles: ActiveTroubles,
-    /// Rings when its next due time may have moved.
+    /// Notified when its next due time may have changed.
     pub bell: Notify,
-    /// Rises with each start; connections of earlier ones are dropped.
+    /// Incremented with each start; connections of earlier starts are dropped.
     pub starts: watch::Sender<u64>,
     pub listening: RefCell<Option<JoinHandle<()>>>,
-    /// The node beside it, and who calls through that.
+    /// Its own node, and the client that calls through it.
     pub node: RefCell<Option<Process>>,
     pub node_life: Cell<usize>,
     pub client: RefCell<Option<Rc<Client>>>,
@@ -91,7 +92,7 @@
         records.servers.push(life);
     }
 
-    /// Opens the server's address and serves what comes.
+    /// Listens at the server's address and serves connections.
     pub fn listen(self: &Rc<Self>, host: &Rc<Host>) -> Result<(), String> {
         let address = crate::list::socket(host.address);
         let bound = std::net::TcpListener::bind(address).and_then(|listener| {
@@ -108,7 +109,7 @@
         Ok(())
     }
 
-    /// Works on as time goes, as long as the play lasts.
+    /// Advances the server in real time for the length of the play.
     pub async fn drive(self: Rc<Self>, host: Rc<Host>) {
         loop {
             let due = host.server.borrow().due();
@@ -152,7 +153,7 @@
             self.rng.borrow_mut().random::<f64>() >= host.active_troubles.unaffected_share(What::LostAnswers);
         let done = request.done.take();
         match done {
-            // Its connection stays open and silent.
+            // The connection stays open without an answer.
             Some(done) if lost => self.unanswered.borrow_mut().push(done),
             Some(done) => drop(done.send(how)),
             None => {}
@@ -238,7 +239,7 @@
         host.bell.notify_one();
     }
 
-    /// The process is gone with all that it held.
+    /// The process ended with all requests it held.
     pub fn lose_all(&self, host: &Host) {
         let now = self.clock.get().now();
         for request in host.held.take() {
@@ -247,7 +248,7 @@
         host.starts.send_modify(|starts| *starts += 1);
     }
 
-    /// Reads a job to its end, has it worked on and answers.
+    /// Reads a request completely, passes it to the server and answers.
     async fn request(
         self: Rc<Self>,
         host: Rc<Host>,
@@ -333,7 +334,7 @@
         records.attempts.len() - 1
     }
 
-    /// A silent machine says nothing, whatever stands at its connections.
+    /// An unresponsive machine does not answer on any connection.
     async fn wait_while_silent(&self, host: &Host) {
         if host.state.get() == State::Silent {
             std::future::pending::<()>().await;
@@ -379,7 +380,7 @@
     }
 }
 
-/// Sees to it that the server hears when a job's connection is closed before its answer.
+/// Notifies the server when the connection of a request is closed before the answer.
 struct Watch {
     side: Rc<Side>,
     host: Rc<Host>,
@@ -416,7 +417,8 @@
     let mut filling: Vec<JoinHandle<()>> = Vec::new();
     loop {
         if host.state.get() == State::Silent {
-            // The queue is made as short as it gets and filled: further connections never come up.
+            // The listen backlog is reduced to its minimum and filled, so that further connections are never
+            // established.
             let _ = SockRef::from(&listener).listen(0);
             if filling.is_empty() {
                 let address = crate::list::socket(host.address);
@@ -439,7 +441,7 @@
     }
 }
 
-/// Holds a connection that nobody accepts.
+/// Holds a connection that is never accepted.
 async fn hold(address: std::net::SocketAddrV4) {
     if let Ok(_stream) = TcpStream::connect(address).await {
         std::future::pending::<()>().await;
@@ -475,7 +477,7 @@
         let idle = host.active_troubles.idle(side.scenario.tiers[host.tier].server.idle_s);
         tokio::select! {
             _ = &mut connection => break,
-            // A new start: the old process's connections are gone.
+            // The server was started again: connections of the old process are closed.
             _ = starts.changed() => break,
             () = moved.notified() => {}
             () = sleep(Duration::from_secs_f64(idle / 1000.0)), if busy.get() == 0 => {
--- a/crates/pearfront-emulator/tests/cold.rs
+++ b/crates/pearfront-emulator/tests/cold.rs
@@ -1,5 +1,5 @@
-//! Cold servers under the sum of what all nodes send: beyond the N requests that the settings allow only
-//! 2 x root of N + 2 are put down to chance. `benches/cold.rs` sweeps the same rehearsal.
+//! Cold servers under the combined load of all nodes: beyond the N requests that the settings allow, only 2 x
+//! sqrt(N) + 2 are attributed to random variation. `benches/cold.rs` sweeps the same rehearsal.
 
 use pearfront_emulator::judge::{cold_loads, judge};
 use pearfront_emulator::model::{Options, play};
@@ -8,8 +8,8 @@
 
 const FILE: &str = include_str!("../../../rehearsals/cold-starts.toml");
 
-/// The rehearsal with so many nodes that ask servers for the jobs they hold before each draw, cut where the first
-/// windows of the cold servers are over.
+/// The rehearsal with the given number of nodes, which probe servers for the number of requests held before
+/// each choice; ends after the first windows of the cold servers.
 fn scenario(nodes: usize, probe_price: f64) -> Scenario {
     let mut scenario = Scenario::parse(FILE).unwrap_or_else(|mistake| panic!("{mistake}"));
     scenario.length_s = 15.0;
@@ -19,7 +19,7 @@
     scenario
 }
 
-// Few nodes have many requests each that wait, and all of them see the same idle server.
+// With few nodes, each has many waiting requests, and all see the same idle server.
 #[test_case(2; "two nodes")]
 #[test_case(8; "eight nodes")]
 #[test_case(20; "twenty nodes")]
@@ -35,7 +35,8 @@
     }
 }
 
-// All nodes see at the same moment that a cold server is idle: each alone kept within what it could know of.
+// Guards against overload of a cold server that all nodes see as idle at the same moment, although each alone
+// stays within its own limit.
 #[test_case(100, 0.002; "a hundred nodes that ask first")]
 #[test_case(30, 0.002; "thirty nodes that ask first")]
 #[test_case(30, 0.03; "thirty nodes that do not ask")]
@@ -46,7 +47,7 @@
     assert_eq!(loads.len(), 4);
     for load in &loads {
         assert!(load.sent <= load.limit(), "{:.1} sent, N is {:.1}: {load:?}", load.sent, load.may);
-        // Where reports of jobs held are seen at once, idle ones are not left idle either.
+        // With immediate reports of requests held, idle servers must also not be left idle.
         assert!(probe_price > 0.01 || load.mean_share > 0.05, "{load:?}");
     }
     let verdict = judge(&scenario, &records);
@@ -54,11 +55,12 @@
     assert!(records.servers.iter().all(|life| life.fell.is_none()));
 }
 
-// The judge and the server count by the same figure: N alone, or with what the file puts down to chance.
+// The judge and the server must use the same budget: N alone, or N plus the scenario's allowance for random
+// variation.
 #[test]
 fn what_counts_as_chance_is_added_to_what_the_settings_allow() {
     let mut rules = scenario(2, 0.03).rules;
-    // Two cores at 0.3 bear 2 x 0.6 x 1500 ms of work: 45 requests of 40 ms.
+    // Two cores at a share of 0.3 tolerate 2 x 0.6 x 1500 ms of work: 45 requests of 40 ms.
     assert!((rules.cold_budget(0.6, 40.0) - (1800.0 + 2.0 * (45f64.sqrt() + 1.0) * 40.0)).abs() < 1e-6);
     rules.tip_chance = 0.0;
     assert!((rules.cold_budget(0.6, 40.0) - 1800.0).abs() < 1e-6);
--- a/crates/pearfront-emulator/tests/plays.rs
+++ b/crates/pearfront-emulator/tests/plays.rs
@@ -1,5 +1,5 @@
-//! Short plays in simulated time: each trouble does what it says, one seed gives one result, and the judge finds each
-//! fault that a driver is given on purpose.
+//! Short plays in simulated time: each trouble has its stated effect, the same seed gives the same result, and
+//! the judge detects each injected fault.
 
 use pearfront_emulator::decide::{Fault, Policy};
 use pearfront_emulator::judge::{Verdict, judge};
@@ -108,7 +108,7 @@
     }
 }
 
-// The judge reads what servers and callers saw: each fault shows there, under its rule.
+// The judge must detect each injected fault in the records of servers and clients, under the right rule.
 #[test_case(Fault::SendsTwice, "no-effect-twice", ""; "a non-idempotent job goes out twice")]
 #[test_case(Fault::AnswersTwice, "no-job-lost", ""; "a job is answered twice")]
 #[test_case(Fault::LosesRequests, "no-job-lost", ""; "a job is lost")]
@@ -118,7 +118,7 @@
 #[test_case(Fault::FloodsCold, "cold-servers", "[[troubles]]\nwhat = \"silent\"\nat_s = 3\nfor_s = 6\ntier = \"front\"\ncount = 1\n"; "a cold server gets all")]
 #[test_case(Fault::RejectsWhatRan, "no-effect-twice", "[[troubles]]\nwhat = \"fast-errors\"\nat_s = 5\nfor_s = 5\ntier = \"front\"\n"; "what may have run is rejected")]
 fn a_driver_with_one_fault_is_caught_by_the_name_of_its_rule(fault: Fault, rule: &str, troubles: &str) {
-    // Grace is short, so that a drained server still stands when it ends.
+    // The grace period is short, so that a drained server is still up when it ends.
     let text = format!(
         "{troubles}\n[rules]\ndrain_grace_s = 1.0\ntip_multiple = 1.0\n[discovery]\nlate_ms = [100.0, 3000.0]\n"
     );
@@ -129,7 +129,8 @@
     assert_eq!(broken(&faulty), [rule], "{:?}", faulty.broken);
 }
 
-// Called off, the work goes on: slots stay taken, and what was done for nothing is counted.
+// If servers do not drop cancelled requests, their work continues: slots stay occupied, and the wasted work is
+// counted.
 #[test]
 fn work_that_nobody_waits_for_any_more_is_counted_as_waste() {
     let scenario =
@@ -149,11 +150,12 @@
     assert!(went_on > 0.0 && verdict.wasted >= went_on / done, "{went_on} of {done}: {}", verdict.line());
 }
 
-// A caller's own repeat after a failure carries the same key: its group drops it within the window, not after it.
+// A client's own retry carries the same key: the group deduplicates it within the window, not after it.
 #[test_case(60.0, true; "within the window, across a restart")]
 #[test_case(0.02, false; "after the window")]
 fn a_group_drops_repeats_of_a_key(window: f64, dropped: bool) {
-    // Nodes are killed again and again while servers work on what these had sent: callers come back with their keys.
+    // Nodes are killed repeatedly while servers process their attempts, so that clients retry with the same
+    // keys.
     let kills: String = (2..9)
         .map(|at| format!("[[troubles]]\nwhat = \"kill-nodes\"\nat_s = {at}\nfor_s = 0.05\n"))
         .collect();
@@ -163,7 +165,7 @@
         .replace("share = 0.2\nwork_ms = 30\n[[profiles]]", "share = 0.2\nwork_ms = 150\n[[profiles]]");
     let scenario = Scenario::parse(&text).unwrap();
     let (records, verdict) = run(&scenario, Policy::LeastHeld, None);
-    // By key: how many of the first tier's servers worked it through, and how often it had its effect.
+    // By key: number of completed runs at the first tier, and how often the effect took place.
     let keys: BTreeMap<u64, u64> =
         records.requests.iter().map(|request| (request.trace, request.key)).collect();
     let mut by_key: BTreeMap<u64, (usize, usize)> = BTreeMap::new();
@@ -179,7 +181,7 @@
     assert_eq!((twice == 0, verdict.repeats_by_clients == 0), (dropped, dropped), "{twice} of {repeated}");
 }
 
-// A node's own repeat outside the window is the node's fault, and the judge says so.
+// A node's own retry after the window breaks a rule, which the judge must report.
 #[test]
 fn a_repeat_that_a_node_sends_after_the_window_breaks_the_rule() {
     let troubles = "[[troubles]]\nwhat = \"fast-errors\"\nat_s = 2\nfor_s = 8\ntier = \"front\"\nby = 0.9\n\
@@ -209,7 +211,7 @@
         .map(|attempt| attempt.came)
         .collect();
     assert!(!attempts.is_empty() && attempts.iter().all(|came| *came > 9000.0));
-    // Nobody heard anything of the old one while it was silent.
+    // No answer came from the old process while it was unresponsive.
     let old =
         records.servers.iter().position(|life| format!("{}'", life.id) == records.servers[back].id).unwrap();
     let ended = records.attempts.iter().filter(|attempt| attempt.server == old);
@@ -285,7 +287,8 @@
     assert!(served.count() > 1000);
 }
 
-// Three hundred nodes with few jobs each, as shipped: what each does alone adds up over the fleet.
+// Three hundred nodes with few requests each, with default settings: the effects of the individual nodes add up
+// over the fleet.
 #[test_case(include_str!("../../../rehearsals/fleet-zone-cut.toml"), 0.97; "a zone cut off for six seconds")]
 #[test_case(include_str!("../../../rehearsals/fleet-release.toml"), 0.95; "front nodes killed, inner servers replaced cold")]
 fn a_fleet_of_three_hundred_nodes_keeps_the_rules_and_most_of_its_service(file: &str, service: f64) {
