--- a/crates/pearfront-emulator/src/decide.rs
+++ b/crates/pearfront-emulator/src/decide.rs
@@ -19,7 +19,7 @@
 /// An input to a node's decisions; times are on the node's clock.
 #[derive(Debug, Clone)]
 pub enum Input {
-    Request { id: u32, profile: usize, customer: usize, limit: f64 },
+    Request { id: u32, profile: usize, customer: usize, deadline: f64 },
     AttemptEnded { id: u32, attempt: usize, ending: AttemptOutcome, took: f64, done: bool },
     ProbeAnswered { server: Address, good: bool, report: Vec<f64>, took: f64 },
     Left { id: u32 },
@@ -31,7 +31,7 @@
 /// An action that a node carries out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    Attempt { request: u32, server: Address, limit: f64 },
+    Attempt { request: u32, server: Address, time_left: f64 },
     CallOff { request: u32, attempt: usize },
     Reject { request: u32, wait: f64 },
     Fail { request: u32 },
@@ -125,8 +125,8 @@
 
 fn apply_input(balancer: &mut Balancer, input: Input) {
     match input {
-        Input::Request { id, profile, customer, limit } => {
-            balancer.request_received(id, profile, customer, limit)
+        Input::Request { id, profile, customer, deadline } => {
+            balancer.request_received(id, profile, customer, deadline)
         }
         Input::AttemptEnded { id, attempt, ending, took, done } => {
             balancer.attempt_ended(id, attempt, ending, took, done)
@@ -145,8 +145,8 @@
 struct ActionLog(Vec<Action>);
 
 impl DecisionWriter for ActionLog {
-    fn attempt(&mut self, request: u32, server: Address, limit: f64) {
-        self.0.push(Action::Attempt { request, server, limit });
+    fn attempt(&mut self, request: u32, server: Address, time_left: f64) {
+        self.0.push(Action::Attempt { request, server, time_left });
     }
     fn cancel(&mut self, request: u32, attempt: u16) {
         self.0.push(Action::CallOff { request, attempt: usize::from(attempt) });
@@ -172,30 +172,30 @@
 }
 
 /// A request of a baseline, with its attempts so far and their outcomes.
-struct PlainRequest {
+struct BaselineRequest {
     profile: usize,
-    limit: f64,
+    deadline: f64,
     attempts: Vec<(Address, f64, Option<AttemptOutcome>)>,
 }
 
 /// A baseline balancer: chooses servers by one policy, retries within the rules, and sheds no load that it can
 /// send.
-pub struct Plain {
+pub struct Baseline {
     pick: Policy,
     fault: Option<Fault>,
     settings: Settings,
     rng: ChaCha8Rng,
     servers: BTreeMap<Address, ListedServer>,
     held: BTreeMap<Address, u32>,
-    requests: BTreeMap<u32, PlainRequest>,
+    requests: BTreeMap<u32, BaselineRequest>,
     /// Deadlines and request ids; deadlines as bits, which sort like the times.
-    limits: BTreeSet<(u64, u32)>,
+    deadlines: BTreeSet<(u64, u32)>,
     asked: bool,
     ask_at: f64,
     all: Rc<dyn SeesAll>,
 }
 
-impl Plain {
+impl Baseline {
     pub fn new(
         pick: Policy,
         fault: Option<Fault>,
@@ -211,7 +211,7 @@
             servers: BTreeMap::new(),
             held: BTreeMap::new(),
             requests: BTreeMap::new(),
-            limits: BTreeSet::new(),
+            deadlines: BTreeSet::new(),
             asked: false,
             ask_at: 0.0,
             all,
@@ -220,9 +220,9 @@
 
     fn handle_input(&mut self, now: f64, input: Input, actions: &mut Vec<Action>) {
         match input {
-            Input::Request { id, profile, limit, .. } => {
-                self.requests.insert(id, PlainRequest { profile, limit, attempts: Vec::new() });
-                self.limits.insert((limit.max(0.0).to_bits(), id));
+            Input::Request { id, profile, deadline, .. } => {
+                self.requests.insert(id, BaselineRequest { profile, deadline, attempts: Vec::new() });
+                self.deadlines.insert((deadline.max(0.0).to_bits(), id));
                 self.go(now, id, actions);
             }
             Input::AttemptEnded { id, attempt, ending, done, .. } => {
@@ -254,12 +254,12 @@
             Input::ProbeAnswered { .. } => {}
             Input::Closing { at } => {
                 for request in self.requests.values_mut() {
-                    request.limit = request.limit.min(at);
+                    request.deadline = request.deadline.min(at);
                 }
-                self.limits = self
+                self.deadlines = self
                     .requests
                     .iter()
-                    .map(|(id, request)| (request.limit.max(0.0).to_bits(), *id))
+                    .map(|(id, request)| (request.deadline.max(0.0).to_bits(), *id))
                     .collect();
             }
         }
@@ -275,7 +275,7 @@
 
     fn forget(&mut self, id: u32) {
         if let Some(request) = self.requests.remove(&id) {
-            self.limits.remove(&(request.limit.max(0.0).to_bits(), id));
+            self.deadlines.remove(&(request.deadline.max(0.0).to_bits(), id));
             for (server, ..) in request.attempts.iter().filter(|attempt| attempt.2.is_none()) {
                 let held = self.held.entry(*server).or_default();
                 *held = held.saturating_sub(1);
@@ -316,7 +316,7 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         *self.held.entry(server).or_default() += 1;
         request.attempts.push((server, now, None));
-        actions.push(Action::Attempt { request: id, server, limit: request.limit - now });
+        actions.push(Action::Attempt { request: id, server, time_left: request.deadline - now });
     }
 
     fn end(&mut self, id: u32, actions: &mut Vec<Action>) {
@@ -391,7 +391,7 @@
     }
 }
 
-impl Decider for Plain {
+impl Decider for Baseline {
     fn round(&mut self, now: f64, inputs: Vec<Input>) -> Vec<Action> {
         let mut actions = Vec::new();
         inputs.into_iter().for_each(|input| self.handle_input(now, input, &mut actions));
@@ -400,19 +400,20 @@
             actions.push(Action::Watch);
         }
         let soon = now + 2.0 * self.settings.round_interval;
-        while let Some((_, id)) = self.limits.first().copied().filter(|due| f64::from_bits(due.0) <= soon) {
+        while let Some((_, id)) = self.deadlines.first().copied().filter(|due| f64::from_bits(due.0) <= soon)
+        {
             if self.fault == Some(Fault::AnswersLate) {
-                self.limits.remove(&(self.requests[&id].limit.max(0.0).to_bits(), id));
+                self.deadlines.remove(&(self.requests[&id].deadline.max(0.0).to_bits(), id));
                 if let Some(request) = self.requests.get_mut(&id) {
-                    request.limit += 500.0;
-                    self.limits.insert((request.limit.to_bits(), id));
+                    request.deadline += 500.0;
+                    self.deadlines.insert((request.deadline.to_bits(), id));
                 }
                 continue;
             }
             self.end(id, &mut actions);
         }
         let due = self
-            .limits
+            .deadlines
             .first()
             .map_or(f64::INFINITY, |due| f64::from_bits(due.0) - 2.0 * self.settings.round_interval);
         let ask = if self.asked || !self.settings.discovery_on_request { f64::INFINITY } else { self.ask_at };
--- a/crates/pearfront-emulator/src/judge.rs
+++ b/crates/pearfront-emulator/src/judge.rs
@@ -209,9 +209,9 @@
     attempts.values_mut().for_each(|attempts| attempts.sort_by(|a, b| a.came.total_cmp(&b.came)));
     let nodes = records.requests.iter().map(|request| (request.trace, request.node)).collect();
     let mut judgement = Judgement { scenario, records, attempts, nodes, cases: Default::default() };
-    records.requests.iter().for_each(|request| judgement.request(request));
-    judgement.drains();
-    judgement.cold();
+    records.requests.iter().for_each(|request| judgement.check_request(request));
+    judgement.check_drains();
+    judgement.check_cold_servers();
     let cases = std::mem::take(&mut judgement.cases);
     let broken = RULES.iter().zip(cases).filter(|(_, cases)| !cases.is_empty());
     let mut verdict = judgement.figures();
@@ -226,30 +226,30 @@
 }
 
 impl Judgement<'_> {
-    fn request(&mut self, request: &RequestRecord) {
+    fn check_request(&mut self, request: &RequestRecord) {
         let describe =
             |what: &str| format!("job {} at {:.3} s: {what}", request.trace, request.sent / 1000.0);
-        if let Some(what) = self.answers(request) {
+        if let Some(what) = self.check_answers(request) {
             self.cases[0].push(describe(&what));
         }
-        if let Some(what) = self.effects(request) {
+        if let Some(what) = self.check_effects(request) {
             self.cases[1].push(describe(&what));
         }
     }
 
     /// Rule 1: exactly one complete answer, in time.
-    fn answers(&self, request: &RequestRecord) -> Option<String> {
+    fn check_answers(&self, request: &RequestRecord) -> Option<String> {
         if request.answers.len() > 1 {
             return Some(format!("{} answers", request.answers.len()));
         }
         let Some(answered) = request.answers.first() else {
             let node = &self.records.nodes[request.node];
-            let killed = node.ended.is_some_and(|(at, how)| how == NodeEnd::Killed && at <= request.limit);
-            let excused = killed || request.left.is_some_and(|at| at < request.limit);
+            let killed = node.ended.is_some_and(|(at, how)| how == NodeEnd::Killed && at <= request.deadline);
+            let excused = killed || request.left.is_some_and(|at| at < request.deadline);
             return (!excused).then(|| if request.cut { "cut off".into() } else { "no answer".into() });
         };
-        if answered.at > request.limit + self.scenario.rules.slack_ms {
-            return Some(format!("answered {:.0} ms after its limit", answered.at - request.limit));
+        if answered.at > request.deadline + self.scenario.rules.slack_ms {
+            return Some(format!("answered {:.0} ms after its limit", answered.at - request.deadline));
         }
         if answered.answer != Answer::Served {
             return None;
@@ -264,7 +264,7 @@
     }
 
     /// Rule 2: a request that may have run is retried or rejected only where that is harmless.
-    fn effects(&self, request: &RequestRecord) -> Option<String> {
+    fn check_effects(&self, request: &RequestRecord) -> Option<String> {
         let profile = &self.scenario.profiles[request.profile];
         let attempts = self.attempts.get(&request.trace)?;
         let proven = |attempt: &Attempt, by: f64| {
@@ -309,7 +309,7 @@
     }
 
     /// Rule 3: no new attempts to a server that the node knows to be draining or gone.
-    fn drains(&mut self) {
+    fn check_drains(&mut self) {
         let mut ends: BTreeMap<(usize, usize), f64> = BTreeMap::new();
         for update in self.records.list_updates.iter().filter(|update| update.standing != ServerState::Ready)
         {
@@ -334,7 +334,7 @@
     }
 
     /// Rule 4: nodes that know of a server's start do not overload it while it is cold.
-    fn cold(&mut self) {
+    fn check_cold_servers(&mut self) {
         let cold: Vec<usize> = (0..self.records.servers.len())
             .filter(|server| self.records.servers[*server].started.is_finite())
             .collect();
@@ -357,13 +357,13 @@
                 let node = self.nodes.get(&attempt.trace);
                 node.is_some_and(|node| knows.get(&(*node, server)).is_some_and(|at| *at <= attempt.sent))
             };
-            if let Some(what) = self.pushed_over(server, &attempts, knowing) {
+            if let Some(what) = self.overloaded_by_informed_nodes(server, &attempts, knowing) {
                 self.cases[3].push(what);
             }
         }
     }
 
-    fn pushed_over(
+    fn overloaded_by_informed_nodes(
         &self,
         server: usize,
         attempts: &[&Attempt],
--- a/crates/pearfront-emulator/src/model/clients.rs
+++ b/crates/pearfront-emulator/src/model/clients.rs
@@ -4,14 +4,14 @@
 use super::{Event, World};
 use crate::record::{Answer, Answered, Ask, RequestRecord};
 use crate::scenario::Scenario;
-use crate::workload::{Drawn, Workload, weighted};
+use crate::workload::{PlannedAsk, Workload, weighted};
 use std::cell::Cell;
 use std::rc::Rc;
 
 /// An ask in progress.
 pub struct AskState {
     place: usize,
-    ask: Drawn,
+    ask: PlannedAsk,
     tries: Cell<u32>,
     over: Cell<bool>,
 }
@@ -35,7 +35,7 @@
         }
     }
 
-    pub fn ask(&mut self, ask: Drawn) {
+    pub fn ask(&mut self, ask: PlannedAsk) {
         self.front.open += 1;
         let place = self.records.asks.len();
         self.records.asks.push(Ask { at: ask.at, profile: ask.profile, customer: ask.customer });
@@ -59,7 +59,7 @@
             profile: ask.ask.profile,
             key: ask.ask.key,
             sent: self.now,
-            limit: ask.ask.limit,
+            deadline: ask.ask.deadline,
             left: None,
             answers: Vec::new(),
             cut: false,
@@ -73,7 +73,7 @@
             key: ask.ask.key,
             profile: ask.ask.profile,
             customer: ask.ask.customer,
-            limit: ask.ask.limit,
+            deadline: ask.ask.deadline,
             work: ask.ask.work * self.scenario.tiers[0].work,
             whole_work: ask.ask.work,
             fan: 1.0,
@@ -82,7 +82,7 @@
             answered: Cell::new(false),
             over: Cell::new(false),
         });
-        let hop = self.caller_hop();
+        let hop = self.client_hop();
         self.event_queue.put(self.now + hop, Event::Take(node, request.clone()));
         let leaves = ask.ask.leaves(&self.scenario, self.now);
         self.event_queue.put(leaves, Event::ClientLeaves(request));
@@ -92,7 +92,7 @@
     fn deal(&mut self, zone: usize) -> Option<Rc<NodeHost>> {
         let at = |home: bool| {
             let fits = |node_host: &&Rc<NodeHost>| {
-                node_host.dealt.get() && (!home || usize::from(node_host.zone) == zone)
+                node_host.in_rotation.get() && (!home || usize::from(node_host.zone) == zone)
             };
             self.node_hosts.iter().filter(fits).cloned().collect::<Vec<_>>()
         };
@@ -148,7 +148,7 @@
         }
     }
 
-    pub fn caller_leaves(&mut self, request: &Rc<HeldRequest>) {
+    pub fn client_leaves(&mut self, request: &Rc<HeldRequest>) {
         if request.over.replace(true) {
             return;
         }
--- a/crates/pearfront-emulator/src/model/hosts.rs
+++ b/crates/pearfront-emulator/src/model/hosts.rs
@@ -1,7 +1,7 @@
 //! Machines of the model play: servers at their addresses, the effect of troubles on them, and the attempts
 //! that reach them.
 
-use super::nodes::{Flight, Node};
+use super::nodes::{AttemptInFlight, Node};
 use super::{Event, SIDECAR_DELAY_MS, World};
 use crate::active_troubles::{ActiveTroubles, State};
 use crate::decide::{SeesAll, Truth};
@@ -18,7 +18,7 @@
 
 /// An attempt as the ticket given to its server; compared by identity.
 #[derive(Clone)]
-pub struct Ticket(pub Rc<Flight>);
+pub struct Ticket(pub Rc<AttemptInFlight>);
 
 impl PartialEq for Ticket {
     fn eq(&self, other: &Self) -> bool {
@@ -43,7 +43,7 @@
     pub server: RefCell<Server<Ticket>>,
     /// Its own node, through which its calls go.
     pub node: RefCell<Option<Rc<Node>>>,
-    pub flights: RefCell<Vec<Rc<Flight>>>,
+    pub flights: RefCell<Vec<Rc<AttemptInFlight>>>,
     pub active_troubles: ActiveTroubles,
     version: Cell<u64>,
 }
@@ -80,11 +80,11 @@
     }
 
     /// A replacement for this host that is not up yet.
-    pub fn twin(&self, scenario: &Scenario, address: Address) -> Rc<Self> {
+    pub fn successor(&self, scenario: &Scenario, address: Address) -> Rc<Self> {
         let place = (self.tier, self.zone, self.cell, self.kind);
-        let twin = Self::new(scenario, address, place, format!("{}+", self.id.borrow()), State::Down);
-        twin.life.set(self.life.get());
-        twin
+        let successor = Self::new(scenario, address, place, format!("{}+", self.id.borrow()), State::Down);
+        successor.life.set(self.life.get());
+        successor
     }
 
     pub fn is_up(&self) -> bool {
@@ -93,7 +93,7 @@
 }
 
 /// Share of complete and correct answers above which `sees-all` uses a server without restriction.
-const SOUND: f64 = 0.95;
+const MIN_SOUND_SHARE: f64 = 0.95;
 
 #[derive(Default)]
 pub struct Fleet {
@@ -130,13 +130,13 @@
         let capacity = server.capacity(self.now.get());
         let sound = host.active_troubles.unaffected_share(What::FastErrors)
             * host.active_troubles.unaffected_share(What::LostAnswers)
-            > SOUND;
+            > MIN_SOUND_SHARE;
         let up = host.is_up() && !host.draining.get() && capacity > 0.0;
         // Attempts in flight count the same as those that have arrived.
         let coming = host.flights.borrow().iter().filter(|flight| flight.attempt.get().is_none()).count();
         let each = if server.held() > 0 { server.work_left() / server.held() as f64 } else { 0.0 };
         let held = (server.held() + coming) as f64;
-        let most = server.room() * server.warm_share(self.now.get());
+        let most = server.uncrowded_capacity() * server.warm_share(self.now.get());
         Some(Truth {
             work: server.work_left() + each * coming as f64,
             capacity,
@@ -221,7 +221,7 @@
         }
     }
 
-    pub fn attempt_arrives(&mut self, flight: &Rc<Flight>) {
+    pub fn attempt_arrives(&mut self, flight: &Rc<AttemptInFlight>) {
         let host = flight.host.clone();
         if flight.starts != host.starts.get() || !host.is_up() {
             return;
@@ -268,7 +268,7 @@
     fn repeats(
         &self,
         host: &Host,
-        flight: &Flight,
+        flight: &AttemptInFlight,
         ask: impl Fn(&mut DedupKeys, u64, f64, f64) -> bool,
     ) -> bool {
         let profile = flight.request.profile;
@@ -278,7 +278,7 @@
         repeats.is_some_and(|repeats| ask(repeats, flight.request.key, self.now, window))
     }
 
-    fn served(&mut self, host: &Rc<Host>, flight: &Rc<Flight>) {
+    fn served(&mut self, host: &Rc<Host>, flight: &Rc<AttemptInFlight>) {
         let keyed = self.scenario.profiles[flight.request.profile].effect == Effect::Keyed;
         let first = self.repeats(host, flight, DedupKeys::work_through);
         if let Some(attempt) = flight.attempt.get() {
@@ -289,7 +289,13 @@
 
     /// The server has finished an attempt: records it and answers, unless the client left or the answer is
     /// lost.
-    fn server_ends(&mut self, host: &Rc<Host>, flight: &Rc<Flight>, end: AttemptEnd, ending: AttemptOutcome) {
+    fn server_ends(
+        &mut self,
+        host: &Rc<Host>,
+        flight: &Rc<AttemptInFlight>,
+        end: AttemptEnd,
+        ending: AttemptOutcome,
+    ) {
         host.flights.borrow_mut().retain(|other| !Rc::ptr_eq(other, flight));
         if let Some(attempt) = flight.attempt.get() {
             self.records.attempts[attempt].ended = Some((self.now, end));
@@ -302,9 +308,9 @@
         }
     }
 
-    fn call_next_tier(&mut self, host: &Rc<Host>, flight: &Rc<Flight>) {
+    fn call_next_tier(&mut self, host: &Rc<Host>, flight: &Rc<AttemptInFlight>) {
         let node = host.node.borrow().clone();
-        let left = flight.request.limit - self.now;
+        let left = flight.request.deadline - self.now;
         match node {
             Some(node) if left > 0.0 => {
                 let call = self.new_call(&node, flight);
@@ -315,7 +321,7 @@
     }
 
     /// The call that a request was waiting for has ended.
-    pub fn call_ended(&mut self, host: &Rc<Host>, flight: &Rc<Flight>, good: bool) {
+    pub fn call_ended(&mut self, host: &Rc<Host>, flight: &Rc<AttemptInFlight>, good: bool) {
         if flight.starts != host.starts.get() || !host.is_up() {
             return;
         }
@@ -325,7 +331,7 @@
         }
     }
 
-    pub fn call_off_arrives(&mut self, flight: &Rc<Flight>) {
+    pub fn call_off_arrives(&mut self, flight: &Rc<AttemptInFlight>) {
         let host = flight.host.clone();
         let Some(attempt) = flight.attempt.get().filter(|_| flight.starts == host.starts.get()) else {
             return;
--- a/crates/pearfront-emulator/src/model/mod.rs
+++ b/crates/pearfront-emulator/src/model/mod.rs
@@ -13,11 +13,11 @@
 use crate::platform;
 use crate::record::{Answer, Records};
 use crate::scenario::Scenario;
-use crate::workload::Drawn;
+use crate::workload::PlannedAsk;
 use clients::{AskState, Front};
 use directory::Directory;
 use hosts::{Fleet, Host};
-use nodes::{Flight, HeldRequest, Node, NodeHost};
+use nodes::{AttemptInFlight, HeldRequest, Node, NodeHost};
 use pearfront::interface::{Address, AttemptOutcome, Settings};
 use rand::prelude::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -42,15 +42,15 @@
 }
 
 enum Event {
-    Ask(Drawn),
+    Ask(PlannedAsk),
     Try(Rc<AskState>),
     Take(Rc<Node>, Rc<HeldRequest>),
     Round(Rc<Node>),
-    AttemptArrives(Rc<Flight>),
-    AttemptTimesOut(Rc<Flight>),
+    AttemptArrives(Rc<AttemptInFlight>),
+    AttemptTimesOut(Rc<AttemptInFlight>),
     /// Reported to its node, which may have ended the attempt already.
-    AttemptEnds(Rc<Flight>, AttemptOutcome, u64),
-    CallOffArrives(Rc<Flight>),
+    AttemptEnds(Rc<AttemptInFlight>, AttemptOutcome, u64),
+    CallOffArrives(Rc<AttemptInFlight>),
     HostDue(Rc<Host>, u64),
     ProbeArrives(Rc<Node>, Address, f64),
     ProbeAnswered(Rc<Node>, Address, bool, Vec<f64>, f64),
@@ -110,7 +110,7 @@
         if at > scenario.length() && world.front.open == 0 {
             break;
         }
-        world.happen(event);
+        world.handle_event(event);
     }
     world.records
 }
@@ -153,14 +153,14 @@
     fn begin(&mut self) {
         self.build_fleet();
         self.directory.publish_all(&self.fleet);
-        self.build_seats();
+        self.build_node_hosts();
         for trouble in 0..self.scenario.troubles.len() {
             self.event_queue.put(self.scenario.troubles[trouble].at_s * 1000.0, Event::Begin(trouble));
         }
         self.next_ask();
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Ask(ask) => self.ask(ask),
             Event::Try(ask) => self.try_ask(&ask),
@@ -176,7 +176,7 @@
                 self.probe_answered(&node, address, good, report, sent);
             }
             Event::Answered(request, answer, body, wait) => self.answered(&request, answer, body, wait),
-            Event::ClientLeaves(request) => self.caller_leaves(&request),
+            Event::ClientLeaves(request) => self.client_leaves(&request),
             Event::WatchAnswered(node, good) => self.watch_answered(&node, good),
             Event::Publish(line) => self.publish(line),
             Event::ListUpdate(node, lines, whole) => self.list_received(&node, lines, whole, false),
@@ -187,7 +187,7 @@
             Event::EndHost(host, life) => self.end_host(&host, life),
             Event::StartHost(host) => self.start_host(&host),
             Event::DrainHost(host) => self.drain_host(&host),
-            Event::FrontDrops(node_host) => node_host.dealt.set(false),
+            Event::FrontDrops(node_host) => node_host.in_rotation.set(false),
             Event::EndNode(node_host, life) => self.end_node(&node_host, life),
             Event::StartNode(node_host) => self.start_node(&node_host),
             Event::FrontNotices(node_host, up) => self.front_notices(&node_host, up),
@@ -201,7 +201,7 @@
         base * (1.0 + network.jitter * self.net.random::<f64>())
     }
 
-    fn caller_hop(&mut self) -> f64 {
+    fn client_hop(&mut self) -> f64 {
         let network = &self.scenario.network;
         network.caller_ms * (1.0 + network.jitter * self.net.random::<f64>())
     }
--- a/crates/pearfront-emulator/src/model/nodes.rs
+++ b/crates/pearfront-emulator/src/model/nodes.rs
@@ -4,7 +4,7 @@
 use super::hosts::Host;
 use super::{Event, World};
 use crate::active_troubles::State;
-use crate::decide::{Action, Decider, Fault, Input, Module, Plain, Policy};
+use crate::decide::{Action, Baseline, Decider, Fault, Input, Module, Policy};
 use crate::list::Line;
 use crate::record::{Answer, ListUpdate, NodeEnd, NodeLife, RequestRecord};
 use pearfront::interface::{Address, AttemptOutcome, ListedServer, ServerState};
@@ -14,13 +14,13 @@
 use std::rc::Rc;
 
 /// Share of the stated idle time-out for which a node keeps a connection.
-const KEPT: f64 = 0.8;
+const IDLE_KEEP_SHARE: f64 = 0.8;
 /// Time-out of a probe, ms.
-const PROBE_TIME: f64 = 250.0;
+const PROBE_TIMEOUT_MS: f64 = 250.0;
 /// Interval, ms, at which a node closes expired idle connections.
-const SWEEP: f64 = 5000.0;
+const SWEEP_INTERVAL_MS: f64 = 5000.0;
 /// A driver with the fault `LosesRequests` loses one request in this many.
-const LOSES_ONE_IN: u64 = 50;
+const LOSS_INTERVAL: u64 = 50;
 
 /// A place where nodes of the first tier run, one life after another.
 pub struct NodeHost {
@@ -30,7 +30,7 @@
     /// Weight of its share of the traffic.
     pub weight: Cell<f64>,
     /// Whether the front sends requests to it.
-    pub dealt: Cell<bool>,
+    pub in_rotation: Cell<bool>,
     pub starts: Cell<u64>,
     /// The server list as the previous node knew it.
     pub known: RefCell<Vec<Line>>,
@@ -63,7 +63,7 @@
 pub enum From {
     Caller(Rc<super::clients::AskState>),
     /// The attempt for which its server makes this call.
-    Server(Rc<Flight>),
+    Server(Rc<AttemptInFlight>),
 }
 
 pub struct HeldRequest {
@@ -75,21 +75,21 @@
     pub key: u64,
     pub profile: usize,
     pub customer: usize,
-    pub limit: f64,
+    pub deadline: f64,
     /// Work of this tier, ms, and of the whole ask over all tiers.
     pub work: f64,
     pub whole_work: f64,
     /// Number of requests of this tier that one ask causes.
     pub fan: f64,
     pub from: From,
-    pub attempts: RefCell<Vec<Rc<Flight>>>,
+    pub attempts: RefCell<Vec<Rc<AttemptInFlight>>>,
     pub answered: Cell<bool>,
     /// The final answer was sent.
     pub over: Cell<bool>,
 }
 
 /// An attempt in flight.
-pub struct Flight {
+pub struct AttemptInFlight {
     pub request: Rc<HeldRequest>,
     pub number: usize,
     pub host: Rc<Host>,
@@ -104,7 +104,7 @@
 }
 
 impl World {
-    pub fn build_seats(&mut self) {
+    pub fn build_node_hosts(&mut self) {
         let zones = self.scenario.zones.len();
         for number in 0..self.scenario.nodes.count {
             let node_host = Rc::new(NodeHost {
@@ -112,7 +112,7 @@
                 zone: (number % zones) as u16,
                 node: RefCell::default(),
                 weight: Cell::new(1.0),
-                dealt: Cell::new(true),
+                in_rotation: Cell::new(true),
                 starts: Cell::new(0),
                 known: RefCell::new(self.directory.lines(0)),
             });
@@ -122,7 +122,7 @@
         let calling = |host: &&Rc<Host>| host.tier + 1 < self.scenario.tiers.len();
         let hosts: Vec<Rc<Host>> = self.fleet.hosts.borrow().iter().filter(calling).cloned().collect();
         for host in hosts {
-            self.start_node_beside(&host);
+            self.start_sidecar(&host);
         }
     }
 
@@ -141,7 +141,7 @@
     }
 
     /// Starts a server's own node, which sends to the next tier; it starts and ends with the server.
-    pub fn start_node_beside(&mut self, host: &Rc<Host>) {
+    pub fn start_sidecar(&mut self, host: &Rc<Host>) {
         let known = self.directory.lines(host.tier + 1);
         let node = self.new_node(format!("by-{}", host.id.borrow()), host.tier + 1, host.zone, known);
         *host.node.borrow_mut() = Some(node);
@@ -156,7 +156,7 @@
             // An injected fault affects only nodes of the first tier; nodes behind them work correctly.
             _ => {
                 let fault = fault.filter(|_| tier == 0);
-                Box::new(Plain::new(policy, fault, settings, salt, self.fleet.clone()))
+                Box::new(Baseline::new(policy, fault, settings, salt, self.fleet.clone()))
             }
         };
         let life = self.records.nodes.len();
@@ -181,7 +181,7 @@
         });
         self.directory.watchers.push(node.clone());
         self.list_received(&node, known, true, true);
-        self.event_queue.put(self.now + SWEEP, Event::Sweep(node.clone()));
+        self.event_queue.put(self.now + SWEEP_INTERVAL_MS, Event::Sweep(node.clone()));
         node
     }
 
@@ -218,9 +218,9 @@
     fn act(&mut self, node: &Rc<Node>, act: Action) {
         let request = |number: u32| node.requests.borrow().get(&number).cloned();
         match act {
-            Action::Attempt { request: number, server, limit } => {
+            Action::Attempt { request: number, server, time_left } => {
                 if let Some(request) = request(number) {
-                    self.attempt(node, &request, server, limit);
+                    self.attempt(node, &request, server, time_left);
                 }
             }
             Action::CallOff { request: number, attempt } => {
@@ -258,19 +258,19 @@
         node.numbered.set(number.wrapping_add(1));
         request.number.set(number);
         node.requests.borrow_mut().insert(number, request.clone());
-        let limit = request.limit - node.started;
+        let deadline = request.deadline - node.started;
         let (profile, customer) = (request.profile, request.customer);
-        self.queue_input(node, Input::Request { id: number, profile, customer, limit });
+        self.queue_input(node, Input::Request { id: number, profile, customer, deadline });
     }
 
     /// A call to the next tier that a server makes for an attempt in progress.
-    pub fn new_call(&mut self, node: &Rc<Node>, flight: &Rc<Flight>) -> Rc<HeldRequest> {
+    pub fn new_call(&mut self, node: &Rc<Node>, flight: &Rc<AttemptInFlight>) -> Rc<HeldRequest> {
         let (above, scenario) = (&flight.request, self.scenario.clone());
         let fan = above.fan * f64::from(scenario.tiers[node.tier - 1].calls);
-        self.new_job(node, above, scenario.tiers[node.tier].work / fan, fan, From::Server(flight.clone()))
+        self.new_request(node, above, scenario.tiers[node.tier].work / fan, fan, From::Server(flight.clone()))
     }
 
-    fn new_job(
+    fn new_request(
         &mut self,
         node: &Rc<Node>,
         above: &HeldRequest,
@@ -289,7 +289,7 @@
             profile: above.profile,
             key: above.key,
             sent: self.now,
-            limit: above.limit,
+            deadline: above.deadline,
             left: None,
             answers: Vec::new(),
             cut: false,
@@ -303,7 +303,7 @@
             key: above.key,
             profile: above.profile,
             customer: above.customer,
-            limit: above.limit,
+            deadline: above.deadline,
             work: above.whole_work * share,
             whole_work: above.whole_work,
             fan,
@@ -314,12 +314,12 @@
         })
     }
 
-    fn attempt(&mut self, node: &Rc<Node>, request: &Rc<HeldRequest>, server: Address, limit: f64) {
+    fn attempt(&mut self, node: &Rc<Node>, request: &Rc<HeldRequest>, server: Address, time_left: f64) {
         let Some(host) = self.fleet.host(server) else {
             return self.lone_end(node, request);
         };
         let kept = self.kept_connection(node, &host);
-        let flight = Rc::new(Flight {
+        let flight = Rc::new(AttemptInFlight {
             request: request.clone(),
             number: request.attempts.borrow().len(),
             host: host.clone(),
@@ -330,7 +330,7 @@
             ended: Cell::new(false),
         });
         request.attempts.borrow_mut().push(flight.clone());
-        self.event_queue.put(self.now + limit.max(0.0), Event::AttemptTimesOut(flight.clone()));
+        self.event_queue.put(self.now + time_left.max(0.0), Event::AttemptTimesOut(flight.clone()));
         let (there, back) = (self.hop(node.zone, host.zone), self.hop(host.zone, node.zone));
         let ends = |ending| Event::AttemptEnds(flight.clone(), ending, 0);
         if let Some((used, starts)) = kept {
@@ -378,7 +378,7 @@
     fn kept_connection(&self, node: &Node, host: &Host) -> Option<(f64, u64)> {
         let mut idle = node.idle.borrow_mut();
         let kept = idle.get_mut(&host.address)?.pop()?;
-        let fresh = self.now - kept.0 < KEPT * self.scenario.nodes.idle_s * 1000.0;
+        let fresh = self.now - kept.0 < IDLE_KEEP_SHARE * self.scenario.nodes.idle_s * 1000.0;
         if !fresh && kept.1 == host.starts.get() {
             host.server.borrow_mut().disconnect();
         }
@@ -392,20 +392,20 @@
         let fleet = self.fleet.clone();
         for (address, kept) in node.idle.borrow_mut().iter_mut() {
             let Some(host) = fleet.host(*address) else { continue };
-            let most = (KEPT * self.scenario.nodes.idle_s * 1000.0)
+            let most = (IDLE_KEEP_SHARE * self.scenario.nodes.idle_s * 1000.0)
                 .min(host.active_troubles.idle(self.scenario.tiers[host.tier].server.idle_s));
             let before = kept.len();
             // A connection that the server has closed meanwhile is detected at its next use, as on sockets.
-            kept.retain(|(used, _)| self.now - used < KEPT * self.scenario.nodes.idle_s * 1000.0);
+            kept.retain(|(used, _)| self.now - used < IDLE_KEEP_SHARE * self.scenario.nodes.idle_s * 1000.0);
             let closed = kept.iter().filter(|(used, _)| self.now - used >= most).count();
             for _ in 0..(before - kept.len()).saturating_sub(closed) {
                 host.server.borrow_mut().disconnect();
             }
         }
-        self.event_queue.put(self.now + SWEEP, Event::Sweep(node.clone()));
+        self.event_queue.put(self.now + SWEEP_INTERVAL_MS, Event::Sweep(node.clone()));
     }
 
-    pub fn attempt_times_out(&mut self, flight: &Rc<Flight>) {
+    pub fn attempt_times_out(&mut self, flight: &Rc<AttemptInFlight>) {
         if !flight.ended.get() {
             // Not written if the connection was never established: the attempt was reported as unconnected
             // before.
@@ -414,7 +414,7 @@
     }
 
     /// The outcome of an attempt has reached its node.
-    pub fn attempt_ends(&mut self, flight: &Rc<Flight>, ending: AttemptOutcome, body: u64) {
+    pub fn attempt_ends(&mut self, flight: &Rc<AttemptInFlight>, ending: AttemptOutcome, body: u64) {
         if flight.ended.get() || !flight.request.node.alive.get() {
             return;
         }
@@ -430,7 +430,7 @@
     }
 
     /// Ends an attempt at its node; `gives_up` closes the connection, which notifies the server.
-    fn attempt_over(&mut self, flight: &Rc<Flight>, ending: AttemptOutcome, gives_up: bool) {
+    fn attempt_over(&mut self, flight: &Rc<AttemptInFlight>, ending: AttemptOutcome, gives_up: bool) {
         flight.ended.set(true);
         let (request, host) = (&flight.request, &flight.host);
         if gives_up {
@@ -458,23 +458,23 @@
         let mut body = body;
         if request.node.tier == 0 {
             match self.options.fault {
-                Some(Fault::LosesRequests) if request.trace.is_multiple_of(LOSES_ONE_IN) => {
+                Some(Fault::LosesRequests) if request.trace.is_multiple_of(LOSS_INTERVAL) => {
                     return self.forget(request);
                 }
                 Some(Fault::SwapsAnswers) if answer == Answer::Served => {
                     self.swaps += 1;
                     let last = std::mem::replace(&mut self.last_body, body);
-                    body = if self.swaps.is_multiple_of(LOSES_ONE_IN) { last } else { body };
+                    body = if self.swaps.is_multiple_of(LOSS_INTERVAL) { last } else { body };
                 }
-                Some(Fault::AnswersTwice) if request.trace.is_multiple_of(LOSES_ONE_IN) => {
-                    let hop = self.caller_hop();
+                Some(Fault::AnswersTwice) if request.trace.is_multiple_of(LOSS_INTERVAL) => {
+                    let hop = self.client_hop();
                     self.event_queue
                         .put(self.now + hop + 1.0, Event::Answered(request.clone(), answer, body, wait));
                 }
                 _ => {}
             }
         }
-        let hop = if request.node.tier == 0 { self.caller_hop() } else { super::SIDECAR_DELAY_MS };
+        let hop = if request.node.tier == 0 { self.client_hop() } else { super::SIDECAR_DELAY_MS };
         self.event_queue.put(self.now + hop, Event::Answered(request.clone(), answer, body, wait));
         self.forget(request);
     }
@@ -491,7 +491,7 @@
         let hop = self.hop(node.zone, zone);
         self.event_queue.put(self.now + hop, Event::ProbeArrives(node.clone(), server, self.now));
         let failed = Event::ProbeAnswered(node.clone(), server, false, Vec::new(), self.now);
-        self.event_queue.put(self.now + PROBE_TIME, failed);
+        self.event_queue.put(self.now + PROBE_TIMEOUT_MS, failed);
     }
 
     pub fn probe_answered(
@@ -605,7 +605,7 @@
     pub fn front_notices(&mut self, node_host: &Rc<NodeHost>, up: bool) {
         let there = node_host.node.borrow().is_some();
         if there == up {
-            node_host.dealt.set(up);
+            node_host.in_rotation.set(up);
         }
     }
 }
--- a/crates/pearfront-emulator/src/model/script.rs
+++ b/crates/pearfront-emulator/src/model/script.rs
@@ -13,9 +13,9 @@
 use std::rc::Rc;
 
 /// How long, ms, clients still send to a node after SIGTERM.
-const COMES_ON: f64 = 300.0;
+const SEND_AFTER_SIGTERM_MS: f64 = 300.0;
 /// Longest time, ms, that a node may take to end after SIGTERM.
-const END_MOST: f64 = 3400.0;
+const MAX_SHUTDOWN_MS: f64 = 3400.0;
 
 impl World {
     pub fn begin_trouble(&mut self, place: usize) {
@@ -28,9 +28,9 @@
             }
             What::DiscoveryOld => self.directory.old += 1,
             What::KillNodes | What::RestartNodes | What::HotNode | What::Sighup => {
-                self.strike_nodes(&trouble)
+                self.apply_to_nodes(&trouble)
             }
-            _ => self.strike_hosts(place, &trouble),
+            _ => self.apply_to_hosts(place, &trouble),
         }
         if trouble.with_nodes {
             self.kill_zone(&trouble);
@@ -75,7 +75,7 @@
         hosts
     }
 
-    fn strike_hosts(&mut self, place: usize, trouble: &Trouble) {
+    fn apply_to_hosts(&mut self, place: usize, trouble: &Trouble) {
         let hosts = self.targets(trouble);
         let names: Vec<String> = hosts.iter().take(8).map(|host| host.id.borrow().clone()).collect();
         self.note(format!(
@@ -159,7 +159,7 @@
         *host.server.borrow_mut() = server;
         self.record_life(host);
         if host.tier + 1 < scenario.tiers.len() {
-            self.start_node_beside(host);
+            self.start_sidecar(host);
         }
         self.announce(host, ServerState::Ready, 0.0);
     }
@@ -198,7 +198,7 @@
 
     /// A machine that is not up yet, to replace another one.
     fn replacement(&self, host: &Host) -> Rc<Host> {
-        let new = host.twin(&self.scenario, self.fleet.fresh_address());
+        let new = host.successor(&self.scenario, self.fleet.fresh_address());
         self.fleet.at.borrow_mut().insert(new.address, new.clone());
         self.fleet.hosts.borrow_mut().push(new.clone());
         new
@@ -210,7 +210,7 @@
         }
     }
 
-    fn strike_nodes(&mut self, trouble: &Trouble) {
+    fn apply_to_nodes(&mut self, trouble: &Trouble) {
         let zone = self.scenario.zone_of(trouble);
         let fits = |node_host: &&Rc<NodeHost>| zone.is_none_or(|zone| usize::from(node_host.zone) == zone);
         let mut node_hosts: Vec<Rc<NodeHost>> = self.node_hosts.iter().filter(fits).cloned().collect();
@@ -237,8 +237,8 @@
         let Some(node) = node_host.node.borrow().clone() else { return };
         let longest =
             self.scenario.profiles.iter().fold(0.0, |most: f64, profile| most.max(profile.deadline_ms));
-        let ends = longest.min(END_MOST - COMES_ON) + COMES_ON;
-        self.event_queue.put(self.now + COMES_ON, Event::FrontDrops(node_host.clone()));
+        let ends = longest.min(MAX_SHUTDOWN_MS - SEND_AFTER_SIGTERM_MS) + SEND_AFTER_SIGTERM_MS;
+        self.event_queue.put(self.now + SEND_AFTER_SIGTERM_MS, Event::FrontDrops(node_host.clone()));
         let at = self.now + ends - node.started;
         self.queue_input(&node, Input::Closing { at });
         self.event_queue
--- a/crates/pearfront-emulator/src/record.rs
+++ b/crates/pearfront-emulator/src/record.rs
@@ -44,7 +44,7 @@
     pub key: u64,
     pub sent: f64,
     /// Deadline: when its client stops waiting.
-    pub limit: f64,
+    pub deadline: f64,
     pub left: Option<f64>,
     pub answers: Vec<Answered>,
     /// The connection was refused or reset before the request ended; permitted only for a killed node.
--- a/crates/pearfront-emulator/src/scenario/check.rs
+++ b/crates/pearfront-emulator/src/scenario/check.rs
@@ -13,18 +13,18 @@
         self.tiers.iter().enumerate().try_for_each(|(at, tier)| self.check_tier(at, tier))?;
         self.check_profiles()?;
         self.check_customers()?;
-        self.check_callers()?;
+        self.check_clients()?;
         self.check_surroundings()?;
         self.check_recorded()?;
         self.troubles.iter().enumerate().try_for_each(|(at, trouble)| self.check_trouble(at, trouble))
     }
 
     fn check_lists(&self) -> Result<(), (String, String)> {
-        some("zones", self.zones.len())?;
-        some("kinds", self.kinds.len())?;
-        some("tiers", self.tiers.len())?;
-        some("profiles", self.profiles.len())?;
-        some("customers", self.customers.len())?;
+        non_empty("zones", self.zones.len())?;
+        non_empty("kinds", self.kinds.len())?;
+        non_empty("tiers", self.tiers.len())?;
+        non_empty("profiles", self.profiles.len())?;
+        non_empty("customers", self.customers.len())?;
         distinct("zones", self.zones.iter().map(String::as_str))?;
         distinct("kinds", self.kinds.iter().map(|kind| kind.name.as_str()))?;
         distinct("tiers", self.tiers.iter().map(|tier| tier.name.as_str()))?;
@@ -121,9 +121,9 @@
         within(&key("probe_work_ms"), behaviour.probe_work_ms, 0.0, 1000.0)
     }
 
-    fn check_callers(&self) -> Result<(), (String, String)> {
+    fn check_clients(&self) -> Result<(), (String, String)> {
         if let Rate::Curve(points) = &self.clients.rate {
-            some("callers.rate", points.len())?;
+            non_empty("callers.rate", points.len())?;
             if points.windows(2).any(|pair| pair[1].0 <= pair[0].0) {
                 return Err(("callers.rate".into(), "its seconds must rise".into()));
             }
@@ -220,7 +220,7 @@
     }
 }
 
-fn some(key: &str, count: usize) -> Result<(), (String, String)> {
+fn non_empty(key: &str, count: usize) -> Result<(), (String, String)> {
     if count > 0 { Ok(()) } else { Err((key.into(), "must have an entry".into())) }
 }
 
--- a/crates/pearfront-emulator/src/server.rs
+++ b/crates/pearfront-emulator/src/server.rs
@@ -143,7 +143,7 @@
     }
 
     /// Number of requests it can hold without becoming crowded or turning any away.
-    pub fn room(&self) -> f64 {
+    pub fn uncrowded_capacity(&self) -> f64 {
         (self.behaviour.crowded_at * self.cores)
             .min((self.slots + self.behaviour.queue) as f64)
             .floor()
@@ -270,7 +270,7 @@
             return self.stalled_until;
         }
         let least = own().map(|held| held.left).fold(f64::INFINITY, f64::min);
-        let done = self.now + (least / self.each()).max(0.0);
+        let done = self.now + (least / self.rate_per_request()).max(0.0);
         if self.warm_share(self.now) < 1.0 { done.min(self.now + COLD_STEP_MS) } else { done }
     }
 
@@ -314,17 +314,17 @@
     }
 
     /// Work per millisecond for each running request.
-    fn each(&self) -> f64 {
+    fn rate_per_request(&self) -> f64 {
         let active = self.held.iter().filter(|held| held.state == State::Own).count() as f64;
         self.capacity(self.now) / self.cores * (self.cores / active.max(1.0)).min(1.0)
     }
 
     fn work_until(&mut self, at: f64) {
-        let each = self.each();
+        let rate_per_request = self.rate_per_request();
         let time = at - self.now;
         let mut active = 0.0;
         for held in self.held.iter_mut().filter(|held| held.state == State::Own) {
-            held.left -= each * time;
+            held.left -= rate_per_request * time;
             active += 1.0;
         }
         let used = if self.fallen { 0.0 } else { f64::min(active, self.cores) * time };
--- a/crates/pearfront-emulator/src/sockets/clients.rs
+++ b/crates/pearfront-emulator/src/sockets/clients.rs
@@ -1,17 +1,17 @@
 //! The client side of a play on sockets: the nodes of the first tier, the front that distributes requests over
 //! them, and one task per ask.
 
-use super::http_client::{Asked, Client, Heard};
-use super::processes::{Process, Signal, says_up};
+use super::http_client::{Client, Reply, RequestData};
+use super::processes::{Process, Signal, reports_up};
 use super::{
-    Clock, FRONT_NODE, FRONT_NODE_CLUSTER, FRONT_NODE_DISCOVERY, NodeCommand, Places, Seen, config_among,
-    lateness,
+    AddressPlan, Clock, FRONT_NODE, FRONT_NODE_CLUSTER, FRONT_NODE_DISCOVERY, NodeCommand, SideRecords,
+    config_among, lateness,
 };
 use crate::list::{Line, address};
 use crate::platform;
 use crate::record::{Answer, Answered, Ask, NodeEnd, NodeLife, Records, RequestRecord};
 use crate::scenario::{Scenario, Trouble, What};
-use crate::workload::{Drawn, Workload, weighted};
+use crate::workload::{PlannedAsk, Workload, weighted};
 use hdrhistogram::Histogram;
 use pearfront::interface::ServerState;
 use rand::prelude::SeedableRng;
@@ -25,13 +25,13 @@
 use tokio::time::{sleep, sleep_until};
 
 /// How long clients still send to a node after SIGTERM.
-const COMES_ON: Duration = Duration::from_millis(300);
+const SEND_AFTER_SIGTERM: Duration = Duration::from_millis(300);
 /// Margin after the longest deadline of its requests (3 s at most) after which a node that got SIGTERM is
 /// killed.
-const KILLED_AFTER: Duration = Duration::from_millis(700);
-const LIMIT_MOST: f64 = 3000.0;
+const KILL_MARGIN: Duration = Duration::from_millis(700);
+const MAX_DEADLINE_MS: f64 = 3000.0;
 /// Poll interval while waiting for a node to be up again.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 struct NodeHost {
     number: usize,
@@ -39,7 +39,7 @@
     http_client: RefCell<Rc<Client>>,
     process: RefCell<Option<Process>>,
     weight: Cell<f64>,
-    dealt: Cell<bool>,
+    in_rotation: Cell<bool>,
     life: Cell<usize>,
     starts: Cell<u64>,
 }
@@ -48,7 +48,7 @@
     scenario: Rc<Scenario>,
     seed: u64,
     command: NodeCommand,
-    places: Places,
+    address_plan: AddressPlan,
     clock: Cell<Option<Clock>>,
     node_hosts: RefCell<Vec<Rc<NodeHost>>>,
     records: RefCell<Records>,
@@ -57,7 +57,7 @@
     open: Cell<usize>,
     /// Number of troubles still acting on nodes; a node that got SIGTERM is started again only after it has
     /// ended.
-    striking: Cell<usize>,
+    active_node_troubles: Cell<usize>,
     over: Notify,
     traces: Cell<u64>,
 }
@@ -68,21 +68,21 @@
         scenario: Rc<Scenario>,
         seed: u64,
         command: &NodeCommand,
-        places: Places,
+        address_plan: AddressPlan,
     ) -> Result<Rc<Self>, String> {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         rng.set_stream(6);
         let front = Rc::new(Self {
             seed,
             command: command.clone(),
-            places,
+            address_plan,
             clock: Cell::new(None),
             node_hosts: RefCell::default(),
             records: RefCell::default(),
             late: RefCell::new(lateness()),
             rng: RefCell::new(rng),
             open: Cell::new(0),
-            striking: Cell::new(0),
+            active_node_troubles: Cell::new(0),
             over: Notify::new(),
             traces: Cell::new(1),
             scenario: scenario.clone(),
@@ -91,10 +91,10 @@
             let node_host = Rc::new(NodeHost {
                 number,
                 zone: number % scenario.zones.len(),
-                http_client: RefCell::new(Client::new(scenario.clone(), places.at(FRONT_NODE, number))),
+                http_client: RefCell::new(Client::new(scenario.clone(), address_plan.at(FRONT_NODE, number))),
                 process: RefCell::default(),
                 weight: Cell::new(1.0),
-                dealt: Cell::new(true),
+                in_rotation: Cell::new(true),
                 life: Cell::new(0),
                 starts: Cell::new(0),
             });
@@ -126,10 +126,10 @@
         let seed = self.seed ^ 0x5ea7 ^ (node_host.number as u64) << 32 ^ node_host.starts.get() << 16;
         let name = format!("n{}", node_host.number);
         let (at, discovery) = (
-            self.places.at(FRONT_NODE, node_host.number),
-            self.places.at(FRONT_NODE_DISCOVERY, node_host.number),
+            self.address_plan.at(FRONT_NODE, node_host.number),
+            self.address_plan.at(FRONT_NODE_DISCOVERY, node_host.number),
         );
-        let among = (self.places, self.places.at(FRONT_NODE_CLUSTER, node_host.number));
+        let among = (self.address_plan, self.address_plan.at(FRONT_NODE_CLUSTER, node_host.number));
         let config = config_among(scenario, &settings, &known, seed, among);
         *node_host.process.borrow_mut() = Some(Process::start(&self.command, &name, at, discovery, &config)?);
         node_host.starts.set(node_host.starts.get() + 1);
@@ -150,7 +150,7 @@
         let machines = self.scenario.machines().enumerate().filter(|(_, (tier, _))| *tier == 0);
         let line = |(place, (tier, machine)): (usize, (usize, crate::scenario::Machine))| Line {
             id: format!("{}-{}", self.scenario.tiers[tier].name, machine.number),
-            address: address(self.places.at(super::SERVER, place)),
+            address: address(self.address_plan.at(super::SERVER, place)),
             tier,
             zone: machine.zone,
             cell: machine.cell,
@@ -169,7 +169,7 @@
         clock: Clock,
         mut shown: oneshot::Receiver<()>,
         progress: &mut dyn FnMut(f64),
-    ) -> Seen {
+    ) -> SideRecords {
         self.clock.set(Some(clock));
         for trouble in self.scenario.troubles.clone() {
             spawn_local(self.clone().trouble(trouble));
@@ -179,7 +179,7 @@
         for ask in Workload::new(self.scenario.clone(), self.seed) {
             sleep_until(clock.at(ask.at)).await;
             enough |= shown.try_recv().is_ok();
-            if enough && self.striking.get() == 0 {
+            if enough && self.active_node_troubles.get() == 0 {
                 break;
             }
             let late = (clock.now() - ask.at).max(0.0) * 1000.0;
@@ -201,10 +201,10 @@
                 process.kill().await;
             }
         }
-        Seen { records: self.records.take(), late: self.late.borrow().clone() }
+        SideRecords { records: self.records.take(), late: self.late.borrow().clone() }
     }
 
-    async fn ask(self: Rc<Self>, ask: Drawn) {
+    async fn ask(self: Rc<Self>, ask: PlannedAsk) {
         let place = {
             let mut records = self.records.borrow_mut();
             records.asks.push(Ask { at: ask.at, profile: ask.profile, customer: ask.customer });
@@ -214,9 +214,9 @@
         loop {
             tries += 1;
             let (wait, harmless) = match self.try_once(&ask, place).await {
-                Some(Heard::Answer { answer: Answer::Served, .. }) | None => break,
-                Some(Heard::Answer { answer, wait, .. }) => (wait, answer == Answer::Rejected),
-                Some(Heard::Refused | Heard::Cut) => (0.0, false),
+                Some(Reply::Answer { answer: Answer::Served, .. }) | None => break,
+                Some(Reply::Answer { answer, wait, .. }) => (wait, answer == Answer::Rejected),
+                Some(Reply::Refused | Reply::Cut) => (0.0, false),
             };
             let next = ask.next_try(&self.scenario, self.now(), tries, wait, harmless);
             let (Some(at), Some(clock)) = (next, self.clock.get()) else { break };
@@ -227,11 +227,11 @@
     }
 
     /// Makes one try; returns none if its client left.
-    async fn try_once(&self, ask: &Drawn, place: usize) -> Option<Heard> {
+    async fn try_once(&self, ask: &PlannedAsk, place: usize) -> Option<Reply> {
         let clock = self.clock.get()?;
-        let Some(node_host) = self.deal(ask.zone) else { return Some(Heard::Refused) };
+        let Some(node_host) = self.deal(ask.zone) else { return Some(Reply::Refused) };
         let trace = self.traces.replace(self.traces.get() + 2);
-        let asked = Asked {
+        let asked = RequestData {
             profile: ask.profile,
             customer: ask.customer,
             key: ask.key,
@@ -254,7 +254,7 @@
                     profile: ask.profile,
                     key: ask.key,
                     sent,
-                    limit: ask.limit,
+                    deadline: ask.deadline,
                     left: None,
                     answers: Vec::new(),
                     cut: false,
@@ -263,17 +263,17 @@
         };
         let http_client = node_host.http_client.borrow().clone();
         let until = clock.at(ask.leaves(&self.scenario, sent));
-        let asking = http_client.ask(trace, &asked, ask.limit - sent, accepted);
+        let asking = http_client.ask(trace, &asked, ask.deadline - sent, accepted);
         let heard = tokio::time::timeout_at(until, asking).await;
         let at = clock.now();
         if let Some(request) = request.get() {
             let request = &mut self.records.borrow_mut().requests[request];
             match heard {
-                Ok(Heard::Answer { answer, body, .. }) => request.answers.push(Answered { at, answer, body }),
-                Ok(Heard::Cut) => request.cut = true,
+                Ok(Reply::Answer { answer, body, .. }) => request.answers.push(Answered { at, answer, body }),
+                Ok(Reply::Cut) => request.cut = true,
                 // Written to a reused connection just as it was closed, and then refused on a new one: the
                 // request was never accepted.
-                Ok(Heard::Refused) | Err(_) => request.left = Some(at),
+                Ok(Reply::Refused) | Err(_) => request.left = Some(at),
             }
         }
         heard.ok()
@@ -284,7 +284,8 @@
     fn deal(&self, zone: usize) -> Option<Rc<NodeHost>> {
         let node_hosts = self.node_hosts.borrow();
         let at = |home: bool| {
-            let fits = |node_host: &&Rc<NodeHost>| node_host.dealt.get() && (!home || node_host.zone == zone);
+            let fits =
+                |node_host: &&Rc<NodeHost>| node_host.in_rotation.get() && (!home || node_host.zone == zone);
             node_hosts.iter().filter(fits).cloned().collect::<Vec<_>>()
         };
         let home = at(true);
@@ -326,11 +327,11 @@
             node_hosts.iter().map(|node_host| format!("n{}", node_host.number)).collect();
         self.note(format!("{:?} strikes nodes {}", trouble.what, names.join(" ")));
         for node_host in node_hosts {
-            self.striking.set(self.striking.get() + 1);
+            self.active_node_troubles.set(self.active_node_troubles.get() + 1);
             let (front, trouble) = (self.clone(), trouble.clone());
             spawn_local(async move {
                 front.clone().apply_trouble(trouble, node_host).await;
-                front.striking.set(front.striking.get() - 1);
+                front.active_node_troubles.set(front.active_node_troubles.get() - 1);
             });
         }
     }
@@ -361,7 +362,7 @@
                     process.kill().await;
                 }
                 sleep(Duration::from_secs_f64(self.scenario.clients.notice_s).min(lasts)).await;
-                node_host.dealt.set(false);
+                node_host.in_rotation.set(false);
                 sleep(lasts.saturating_sub(Duration::from_secs_f64(self.scenario.clients.notice_s))).await;
                 self.start_again(&node_host).await;
             }
@@ -376,11 +377,11 @@
         let process = node_host.process.take();
         let Some(mut process) = process else { return };
         process.signal(Signal::Term);
-        sleep(COMES_ON).await;
-        node_host.dealt.set(false);
+        sleep(SEND_AFTER_SIGTERM).await;
+        node_host.in_rotation.set(false);
         let longest =
             self.scenario.profiles.iter().fold(0.0, |most: f64, profile| most.max(profile.deadline_ms));
-        let patience = Duration::from_secs_f64(longest.min(LIMIT_MOST) / 1000.0) + KILLED_AFTER;
+        let patience = Duration::from_secs_f64(longest.min(MAX_DEADLINE_MS) / 1000.0) + KILL_MARGIN;
         if tokio::time::timeout(patience, process.ended()).await.is_err() {
             process.kill().await;
         }
@@ -392,11 +393,11 @@
         if let Err(problem) = self.start_node(node_host) {
             return log::warn!("{problem}");
         }
-        let address = self.places.at(FRONT_NODE, node_host.number);
+        let address = self.address_plan.at(FRONT_NODE, node_host.number);
         *node_host.http_client.borrow_mut() = Client::new(self.scenario.clone(), address);
-        while !says_up(address).await {
-            sleep(LOOK).await;
+        while !reports_up(address).await {
+            sleep(POLL_INTERVAL).await;
         }
-        node_host.dealt.set(true);
+        node_host.in_rotation.set(true);
     }
 }
--- a/crates/pearfront-emulator/src/sockets/discovery.rs
+++ b/crates/pearfront-emulator/src/sockets/discovery.rs
@@ -37,7 +37,7 @@
     /// reported.
     lines: RefCell<BTreeMap<String, (u64, Line)>>,
     version: Cell<u64>,
-    news: Notify,
+    changes: Notify,
     busy_until: Cell<f64>,
     down: Cell<u32>,
     old: Cell<u32>,
@@ -49,7 +49,7 @@
         Self {
             lines: RefCell::default(),
             version: Cell::new(1),
-            news: Notify::new(),
+            changes: Notify::new(),
             busy_until: Cell::new(f64::NEG_INFINITY),
             down: Cell::new(0),
             old: Cell::new(0),
@@ -83,10 +83,10 @@
         self.version.set(self.version.get() + 1);
         lines.insert(line.id.clone(), (self.version.get(), line));
         drop(lines);
-        self.news.notify_waiters();
+        self.changes.notify_waiters();
     }
 
-    pub fn grow_old(&self, old: bool) {
+    pub fn become_stale(&self, old: bool) {
         self.old.set(if old { self.old.get() + 1 } else { self.old.get() - 1 });
         if self.old.get() == 0 {
             self.held_back.take().into_iter().for_each(|line| self.publish(line));
@@ -95,7 +95,7 @@
 
     pub fn go_down(&self, down: bool) {
         self.down.set(if down { self.down.get() + 1 } else { self.down.get() - 1 });
-        self.news.notify_waiters();
+        self.changes.notify_waiters();
     }
 
     fn newer(&self, tier: usize, than: u64) -> Vec<Line> {
@@ -150,7 +150,7 @@
         let hold = Duration::from_millis(figure("hold_ms").unwrap_or(0).min(60_000));
         let until = Instant::now() + hold;
         loop {
-            let news = directory.news.notified();
+            let changes = directory.changes.notified();
             let lines = directory.newer(tier, from);
             if directory.down.get() > 0 {
                 return failed();
@@ -158,7 +158,7 @@
             if !lines.is_empty() {
                 return self.write(asker, false, directory.version.get(), lines);
             }
-            if timeout_at(until, news).await.is_err() {
+            if timeout_at(until, changes).await.is_err() {
                 return self.write(asker, false, from.max(directory.version.get()), Vec::new());
             }
         }
@@ -186,16 +186,16 @@
             // Servers that are missing from a whole list count as gone for this node.
             let all = self.directory.lines.borrow();
             for (_, line) in all.values().filter(|(_, line)| line.standing == ServerState::Gone) {
-                self.book(asker, line, at);
+                self.record_update(asker, line, at);
             }
         }
-        lines.iter().for_each(|line| self.book(asker, line, at));
+        lines.iter().for_each(|line| self.record_update(asker, line, at));
         let instances: Vec<_> = lines.iter().map(|line| line.json(&self.scenario, clock.began)).collect();
         let body = json!({"generation": version, "reset": whole, "instances": instances});
         answer(StatusCode::OK, body.to_string())
     }
 
-    fn book(&self, asker: &Asker, line: &Line, at: f64) {
+    fn record_update(&self, asker: &Asker, line: &Line, at: f64) {
         let update = |node| ListUpdate { node, server: line.life, standing: line.standing, at };
         match asker {
             Asker::NodeHost(number) => self.node_host_updates.borrow_mut().push((*number, update(0))),
--- a/crates/pearfront-emulator/src/sockets/fleet.rs
+++ b/crates/pearfront-emulator/src/sockets/fleet.rs
@@ -4,8 +4,8 @@
 use super::processes::{Process, Signal};
 use super::servers::Host;
 use super::{
-    Clock, Enough, FRONT_NODE_DISCOVERY, LOOK, NodeCommand, Places, SERVER, SIDECAR, SIDECAR_CLUSTER,
-    SIDECAR_DISCOVERY, Seen, config_among, lateness,
+    AddressPlan, Clock, EndCondition, FRONT_NODE_DISCOVERY, NodeCommand, POLL_INTERVAL, SERVER, SIDECAR,
+    SIDECAR_CLUSTER, SIDECAR_DISCOVERY, SideRecords, config_among, lateness,
 };
 use crate::active_troubles::{ActiveTroubles, State};
 use crate::dedup::DedupGroups;
@@ -41,23 +41,23 @@
     pub node_host_updates: RefCell<Vec<(usize, ListUpdate)>>,
     troubles: RefCell<ChaCha8Rng>,
     command: NodeCommand,
-    places: Places,
+    address_plan: AddressPlan,
     traces: Cell<u64>,
     seed: u64,
 }
 
-pub struct FleetSeen {
-    pub seen: Seen,
+pub struct FleetRecords {
+    pub seen: SideRecords,
     pub node_host_updates: Vec<(usize, ListUpdate)>,
 }
 
 /// Channels between the fleet's thread and the clients' thread.
 pub struct Signals {
     pub ready: oneshot::Sender<Result<(), String>>,
-    pub goes: oneshot::Receiver<Clock>,
+    pub start_signal: oneshot::Receiver<Clock>,
     /// Signalled once the play has shown enough, if there is a condition for that.
-    pub enough: Option<(Enough, oneshot::Sender<()>)>,
-    pub stops: oneshot::Receiver<()>,
+    pub enough: Option<(EndCondition, oneshot::Sender<()>)>,
+    pub stop_signal: oneshot::Receiver<()>,
 }
 
 /// Runs the fleet, from before the nodes of the first tier start until it is stopped.
@@ -65,18 +65,18 @@
     scenario: Rc<Scenario>,
     seed: u64,
     command: NodeCommand,
-    places: Places,
+    address_plan: AddressPlan,
     signals: Signals,
-) -> Result<FleetSeen, String> {
-    let side = Side::new(scenario, seed, command, places);
+) -> Result<FleetRecords, String> {
+    let side = Side::new(scenario, seed, command, address_plan);
     let built = side.build().await;
     let failed = built.is_err();
     if signals.ready.send(built).is_err() || failed {
         return Err("the fleet did not start".into());
     }
-    let clock = signals.goes.await.map_err(|_| "the nodes did not start".to_string())?;
+    let clock = signals.start_signal.await.map_err(|_| "the nodes did not start".to_string())?;
     side.clock.set(clock);
-    side.hosts.borrow().iter().for_each(|host| host.bell.notify_one());
+    side.hosts.borrow().iter().for_each(|host| host.due_changed.notify_one());
     for place in 0..side.scenario.troubles.len() {
         spawn_local(side.clone().trouble(place));
     }
@@ -84,12 +84,12 @@
         spawn_local(side.clone().watch(enough, shown));
     }
     // The receiver may have ended already.
-    let _ = signals.stops.await;
+    let _ = signals.stop_signal.await;
     Ok(side.close().await)
 }
 
 impl Side {
-    fn new(scenario: Rc<Scenario>, seed: u64, command: NodeCommand, places: Places) -> Rc<Self> {
+    fn new(scenario: Rc<Scenario>, seed: u64, command: NodeCommand, address_plan: AddressPlan) -> Rc<Self> {
         let stream = |number: u64| {
             let mut rng = ChaCha8Rng::seed_from_u64(seed);
             rng.set_stream(number);
@@ -107,7 +107,7 @@
             node_host_updates: RefCell::default(),
             troubles: stream(3),
             command,
-            places,
+            address_plan,
             traces: Cell::new(2),
             seed,
             scenario,
@@ -135,13 +135,13 @@
             self.directory.put(&line(&host, ServerState::Ready));
         }
         for number in 0..self.scenario.nodes.count {
-            let at = self.places.at(FRONT_NODE_DISCOVERY, number);
+            let at = self.address_plan.at(FRONT_NODE_DISCOVERY, number);
             self.serve_directory(at, 0, super::discovery::Asker::NodeHost(number))?;
         }
         let calling: Vec<Rc<Host>> =
             self.hosts.borrow().iter().filter(|host| self.calls(host)).cloned().collect();
         for host in &calling {
-            let at = self.places.at(SIDECAR_DISCOVERY, host.place);
+            let at = self.address_plan.at(SIDECAR_DISCOVERY, host.place);
             self.serve_directory(at, host.tier + 1, super::discovery::Asker::Sidecar(host.clone()))?;
             self.start_node(host)?;
         }
@@ -162,7 +162,7 @@
             Server::new(&scenario.kinds[kind], behaviour, &scenario.rules, f64::NEG_INFINITY, f64::MIN);
         let place = self.hosts.borrow().len();
         let host = Rc::new(Host {
-            address: address(self.places.at(SERVER, place)),
+            address: address(self.address_plan.at(SERVER, place)),
             tier,
             zone,
             cell,
@@ -174,7 +174,7 @@
             started: Cell::new(f64::NEG_INFINITY),
             server: RefCell::new(server),
             active_troubles: ActiveTroubles::default(),
-            bell: Notify::new(),
+            due_changed: Notify::new(),
             starts: watch::Sender::new(0),
             listening: RefCell::default(),
             node: RefCell::default(),
@@ -203,7 +203,7 @@
             }
             self.catch_up(&host);
             host.server.borrow_mut().stall_until(at + behaviour.pause_ms);
-            host.bell.notify_one();
+            host.due_changed.notify_one();
         }
     }
 
@@ -218,9 +218,9 @@
         let known: Vec<_> = lines.iter().map(|line| line.json(scenario, began)).collect();
         let seed = self.seed ^ (host.place as u64) << 32 ^ *host.starts.borrow();
         let name = format!("by-{}", host.place);
-        let listen = self.places.at(SIDECAR, host.place);
-        let discovery = self.places.at(SIDECAR_DISCOVERY, host.place);
-        let among = (self.places, self.places.at(SIDECAR_CLUSTER, host.place));
+        let listen = self.address_plan.at(SIDECAR, host.place);
+        let discovery = self.address_plan.at(SIDECAR_DISCOVERY, host.place);
+        let among = (self.address_plan, self.address_plan.at(SIDECAR_CLUSTER, host.place));
         let config = config_among(scenario, &settings, &known, seed, among);
         let process = Process::start(&self.command, &name, listen, discovery, &config)?;
         *host.node.borrow_mut() = Some(process);
@@ -245,7 +245,7 @@
         let up = process.up().await;
         *host.node.borrow_mut() = Some(process);
         let http_client =
-            super::http_client::Client::new(self.scenario.clone(), self.places.at(SIDECAR, host.place));
+            super::http_client::Client::new(self.scenario.clone(), self.address_plan.at(SIDECAR, host.place));
         *host.client.borrow_mut() = Some(http_client);
         up
     }
@@ -263,12 +263,12 @@
     }
 
     /// Signals once the script has ended and the records meet the condition of the play.
-    async fn watch(self: Rc<Self>, enough: Enough, shown: oneshot::Sender<()>) {
+    async fn watch(self: Rc<Self>, enough: EndCondition, shown: oneshot::Sender<()>) {
         let ends = self.scenario.troubles.iter().map(|trouble| trouble.at_s + trouble.for_s);
         let over = ends.fold(0.0, f64::max) * 1000.0;
         sleep_until(self.clock.get().at(over)).await;
         while !enough(&self.records.borrow()) {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
         // The other side may have ended already.
         let _ = shown.send(());
@@ -281,7 +281,7 @@
         sleep_until(self.clock.get().at(trouble.at_s * 1000.0)).await;
         match trouble.what {
             What::DiscoveryDown => self.directory.go_down(true),
-            What::DiscoveryOld => self.directory.grow_old(true),
+            What::DiscoveryOld => self.directory.become_stale(true),
             What::Sighup => self.hup(),
             // Troubles of these nodes are applied by the client side.
             What::KillNodes | What::RestartNodes | What::HotNode => return,
@@ -290,7 +290,7 @@
         sleep_until(self.clock.get().at((trouble.at_s + trouble.for_s) * 1000.0)).await;
         match trouble.what {
             What::DiscoveryDown => self.directory.go_down(false),
-            What::DiscoveryOld => self.directory.grow_old(false),
+            What::DiscoveryOld => self.directory.become_stale(false),
             What::Release | What::Drain | What::Sighup => {}
             _ => self.end_trouble(place, &trouble).await,
         }
@@ -344,7 +344,7 @@
                 _ => {}
             }
             host.server.borrow_mut().speed_factor = host.active_troubles.speed_factor();
-            host.bell.notify_one();
+            host.due_changed.notify_one();
         }
     }
 
@@ -353,7 +353,7 @@
         for host in hosts.into_iter().filter(|host| host.active_troubles.end_trouble(place)) {
             self.catch_up(&host);
             host.server.borrow_mut().speed_factor = host.active_troubles.speed_factor();
-            host.bell.notify_one();
+            host.due_changed.notify_one();
             if trouble.what == What::Silent && host.state.get() == State::Silent {
                 self.lose_all(&host);
                 if trouble.new_ids {
@@ -394,7 +394,7 @@
         } else {
             self.announce(host, ServerState::Ready, 0.0);
         }
-        host.bell.notify_one();
+        host.due_changed.notify_one();
     }
 
     fn drain(self: &Rc<Self>, host: &Rc<Host>) {
@@ -424,7 +424,7 @@
                 let id = format!("{}+", host.id.borrow());
                 let new = self.add_host(host.tier, (host.zone, host.cell, host.kind), id);
                 if self.calls(&new) {
-                    let at = self.places.at(SIDECAR_DISCOVERY, new.place);
+                    let at = self.address_plan.at(SIDECAR_DISCOVERY, new.place);
                     let asker = super::discovery::Asker::Sidecar(new.clone());
                     if let Err(problem) = self.serve_directory(at, new.tier + 1, asker) {
                         log::warn!("{problem}");
@@ -449,7 +449,7 @@
         });
     }
 
-    async fn close(self: Rc<Self>) -> FleetSeen {
+    async fn close(self: Rc<Self>) -> FleetRecords {
         let hosts: Vec<Rc<Host>> = self.hosts.borrow().iter().cloned().collect();
         for host in hosts {
             let process = host.node.take();
@@ -457,8 +457,8 @@
                 process.kill().await;
             }
         }
-        FleetSeen {
-            seen: Seen { records: self.records.take(), late: self.late.borrow().clone() },
+        FleetRecords {
+            seen: SideRecords { records: self.records.take(), late: self.late.borrow().clone() },
             node_host_updates: self.node_host_updates.take(),
         }
     }
--- a/crates/pearfront-emulator/src/sockets/http_client.rs
+++ b/crates/pearfront-emulator/src/sockets/http_client.rs
@@ -17,7 +17,7 @@
 
 /// Contents of a request on the wire, apart from its id and deadline.
 #[derive(Debug, Clone)]
-pub struct Asked {
+pub struct RequestData {
     pub profile: usize,
     pub customer: usize,
     pub key: u64,
@@ -30,7 +30,7 @@
 
 /// Result of a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Heard {
+pub enum Reply {
     Answer {
         answer: Answer,
         body: u64,
@@ -54,7 +54,7 @@
     }
 
     /// Sends a request whose client waits `left` ms; `accepted` is called once a connection is established.
-    pub async fn ask(&self, trace: u64, asked: &Asked, left: f64, accepted: impl Fn()) -> Heard {
+    pub async fn ask(&self, trace: u64, asked: &RequestData, left: f64, accepted: impl Fn()) -> Reply {
         loop {
             let kept = self.kept();
             let reused = kept.is_some();
@@ -62,7 +62,7 @@
                 Some(sender) => Some(sender),
                 None => self.connect().await,
             };
-            let Some(mut sender) = sender else { return Heard::Refused };
+            let Some(mut sender) = sender else { return Reply::Refused };
             accepted();
             match self.send(&mut sender, trace, asked, left).await {
                 Some(heard) => {
@@ -72,7 +72,7 @@
                 // The node closed a reused connection just as the request was written: sent once more on a new
                 // one.
                 None if reused => self.idle.borrow_mut().clear(),
-                None => return Heard::Cut,
+                None => return Reply::Cut,
             }
         }
     }
@@ -100,9 +100,9 @@
         &self,
         sender: &mut SendRequest<Full<Bytes>>,
         trace: u64,
-        asked: &Asked,
+        asked: &RequestData,
         left: f64,
-    ) -> Option<Heard> {
+    ) -> Option<Reply> {
         let http_request = self.encode(trace, asked, left);
         let answer = sender.send_request(http_request).await.ok()?;
         let (head, body) = answer.into_parts();
@@ -115,10 +115,10 @@
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => Answer::Rejected,
             _ => Answer::Failed,
         };
-        Some(Heard::Answer { answer, body: number(&body).unwrap_or(0), wait })
+        Some(Reply::Answer { answer, body: number(&body).unwrap_or(0), wait })
     }
 
-    fn encode(&self, trace: u64, asked: &Asked, left: f64) -> Request<Full<Bytes>> {
+    fn encode(&self, trace: u64, asked: &RequestData, left: f64) -> Request<Full<Bytes>> {
         let profile = &self.scenario.profiles[asked.profile];
         let (work, fan, root) = (asked.work, asked.fan, asked.root);
         let target = format!("/{}/it?w={work}&f={fan}&r={root}&c={}", profile.name, asked.customer);
--- a/crates/pearfront-emulator/src/sockets/mod.rs
+++ b/crates/pearfront-emulator/src/sockets/mod.rs
@@ -24,9 +24,9 @@
 use tokio::time::Instant;
 
 /// Delay between all nodes being up and the start.
-const SETTLE: Duration = Duration::from_millis(500);
+const START_DELAY: Duration = Duration::from_millis(500);
 /// Interval at which the condition of a play is checked.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Upper bound of the lateness histogram, us.
 const MAX_LATENESS_US: u64 = 60_000_000;
 
@@ -40,7 +40,7 @@
 
 /// Condition on the fleet's records under which a play may end early. Checked only after all troubles have
 /// ended.
-pub type Enough = fn(&Records) -> bool;
+pub type EndCondition = fn(&Records) -> bool;
 
 /// Clock of a play: milliseconds since its start, negative before it.
 #[derive(Debug, Clone, Copy)]
@@ -75,11 +75,11 @@
 
 /// Loopback addresses that no other play on this machine uses at the same time.
 #[derive(Debug, Clone, Copy)]
-pub struct Places {
+pub struct AddressPlan {
     network: [u8; 2],
 }
 
-impl Places {
+impl AddressPlan {
     fn new() -> Self {
         let number = PLAYS.fetch_add(1, Ordering::Relaxed);
         let [.., high, low] = std::process::id().wrapping_add(number.wrapping_mul(7919)).to_be_bytes();
@@ -120,18 +120,18 @@
     settings: &Value,
     known: &[Value],
     seed: u64,
-    (places, at): (Places, SocketAddrV4),
+    (address_plan, at): (AddressPlan, SocketAddrV4),
 ) -> Value {
     let mut config = config(scenario, settings, known, seed);
     if scenario.nodes.cluster {
-        let seeds = [places.at(FRONT_NODE_CLUSTER, 0), places.at(FRONT_NODE_CLUSTER, 1)];
+        let seeds = [address_plan.at(FRONT_NODE_CLUSTER, 0), address_plan.at(FRONT_NODE_CLUSTER, 1)];
         config["cluster"] = json!({"installation": scenario.name, "listen": at, "seeds": seeds});
     }
     config
 }
 
 /// Records of one side of the play. Node indices refer to its own list.
-pub struct Seen {
+pub struct SideRecords {
     pub records: Records,
     pub late: Histogram<u64>,
 }
@@ -140,7 +140,7 @@
     Histogram::new_with_bounds(1, MAX_LATENESS_US, 3).expect("bounds that fit")
 }
 
-fn run_here<T>(work: impl Future<Output = T>) -> Result<T, String> {
+fn block_on_local<T>(work: impl Future<Output = T>) -> Result<T, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|error| format!("runtime: {error}"))?;
     Ok(LocalSet::new().block_on(&runtime, work))
@@ -168,39 +168,40 @@
     seed: u64,
     command: &NodeCommand,
     progress: &mut dyn FnMut(f64),
-    enough: Option<Enough>,
+    enough: Option<EndCondition>,
 ) -> Result<Records, String> {
     std::fs::create_dir_all(&command.folder)
         .map_err(|error| format!("{}: {error}", command.folder.display()))?;
-    let places = Places::new();
+    let address_plan = AddressPlan::new();
     let (ready, is_ready) = oneshot::channel::<Result<(), String>>();
-    let (go, goes) = oneshot::channel::<Clock>();
-    let (stop, stops) = oneshot::channel::<()>();
+    let (go, start_signal) = oneshot::channel::<Clock>();
+    let (stop, stop_signal) = oneshot::channel::<()>();
     let (shown, is_shown) = oneshot::channel::<()>();
     let (shared, with) = (Arc::new(scenario.clone()), command.clone());
-    let signals = fleet::Signals { ready, goes, enough: enough.map(|enough| (enough, shown)), stops };
+    let signals =
+        fleet::Signals { ready, start_signal, enough: enough.map(|enough| (enough, shown)), stop_signal };
     let fleet_of = shared.clone();
     let side = std::thread::spawn(move || {
         let scenario = std::rc::Rc::new((*fleet_of).clone());
-        run_here(fleet::side(scenario, seed, with, places, signals))
+        block_on_local(fleet::side(scenario, seed, with, address_plan, signals))
     });
-    let clients = run_here(async {
+    let clients = block_on_local(async {
         let fleet_ready = is_ready.await.map_err(|_| "the fleet's thread ended early".to_string())?;
         fleet_ready?;
         let scenario = std::rc::Rc::new((*shared).clone());
-        let front = clients::Front::start(scenario.clone(), seed, command, places).await?;
-        let clock = Clock::starting_in(SETTLE);
+        let front = clients::Front::start(scenario.clone(), seed, command, address_plan).await?;
+        let clock = Clock::starting_in(START_DELAY);
         go.send(clock).map_err(|_| "the fleet's thread ended early".to_string())?;
         let seen = front.play(clock, is_shown, progress).await;
         let _ = stop.send(());
-        Ok::<Seen, String>(seen)
+        Ok::<SideRecords, String>(seen)
     })?;
     let fleet = side.join().map_err(|_| "the fleet's thread panicked".to_string())??;
     Ok(merge(clients?, fleet?))
 }
 
 /// Merges the records of both sides: requests and attempts are joined by request id.
-fn merge(clients: Seen, fleet: fleet::FleetSeen) -> Records {
+fn merge(clients: SideRecords, fleet: fleet::FleetRecords) -> Records {
     let mut late = clients.late;
     // Both histograms have the same bounds.
     let _ = late.add(&fleet.seen.late);
--- a/crates/pearfront-emulator/src/sockets/processes.rs
+++ b/crates/pearfront-emulator/src/sockets/processes.rs
@@ -12,9 +12,9 @@
 use tokio::time::{sleep, timeout};
 
 /// Start-up time-out of a node.
-const UP_WITHIN: Duration = Duration::from_secs(20);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 /// Poll interval while waiting for start-up.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 pub struct Process {
     name: String,
@@ -79,15 +79,15 @@
     /// Waits until the node reports that it is up.
     pub async fn up(&mut self) -> Result<(), String> {
         let looks = async {
-            while !says_up(self.address).await {
+            while !reports_up(self.address).await {
                 if let Ok(Some(status)) = self.child.try_wait() {
                     return Err(format!("node {} ended at its start: {status}", self.name));
                 }
-                sleep(LOOK).await;
+                sleep(POLL_INTERVAL).await;
             }
             Ok(())
         };
-        timeout(UP_WITHIN, looks).await.map_err(|_| format!("node {} did not come up", self.name))?
+        timeout(START_TIMEOUT, looks).await.map_err(|_| format!("node {} did not come up", self.name))?
     }
 
     pub fn signal(&self, signal: Signal) {
@@ -113,7 +113,7 @@
     }
 }
 
-pub async fn says_up(address: SocketAddrV4) -> bool {
+pub async fn reports_up(address: SocketAddrV4) -> bool {
     let ask = async {
         let mut stream = TcpStream::connect(address).await.ok()?;
         stream.write_all(b"GET /up HTTP/1.1\r\nHost: node\r\nConnection: close\r\n\r\n").await.ok()?;
--- a/crates/pearfront-emulator/src/sockets/servers.rs
+++ b/crates/pearfront-emulator/src/sockets/servers.rs
@@ -2,7 +2,7 @@
 //! uses.
 
 use super::fleet::Side;
-use super::http_client::{Asked, Client, Heard};
+use super::http_client::{Client, Reply, RequestData};
 use super::processes::Process;
 use crate::active_troubles::{ActiveTroubles, State};
 use crate::dedup::DedupKeys;
@@ -35,8 +35,8 @@
 /// A request that a server holds.
 pub struct Pending {
     root: u64,
-    asked: Asked,
-    limit: f64,
+    asked: RequestData,
+    deadline: f64,
     attempt: usize,
     starts: u64,
     done: RefCell<Option<oneshot::Sender<AttemptEnd>>>,
@@ -65,7 +65,7 @@
     pub server: RefCell<Server<Ticket>>,
     pub active_troubles: ActiveTroubles,
     /// Notified when its next due time may have changed.
-    pub bell: Notify,
+    pub due_changed: Notify,
     /// Incremented with each start; connections of earlier starts are dropped.
     pub starts: watch::Sender<u64>,
     pub listening: RefCell<Option<JoinHandle<()>>>,
@@ -115,14 +115,14 @@
             let due = host.server.borrow().due();
             if due.is_finite() && host.state.get() != State::Down {
                 tokio::select! {
-                    () = host.bell.notified() => {}
+                    () = host.due_changed.notified() => {}
                     () = sleep_until(self.clock.get().at(due)) => {
                         let late = (self.clock.get().now() - due).max(0.0) * 1000.0;
                         self.late.borrow_mut().saturating_record(late as u64);
                     }
                 }
             } else {
-                host.bell.notified().await;
+                host.due_changed.notified().await;
             }
             self.catch_up(&host);
         }
@@ -163,7 +163,7 @@
     fn repeats(
         &self,
         host: &Host,
-        asked: &Asked,
+        asked: &RequestData,
         ask: impl Fn(&mut DedupKeys, u64, f64, f64) -> bool,
     ) -> bool {
         let mut groups = self.repeats.borrow_mut();
@@ -175,12 +175,12 @@
     fn call_next_tier(self: &Rc<Self>, host: &Rc<Host>, request: Rc<Pending>) {
         let now = self.clock.get().now();
         let client = host.client.borrow().clone();
-        let Some(client) = client.filter(|_| request.limit > now) else {
+        let Some(client) = client.filter(|_| request.deadline > now) else {
             return self.call_ended(host, &request, false);
         };
         let trace = self.next_trace();
         let fan = request.asked.fan * f64::from(self.scenario.tiers[host.tier].calls);
-        let asked = Asked { fan, ..request.asked.clone() };
+        let asked = RequestData { fan, ..request.asked.clone() };
         let place = {
             let mut records = self.records.borrow_mut();
             records.requests.push(RequestRecord {
@@ -192,7 +192,7 @@
                 profile: asked.profile,
                 key: asked.key,
                 sent: now,
-                limit: request.limit,
+                deadline: request.deadline,
                 left: None,
                 answers: Vec::new(),
                 cut: false,
@@ -202,18 +202,19 @@
         let (side, host) = (self.clone(), host.clone());
         spawn_local(async move {
             let slack = side.scenario.rules.slack_ms;
-            let until = side.clock.get().at(request.limit + slack);
+            let until = side.clock.get().at(request.deadline + slack);
             let heard =
-                tokio::time::timeout_at(until, client.ask(trace, &asked, request.limit - now, || {})).await;
+                tokio::time::timeout_at(until, client.ask(trace, &asked, request.deadline - now, || {}))
+                    .await;
             let at = side.clock.get().now();
             let served = {
                 let request = &mut side.records.borrow_mut().requests[place];
                 match heard {
-                    Ok(Heard::Answer { answer, body, .. }) => {
+                    Ok(Reply::Answer { answer, body, .. }) => {
                         request.answers.push(crate::record::Answered { at, answer, body });
                         answer == Answer::Served
                     }
-                    Ok(Heard::Refused | Heard::Cut) => {
+                    Ok(Reply::Refused | Reply::Cut) => {
                         request.cut = true;
                         false
                     }
@@ -236,7 +237,7 @@
         if ended.is_some() {
             self.end(host, request, AttemptEnd::Error);
         }
-        host.bell.notify_one();
+        host.due_changed.notify_one();
     }
 
     /// The process ended with all requests it held.
@@ -284,7 +285,7 @@
         let pending = Rc::new(Pending {
             root: asked.root,
             asked,
-            limit: now + left.unwrap_or(0.0) * 1000.0,
+            deadline: now + left.unwrap_or(0.0) * 1000.0,
             attempt,
             starts,
             done: RefCell::new(Some(done)),
@@ -304,7 +305,7 @@
                 self.lose_all(&host);
             }
         }
-        host.bell.notify_one();
+        host.due_changed.notify_one();
         let mut watch = Watch { side: self.clone(), host: host.clone(), pending, over: false };
         let how = is_done.await;
         watch.over = true;
@@ -341,7 +342,7 @@
         }
     }
 
-    fn decode(&self, head: &hyper::http::request::Parts) -> Option<(u64, Asked)> {
+    fn decode(&self, head: &hyper::http::request::Parts) -> Option<(u64, RequestData)> {
         let trace = head.headers.get("x-trace-id")?.to_str().ok()?.parse().ok()?;
         let name = head.uri.path().split('/').nth(1)?;
         let profile = self.scenario.profiles.iter().position(|profile| profile.name == name)?;
@@ -350,7 +351,7 @@
             query.split('&').find_map(|pair| pair.strip_prefix(key)?.strip_prefix('=')?.parse().ok())
         };
         let key = head.headers.get("idempotency-key").and_then(|key| key.to_str().ok()?.parse().ok());
-        let asked = Asked {
+        let asked = RequestData {
             profile,
             customer: figure("c")? as usize,
             key: key.unwrap_or(0),
@@ -403,7 +404,7 @@
             self.side.records.borrow_mut().attempts[attempt].ended = Some((now, AttemptEnd::Dropped));
             self.host.held.borrow_mut().retain(|other| !Rc::ptr_eq(other, &self.pending));
         }
-        self.host.bell.notify_one();
+        self.host.due_changed.notify_one();
     }
 }
 
--- a/crates/pearfront-emulator/src/workload.rs
+++ b/crates/pearfront-emulator/src/workload.rs
@@ -15,7 +15,7 @@
 
 /// One operation that a client asks for. Times are milliseconds from the start of the play.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Drawn {
+pub struct PlannedAsk {
     pub at: f64,
     pub profile: usize,
     pub customer: usize,
@@ -25,7 +25,7 @@
     /// Work over all tiers, ms.
     pub work: f64,
     /// Deadline over all tries.
-    pub limit: f64,
+    pub deadline: f64,
     impatient: bool,
     heeds: bool,
     persists: bool,
@@ -47,7 +47,7 @@
         Self { scenario, rng, at: 0.0, keyed: 0 }
     }
 
-    fn draw(&mut self) -> Drawn {
+    fn draw(&mut self) -> PlannedAsk {
         let (scenario, rng) = (&self.scenario, &mut self.rng);
         let clients = &scenario.clients;
         let profile = weighted(rng, scenario.profiles.iter().map(|profile| profile.share));
@@ -60,14 +60,14 @@
         let of = &scenario.profiles[profile];
         let keyed = of.effect == Effect::Keyed;
         self.keyed += u64::from(keyed);
-        Drawn {
+        PlannedAsk {
             at: self.at,
             profile,
             customer,
             zone,
             key: if keyed { self.keyed } else { 0 },
             work: draw_work(of, rng),
-            limit: self.at + of.deadline_ms,
+            deadline: self.at + of.deadline_ms,
             impatient: rng.random::<f64>() < clients.impatient,
             heeds: rng.random::<f64>() < clients.heed_advice,
             persists: rng.random::<f64>() < clients.retry_share,
@@ -78,9 +78,9 @@
 
 /// A Poisson process, thinned to the rate curve.
 impl Iterator for Workload {
-    type Item = Drawn;
+    type Item = PlannedAsk;
 
-    fn next(&mut self) -> Option<Drawn> {
+    fn next(&mut self) -> Option<PlannedAsk> {
         let most = self.scenario.clients.rate.most() / 1000.0;
         loop {
             self.at -= (1.0 - self.rng.random::<f64>()).ln() / most;
@@ -95,12 +95,12 @@
     }
 }
 
-impl Drawn {
+impl PlannedAsk {
     /// When the client of a try that starts now gives up without an answer; answers within the slack are still
     /// received.
     pub fn leaves(&self, scenario: &Scenario, now: f64) -> f64 {
         let patience = if self.impatient { IMPATIENT_SHARE } else { 1.0 };
-        now + (self.limit - now) * patience + scenario.rules.slack_ms
+        now + (self.deadline - now) * patience + scenario.rules.slack_ms
     }
 
     /// When the client retries after `tries` unsuccessful tries, if at all: `harmless` if the last one was
@@ -120,7 +120,7 @@
         let own = clients.backoff_ms * doubled * self.spread;
         let advised = wait.min(scenario.nodes.advice_s * 1000.0);
         let at = now + if self.heeds { own.max(advised) } else { own };
-        (may && at + MIN_TIME_LEFT_MS < self.limit).then_some(at)
+        (may && at + MIN_TIME_LEFT_MS < self.deadline).then_some(at)
     }
 }
 
--- a/crates/pearfront-emulator/src/workload/tests.rs
+++ b/crates/pearfront-emulator/src/workload/tests.rs
@@ -9,8 +9,8 @@
 
 #[test]
 fn asks_follow_rate_and_shares() {
-    let asks: Vec<Drawn> = Workload::new(scenario(|_| {}), 5).collect();
-    let part = |wanted: &dyn Fn(&Drawn) -> bool| {
+    let asks: Vec<PlannedAsk> = Workload::new(scenario(|_| {}), 5).collect();
+    let part = |wanted: &dyn Fn(&PlannedAsk) -> bool| {
         asks.iter().filter(|ask| wanted(ask)).count() as f64 / asks.len() as f64
     };
     assert!((asks.len() as f64 / 60.0 - 750.0).abs() < 15.0, "{}", asks.len());
@@ -30,5 +30,5 @@
     assert_eq!(told, ask.at + 700.0);
     // Two retries, then none; and none that would start too late.
     assert_eq!(ask.next_try(&scenario, ask.at, 3, 0.0, true), None);
-    assert_eq!(ask.next_try(&scenario, ask.limit - 30.0, 1, 0.0, true), None);
+    assert_eq!(ask.next_try(&scenario, ask.deadline - 30.0, 1, 0.0, true), None);
 }
