--- a/crates/pearfront-emulator/src/repeats.rs
+++ b/crates/pearfront-emulator/src/dedup.rs
@@ -1,22 +1,23 @@
-//! What a group of servers (all, a zone, a cell) remembers of keyed jobs. It outlives any one of its servers.
+//! Deduplication of keyed requests within a group of servers (all, a zone, a cell). The state outlives the
+//! group's individual servers.
 
 use crate::scenario::{Effect, Group, Scenario};
 use std::collections::BTreeMap;
 
-/// Keys whose effect a group has had, and until when it knows them.
+/// Keys whose effect has taken place in a group, with the time until which they are remembered.
 #[derive(Debug, Default)]
-pub struct Repeats {
+pub struct DedupKeys {
     known: BTreeMap<u64, f64>,
     swept: f64,
 }
 
-impl Repeats {
-    /// Is a repeat dropped now?
+impl DedupKeys {
+    /// Whether a repeat with this key is deduplicated now.
     pub fn knows(&self, key: u64, now: f64) -> bool {
         self.known.get(&key).is_some_and(|until| now < *until)
     }
 
-    /// A job with this key has been worked through: true if it has its effect, false if that was had before.
+    /// Completes a request with this key: true if its effect takes place, false if it already had.
     pub fn work_through(&mut self, key: u64, now: f64, window: f64) -> bool {
         if self.knows(key, now) {
             return false;
@@ -30,19 +31,19 @@
     }
 }
 
-/// The memories of all groups of a fleet, by tier, profile and group.
+/// Deduplication state of all groups of a fleet, by tier, profile and group.
 #[derive(Debug, Default)]
-pub struct Groups(BTreeMap<(usize, usize, u32), Repeats>);
+pub struct DedupGroups(BTreeMap<(usize, usize, u32), DedupKeys>);
 
-impl Groups {
-    /// What a server's group remembers of a profile; nothing for jobs without a key.
+impl DedupGroups {
+    /// Deduplication state of a server's group for a profile; none for requests without a key.
     pub fn of(
         &mut self,
         scenario: &Scenario,
         tier: usize,
         (zone, cell): (u16, u16),
         profile: usize,
-    ) -> Option<&mut Repeats> {
+    ) -> Option<&mut DedupKeys> {
         let wanted = &scenario.profiles[profile];
         let group = match wanted.group {
             Group::All => 0,
--- a/crates/pearfront-emulator/src/agenda.rs
+++ b/crates/pearfront-emulator/src/event_queue.rs
@@ -1,4 +1,4 @@
-//! What is to happen in simulated time, in order: by time, then in the order in which it was put down.
+//! Event queue of simulated time: ordered by time, then by insertion.
 
 use std::collections::BinaryHeap;
 
@@ -25,24 +25,24 @@
     }
 }
 
-pub struct Agenda<T> {
+pub struct EventQueue<T> {
     entries: BinaryHeap<Entry<T>>,
     numbered: u64,
 }
 
-impl<T> Default for Agenda<T> {
+impl<T> Default for EventQueue<T> {
     fn default() -> Self {
         Self { entries: BinaryHeap::new(), numbered: 0 }
     }
 }
 
-impl<T> Agenda<T> {
+impl<T> EventQueue<T> {
     pub fn put(&mut self, at: f64, what: T) {
         self.entries.push(Entry { at, number: self.numbered, what });
         self.numbered += 1;
     }
 
-    /// The next entry, if it is due by `until`.
+    /// Removes and returns the next entry if it is due by `until`.
     pub fn next(&mut self, until: f64) -> Option<(f64, T)> {
         let due = self.entries.peek().is_some_and(|entry| entry.at <= until);
         due.then(|| self.entries.pop()).flatten().map(|entry| (entry.at, entry.what))
--- a/crates/pearfront-emulator/src/model/callers.rs
+++ b/crates/pearfront-emulator/src/model/clients.rs
@@ -1,41 +1,41 @@
-//! Callers of the model play: the front that deals their jobs out, answers, tries after the first.
+//! Clients of the model play: the front that distributes their requests over the nodes, answers, and retries.
 
-use super::nodes::{From, HeldJob, Seat};
+use super::nodes::{From, HeldRequest, NodeHost};
 use super::{Event, World};
-use crate::asks::{Asks, Drawn, weighted};
-use crate::record::{Answer, Answered, Ask, Job};
+use crate::record::{Answer, Answered, Ask, RequestRecord};
 use crate::scenario::Scenario;
+use crate::workload::{PlannedAsk, Workload, weighted};
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// An ask under way.
+/// An ask in progress.
 pub struct AskState {
     place: usize,
-    ask: Drawn,
+    ask: PlannedAsk,
     tries: Cell<u32>,
     over: Cell<bool>,
 }
 
 pub struct Front {
-    asks: Asks,
-    /// Asks that are not over yet.
+    asks: Workload,
+    /// Number of asks that have not ended.
     pub open: usize,
 }
 
 impl Front {
     pub fn new(scenario: Rc<Scenario>, seed: u64) -> Self {
-        Self { asks: Asks::new(scenario, seed), open: 0 }
+        Self { asks: Workload::new(scenario, seed), open: 0 }
     }
 }
 
 impl World {
     pub fn next_ask(&mut self) {
         if let Some(ask) = self.front.asks.next() {
-            self.agenda.put(ask.at, Event::Ask(ask));
+            self.event_queue.put(ask.at, Event::Ask(ask));
         }
     }
 
-    pub fn ask(&mut self, ask: Drawn) {
+    pub fn ask(&mut self, ask: PlannedAsk) {
         self.front.open += 1;
         let place = self.records.asks.len();
         self.records.asks.push(Ask { at: ask.at, profile: ask.profile, customer: ask.customer });
@@ -45,12 +45,12 @@
 
     pub fn try_ask(&mut self, ask: &Rc<AskState>) {
         ask.tries.set(ask.tries.get() + 1);
-        let Some(seat) = self.deal(ask.ask.zone) else { return self.failed(ask) };
-        let node = seat.node.borrow().clone();
+        let Some(node_host) = self.deal(ask.ask.zone) else { return self.failed(ask) };
+        let node = node_host.node.borrow().clone();
         let Some(node) = node else { return self.failed(ask) };
-        let record = self.records.jobs.len();
+        let record = self.records.requests.len();
         let trace = record as u64 + 1;
-        self.records.jobs.push(Job {
+        self.records.requests.push(RequestRecord {
             trace,
             root: trace,
             ask: Some(ask.place),
@@ -59,12 +59,12 @@
             profile: ask.ask.profile,
             key: ask.ask.key,
             sent: self.now,
-            limit: ask.ask.limit,
+            deadline: ask.ask.deadline,
             left: None,
             answers: Vec::new(),
             cut: false,
         });
-        let job = Rc::new(HeldJob {
+        let request = Rc::new(HeldRequest {
             node: node.clone(),
             number: Cell::new(0),
             record,
@@ -73,7 +73,7 @@
             key: ask.ask.key,
             profile: ask.ask.profile,
             customer: ask.ask.customer,
-            limit: ask.ask.limit,
+            deadline: ask.ask.deadline,
             work: ask.ask.work * self.scenario.tiers[0].work,
             whole_work: ask.ask.work,
             fan: 1.0,
@@ -82,39 +82,41 @@
             answered: Cell::new(false),
             over: Cell::new(false),
         });
-        let hop = self.caller_hop();
-        self.agenda.put(self.now + hop, Event::Take(node, job.clone()));
+        let hop = self.client_hop();
+        self.event_queue.put(self.now + hop, Event::Take(node, request.clone()));
         let leaves = ask.ask.leaves(&self.scenario, self.now);
-        self.agenda.put(leaves, Event::CallerLeaves(job));
+        self.event_queue.put(leaves, Event::ClientLeaves(request));
     }
 
-    /// The front sends to the nodes of the caller's zone that it knows to be up, else to any.
-    fn deal(&mut self, zone: usize) -> Option<Rc<Seat>> {
+    /// The front sends to nodes of the client's zone that it considers up, otherwise to any that is up.
+    fn deal(&mut self, zone: usize) -> Option<Rc<NodeHost>> {
         let at = |home: bool| {
-            let fits = |seat: &&Rc<Seat>| seat.dealt.get() && (!home || usize::from(seat.zone) == zone);
-            self.seats.iter().filter(fits).cloned().collect::<Vec<_>>()
+            let fits = |node_host: &&Rc<NodeHost>| {
+                node_host.in_rotation.get() && (!home || usize::from(node_host.zone) == zone)
+            };
+            self.node_hosts.iter().filter(fits).cloned().collect::<Vec<_>>()
         };
-        let mut seats = at(true);
-        if seats.is_empty() {
-            seats = at(false);
+        let mut node_hosts = at(true);
+        if node_hosts.is_empty() {
+            node_hosts = at(false);
         }
-        if seats.is_empty() {
+        if node_hosts.is_empty() {
             return None;
         }
-        let place = weighted(&mut self.net, seats.iter().map(|seat| seat.weight.get()));
-        Some(seats[place].clone())
+        let place = weighted(&mut self.net, node_hosts.iter().map(|node_host| node_host.weight.get()));
+        Some(node_hosts[place].clone())
     }
 
-    /// An answer has come to whoever waits for it.
-    pub fn answered(&mut self, job: &Rc<HeldJob>, answer: Answer, body: u64, wait: f64) {
-        let left = self.records.jobs[job.record].left.is_some();
+    /// Delivers an answer to the client or server that waits for it.
+    pub fn answered(&mut self, request: &Rc<HeldRequest>, answer: Answer, body: u64, wait: f64) {
+        let left = self.records.requests[request.record].left.is_some();
         if !left {
-            self.records.jobs[job.record].answers.push(Answered { at: self.now, answer, body });
+            self.records.requests[request.record].answers.push(Answered { at: self.now, answer, body });
         }
-        if job.over.replace(true) {
+        if request.over.replace(true) {
             return;
         }
-        match &job.from {
+        match &request.from {
             From::Server(flight) => {
                 let flight = flight.clone();
                 let host = flight.host.clone();
@@ -133,30 +135,30 @@
         }
     }
 
-    /// The node is gone, and the job's connection with it.
-    pub fn cut(&mut self, job: &Rc<HeldJob>) {
-        self.records.jobs[job.record].cut = true;
-        if job.over.replace(true) {
+    /// The node ended, which resets the request's connection.
+    pub fn cut(&mut self, request: &Rc<HeldRequest>) {
+        self.records.requests[request.record].cut = true;
+        if request.over.replace(true) {
             return;
         }
-        match &job.from {
+        match &request.from {
             From::Caller(ask) => self.failed(&ask.clone()),
-            // It ends with its server; nobody waits.
+            // A server's node ends together with the server, so nobody waits.
             From::Server(_) => {}
         }
     }
 
-    pub fn caller_leaves(&mut self, job: &Rc<HeldJob>) {
-        if job.over.replace(true) {
+    pub fn client_leaves(&mut self, request: &Rc<HeldRequest>) {
+        if request.over.replace(true) {
             return;
         }
-        self.records.jobs[job.record].left = Some(self.now);
-        if job.node.alive.get() && !job.answered.get() {
-            let number = job.number.get();
-            job.answered.set(true);
-            self.tell(&job.node.clone(), crate::decide::Word::Left { id: number });
+        self.records.requests[request.record].left = Some(self.now);
+        if request.node.alive.get() && !request.answered.get() {
+            let number = request.number.get();
+            request.answered.set(true);
+            self.queue_input(&request.node.clone(), crate::decide::Input::Left { id: number });
         }
-        if let From::Caller(ask) = &job.from {
+        if let From::Caller(ask) = &request.from {
             self.finish(&ask.clone());
         }
     }
@@ -165,10 +167,10 @@
         self.again(ask, 0.0, false);
     }
 
-    /// A try was in vain; the next one follows where the caller may and wants to.
+    /// A try did not succeed: schedules the next one if the client may retry and does.
     fn again(&mut self, ask: &Rc<AskState>, wait: f64, harmless: bool) {
         match ask.ask.next_try(&self.scenario, self.now, ask.tries.get(), wait, harmless) {
-            Some(at) => self.agenda.put(at, Event::Try(ask.clone())),
+            Some(at) => self.event_queue.put(at, Event::Try(ask.clone())),
             None => self.finish(ask),
         }
     }
--- a/crates/pearfront-emulator/src/model/directory.rs
+++ b/crates/pearfront-emulator/src/model/directory.rs
@@ -1,9 +1,9 @@
-//! Discovery in the model play: the list as it was published, calls that are worked through in turn, and who watches.
+//! Discovery in the model play: the published list, calls that are processed sequentially, and watching nodes.
 
 use super::hosts::{Fleet, Host};
 use super::nodes::Node;
 use super::{Event, World};
-use crate::decide::Word;
+use crate::decide::Input;
 use crate::list::Line;
 use crate::scenario::Scenario;
 use pearfront::interface::ServerState;
@@ -16,7 +16,7 @@
     published: BTreeMap<String, Line>,
     pub watchers: Vec<Rc<Node>>,
     busy_until: f64,
-    /// Troubles that keep it down or old, and what waits until they are over.
+    /// Number of active troubles that keep it down or stale, and updates held back until they end.
     pub down: u32,
     pub old: u32,
     held_back: VecDeque<Line>,
@@ -35,12 +35,12 @@
         }
     }
 
-    /// The list of a tier as it was published.
+    /// The published list of a tier.
     pub fn lines(&self, tier: usize) -> Vec<Line> {
         self.published.values().filter(|line| line.tier == tier).cloned().collect()
     }
 
-    /// When a call that comes now is answered; nothing if it waits too long.
+    /// When a call that arrives now is answered; none if it would time out.
     fn turn(&mut self, now: f64, lines: f64, timeout: f64) -> Option<f64> {
         let begins = now.max(self.busy_until);
         if begins - now > timeout {
@@ -66,11 +66,11 @@
 }
 
 impl World {
-    /// Something about a server has changed; discovery notices after a while.
+    /// A server's state has changed; discovery publishes it after a delay.
     pub fn announce(&mut self, host: &Host, standing: ServerState, after: f64) {
         let (soonest, latest) = self.scenario.discovery.late_ms;
         let late = soonest + (latest - soonest) * self.net.random::<f64>();
-        self.agenda.put(self.now + after + late, Event::Publish(line(host, standing)));
+        self.event_queue.put(self.now + after + late, Event::Publish(line(host, standing)));
     }
 
     pub fn publish(&mut self, line: Line) {
@@ -78,7 +78,7 @@
             return self.directory.held_back.push_back(line);
         }
         let known = self.directory.published.get(&line.id);
-        // A line of an earlier life may be overtaken by one of a later.
+        // A line of an earlier life may arrive after one of a later life.
         if known.is_some_and(|known| known.life > line.life) {
             return;
         }
@@ -91,18 +91,18 @@
         for node in watchers.into_iter().filter(|node| node.tier == line.tier && node.watching.get()) {
             let at = self.directory.turn(self.now, 1.0, f64::INFINITY).unwrap_or(self.now);
             let hop = self.hop(node.zone, line.zone);
-            self.agenda.put(at + hop, Event::Told(node, vec![line.clone()], false));
+            self.event_queue.put(at + hop, Event::ListUpdate(node, vec![line.clone()], false));
         }
     }
 
-    /// What was held back while the list was old is published.
+    /// Publishes the updates that were held back while the list was stale.
     pub fn catch_up_list(&mut self) {
         while let Some(line) = self.directory.held_back.pop_front() {
             self.publish(line);
         }
     }
 
-    /// A node asks for the list and its changes.
+    /// A node requests the list and its changes.
     pub fn watch(&mut self, node: &Rc<Node>) {
         let hop = self.hop(node.zone, node.zone);
         let discovery = &self.scenario.discovery;
@@ -111,7 +111,7 @@
         let turn =
             if self.directory.down > 0 { None } else { self.directory.turn(self.now + hop, lines, timeout) };
         let (at, good) = turn.map_or((self.now + timeout, false), |at| (at, true));
-        self.agenda.put(at + hop, Event::WatchAnswered(node.clone(), good));
+        self.event_queue.put(at + hop, Event::WatchAnswered(node.clone(), good));
     }
 
     pub fn watch_answered(&mut self, node: &Rc<Node>, good: bool) {
@@ -119,21 +119,21 @@
             return;
         }
         if !good || self.directory.down > 0 {
-            return self.tell(node, Word::ListFailed);
+            return self.queue_input(node, Input::ListFailed);
         }
         node.watching.set(true);
         let lines = self.directory.lines(node.tier);
-        self.told(node, lines, true, false);
+        self.list_received(node, lines, true, false);
     }
 
-    /// Discovery is down: watches end.
+    /// Discovery is down: all watches end.
     pub fn end_watches(&mut self) {
         if self.scenario.discovery.pushed {
             return;
         }
         let watchers: Vec<Rc<Node>> = self.directory.watchers.clone();
         for node in watchers.into_iter().filter(|node| node.watching.replace(false)) {
-            self.tell(&node, Word::ListFailed);
+            self.queue_input(&node, Input::ListFailed);
         }
     }
 }
--- a/crates/pearfront-emulator/src/model/hosts.rs
+++ b/crates/pearfront-emulator/src/model/hosts.rs
@@ -1,13 +1,14 @@
-//! Machines of the model play: servers at their addresses, what troubles do to them, and the attempts that reach them.
+//! Machines of the model play: servers at their addresses, the effect of troubles on them, and the attempts
+//! that reach them.
 
-use super::nodes::{Flight, Node};
-use super::{BESIDE, Event, World};
+use super::nodes::{AttemptInFlight, Node};
+use super::{Event, SIDECAR_DELAY_MS, World};
+use crate::active_troubles::{ActiveTroubles, State};
 use crate::decide::{SeesAll, Truth};
+use crate::dedup::{DedupGroups, DedupKeys};
 use crate::record::{Attempt, AttemptEnd, ServerLife};
-use crate::repeats::{Groups, Repeats};
 use crate::scenario::{Effect, Scenario, What};
-use crate::server::{Arrival, Happened, Need, Server};
-use crate::struck::{State, Struck};
+use crate::server::{Arrival, Need, Server, ServerEvent};
 use pearfront::interface::{Address, AttemptOutcome};
 use rand::prelude::Rng;
 use rand_distr::{Distribution, Exp};
@@ -15,9 +16,9 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// An attempt as its server's ticket: the same one, not an equal one.
+/// An attempt as the ticket given to its server; compared by identity.
 #[derive(Clone)]
-pub struct Ticket(pub Rc<Flight>);
+pub struct Ticket(pub Rc<AttemptInFlight>);
 
 impl PartialEq for Ticket {
     fn eq(&self, other: &Self) -> bool {
@@ -31,24 +32,24 @@
     pub zone: u16,
     pub cell: u16,
     pub kind: usize,
-    /// What the list calls it; a new one with each replacement.
+    /// Instance id in the server list; new with each replacement.
     pub id: RefCell<String>,
     pub state: Cell<State>,
     pub draining: Cell<bool>,
-    /// Place of its present life in the records, and a number that rises with each start.
+    /// Index of its current life in the records, and a counter of starts.
     pub life: Cell<usize>,
     pub starts: Cell<u64>,
     pub started: Cell<f64>,
     pub server: RefCell<Server<Ticket>>,
-    /// The node beside it that its calls go through.
+    /// Its own node, through which its calls go.
     pub node: RefCell<Option<Rc<Node>>>,
-    pub flights: RefCell<Vec<Rc<Flight>>>,
-    pub struck: Struck,
+    pub flights: RefCell<Vec<Rc<AttemptInFlight>>>,
+    pub active_troubles: ActiveTroubles,
     version: Cell<u64>,
 }
 
 impl Host {
-    /// A machine of the given tier, zone, cell and kind, long warm.
+    /// A warm machine of the given tier, zone, cell and kind.
     pub fn new(
         scenario: &Scenario,
         address: Address,
@@ -56,8 +57,8 @@
         id: String,
         state: State,
     ) -> Rc<Self> {
-        let habits = &scenario.tiers[tier].server;
-        let server = Server::new(&scenario.kinds[kind], habits, &scenario.rules, f64::NEG_INFINITY, 0.0);
+        let behaviour = &scenario.tiers[tier].server;
+        let server = Server::new(&scenario.kinds[kind], behaviour, &scenario.rules, f64::NEG_INFINITY, 0.0);
         Rc::new(Host {
             address,
             tier,
@@ -73,17 +74,17 @@
             server: RefCell::new(server),
             node: RefCell::default(),
             flights: RefCell::default(),
-            struck: Struck::default(),
+            active_troubles: ActiveTroubles::default(),
             version: Cell::new(0),
         })
     }
 
-    /// One that takes its place, not up yet.
-    pub fn twin(&self, scenario: &Scenario, address: Address) -> Rc<Self> {
+    /// A replacement for this host that is not up yet.
+    pub fn successor(&self, scenario: &Scenario, address: Address) -> Rc<Self> {
         let place = (self.tier, self.zone, self.cell, self.kind);
-        let twin = Self::new(scenario, address, place, format!("{}+", self.id.borrow()), State::Down);
-        twin.life.set(self.life.get());
-        twin
+        let successor = Self::new(scenario, address, place, format!("{}+", self.id.borrow()), State::Down);
+        successor.life.set(self.life.get());
+        successor
     }
 
     pub fn is_up(&self) -> bool {
@@ -91,15 +92,15 @@
     }
 }
 
-/// Share of its answers that a server must give right and whole for `sees-all` to use it freely.
-const SOUND: f64 = 0.95;
+/// Share of complete and correct answers above which `sees-all` uses a server without restriction.
+const MIN_SOUND_SHARE: f64 = 0.95;
 
 #[derive(Default)]
 pub struct Fleet {
     pub hosts: RefCell<Vec<Rc<Host>>>,
     pub at: RefCell<BTreeMap<Address, Rc<Host>>>,
-    /// What each group of servers knows of keys.
-    pub repeats: RefCell<Groups>,
+    /// Deduplication state of each group of servers.
+    pub repeats: RefCell<DedupGroups>,
     now: Cell<f64>,
     pub addressed: Cell<u32>,
 }
@@ -116,7 +117,7 @@
         [10, a, b, c, 0x1f, 0x90]
     }
 
-    /// Everything in the fleet knows this time, so that the true state is that of now.
+    /// Current time, shared within the fleet so that the true state is always current.
     pub fn tick(&self, now: f64) {
         self.now.set(now);
     }
@@ -127,13 +128,15 @@
         let host = self.host(server)?;
         let server = host.server.borrow();
         let capacity = server.capacity(self.now.get());
-        let sound = host.struck.spared(What::FastErrors) * host.struck.spared(What::LostAnswers) > SOUND;
+        let sound = host.active_troubles.unaffected_share(What::FastErrors)
+            * host.active_troubles.unaffected_share(What::LostAnswers)
+            > MIN_SOUND_SHARE;
         let up = host.is_up() && !host.draining.get() && capacity > 0.0;
-        // Attempts on their way weigh as much as those that have come.
+        // Attempts in flight count the same as those that have arrived.
         let coming = host.flights.borrow().iter().filter(|flight| flight.attempt.get().is_none()).count();
         let each = if server.held() > 0 { server.work_left() / server.held() as f64 } else { 0.0 };
         let held = (server.held() + coming) as f64;
-        let most = server.room() * server.grown(self.now.get());
+        let most = server.uncrowded_capacity() * server.warm_share(self.now.get());
         Some(Truth {
             work: server.work_left() + each * coming as f64,
             capacity,
@@ -175,37 +178,39 @@
             return;
         }
         let wait = Exp::new(1.0 / every).map_or(every, |exp| exp.sample(&mut self.service));
-        self.agenda.put(self.now + wait, Event::Pause(host.clone()));
+        self.event_queue.put(self.now + wait, Event::Pause(host.clone()));
     }
 
     pub fn pause(&mut self, host: &Rc<Host>) {
         let until = self.now + self.scenario.tiers[host.tier].server.pause_ms;
         self.catch_up(host);
-        host.server.borrow_mut().stand_still(until);
+        host.server.borrow_mut().stall_until(until);
         self.watch_host(host);
         self.next_pause(host);
     }
 
-    /// Has the server work on until now, and carries out what happened meanwhile.
+    /// Advances the server to now and processes the events up to then.
     pub fn catch_up(&mut self, host: &Rc<Host>) {
         self.fleet.tick(self.now);
-        let happened = host.server.borrow_mut().advance(self.now);
-        for (Ticket(flight), what) in happened {
+        let events = host.server.borrow_mut().advance(self.now);
+        for (Ticket(flight), what) in events {
             match what {
-                Happened::Began => {}
-                Happened::Calls => self.call_next_tier(host, &flight),
-                Happened::Done => self.served(host, &flight),
-                Happened::Failed => self.server_ends(host, &flight, AttemptEnd::Error, AttemptOutcome::Error),
+                ServerEvent::Began => {}
+                ServerEvent::Calls => self.call_next_tier(host, &flight),
+                ServerEvent::Done => self.served(host, &flight),
+                ServerEvent::Failed => {
+                    self.server_ends(host, &flight, AttemptEnd::Error, AttemptOutcome::Error)
+                }
             }
         }
     }
 
-    /// Looks at the server again when its next thing is due.
+    /// Schedules an event for when the server's next event is due.
     pub fn watch_host(&mut self, host: &Rc<Host>) {
         host.version.set(host.version.get() + 1);
         let due = host.server.borrow().due();
         if due.is_finite() && host.is_up() {
-            self.agenda.put(due.max(self.now), Event::HostDue(host.clone(), host.version.get()));
+            self.event_queue.put(due.max(self.now), Event::HostDue(host.clone(), host.version.get()));
         }
     }
 
@@ -216,30 +221,30 @@
         }
     }
 
-    pub fn attempt_arrives(&mut self, flight: &Rc<Flight>) {
+    pub fn attempt_arrives(&mut self, flight: &Rc<AttemptInFlight>) {
         let host = flight.host.clone();
         if flight.starts != host.starts.get() || !host.is_up() {
             return;
         }
         self.catch_up(&host);
-        let job = &flight.job;
-        let mut work = job.work;
+        let request = &flight.request;
+        let mut work = request.work;
         if flight.new_connection {
             work += self.scenario.tiers[host.tier].server.connect_work_ms;
         }
         let need = Need {
             work,
             calls: self.scenario.tiers[host.tier].calls,
-            fails: self.service.random::<f64>() >= host.struck.spared(What::FastErrors),
+            fails: self.service.random::<f64>() >= host.active_troubles.unaffected_share(What::FastErrors),
             repeat: self.repeats(&host, flight, |repeats, key, now, _| repeats.knows(key, now)),
         };
         flight.attempt.set(Some(self.records.attempts.len()));
         self.records.attempts.push(Attempt {
-            trace: job.trace,
+            trace: request.trace,
             server: host.life.get(),
             sent: flight.sent,
             came: self.now,
-            work: job.work,
+            work: request.work,
             ended: None,
             effect: false,
             called_off: None,
@@ -259,56 +264,64 @@
         self.watch_host(&host);
     }
 
-    /// Asks the memory of keys that this attempt falls under; false for jobs without one.
+    /// Queries the deduplication state that applies to this attempt; false for requests without a key.
     fn repeats(
         &self,
         host: &Host,
-        flight: &Flight,
-        ask: impl Fn(&mut Repeats, u64, f64, f64) -> bool,
+        flight: &AttemptInFlight,
+        ask: impl Fn(&mut DedupKeys, u64, f64, f64) -> bool,
     ) -> bool {
-        let profile = flight.job.profile;
+        let profile = flight.request.profile;
         let mut groups = self.fleet.repeats.borrow_mut();
         let repeats = groups.of(&self.scenario, host.tier, (host.zone, host.cell), profile);
         let window = self.scenario.profiles[profile].window_s * 1000.0;
-        repeats.is_some_and(|repeats| ask(repeats, flight.job.key, self.now, window))
+        repeats.is_some_and(|repeats| ask(repeats, flight.request.key, self.now, window))
     }
 
-    fn served(&mut self, host: &Rc<Host>, flight: &Rc<Flight>) {
-        let keyed = self.scenario.profiles[flight.job.profile].effect == Effect::Keyed;
-        let first = self.repeats(host, flight, Repeats::work_through);
+    fn served(&mut self, host: &Rc<Host>, flight: &Rc<AttemptInFlight>) {
+        let keyed = self.scenario.profiles[flight.request.profile].effect == Effect::Keyed;
+        let first = self.repeats(host, flight, DedupKeys::work_through);
         if let Some(attempt) = flight.attempt.get() {
             self.records.attempts[attempt].effect = first || !keyed;
         }
         self.server_ends(host, flight, AttemptEnd::Served, AttemptOutcome::Served);
     }
 
-    /// The server is done with an attempt: books it and answers, unless nobody listens or the answer is lost.
-    fn server_ends(&mut self, host: &Rc<Host>, flight: &Rc<Flight>, end: AttemptEnd, ending: AttemptOutcome) {
+    /// The server has finished an attempt: records it and answers, unless the client left or the answer is
+    /// lost.
+    fn server_ends(
+        &mut self,
+        host: &Rc<Host>,
+        flight: &Rc<AttemptInFlight>,
+        end: AttemptEnd,
+        ending: AttemptOutcome,
+    ) {
         host.flights.borrow_mut().retain(|other| !Rc::ptr_eq(other, flight));
         if let Some(attempt) = flight.attempt.get() {
             self.records.attempts[attempt].ended = Some((self.now, end));
         }
-        let lost = self.service.random::<f64>() >= host.struck.spared(What::LostAnswers);
+        let lost = self.service.random::<f64>() >= host.active_troubles.unaffected_share(What::LostAnswers);
         if !flight.ended.get() && !lost {
-            let hop = self.hop(host.zone, flight.job.node.zone);
-            self.agenda.put(self.now + hop, Event::AttemptEnds(flight.clone(), ending, flight.job.trace));
+            let hop = self.hop(host.zone, flight.request.node.zone);
+            self.event_queue
+                .put(self.now + hop, Event::AttemptEnds(flight.clone(), ending, flight.request.trace));
         }
     }
 
-    fn call_next_tier(&mut self, host: &Rc<Host>, flight: &Rc<Flight>) {
+    fn call_next_tier(&mut self, host: &Rc<Host>, flight: &Rc<AttemptInFlight>) {
         let node = host.node.borrow().clone();
-        let left = flight.job.limit - self.now;
+        let left = flight.request.deadline - self.now;
         match node {
             Some(node) if left > 0.0 => {
                 let call = self.new_call(&node, flight);
-                self.agenda.put(self.now + BESIDE, Event::Take(node, call));
+                self.event_queue.put(self.now + SIDECAR_DELAY_MS, Event::Take(node, call));
             }
             _ => self.call_ended(host, flight, false),
         }
     }
 
-    /// The call that a job was waiting for is over.
-    pub fn call_ended(&mut self, host: &Rc<Host>, flight: &Rc<Flight>, good: bool) {
+    /// The call that a request was waiting for has ended.
+    pub fn call_ended(&mut self, host: &Rc<Host>, flight: &Rc<AttemptInFlight>, good: bool) {
         if flight.starts != host.starts.get() || !host.is_up() {
             return;
         }
@@ -318,7 +331,7 @@
         }
     }
 
-    pub fn call_off_arrives(&mut self, flight: &Rc<Flight>) {
+    pub fn call_off_arrives(&mut self, flight: &Rc<AttemptInFlight>) {
         let host = flight.host.clone();
         let Some(attempt) = flight.attempt.get().filter(|_| flight.starts == host.starts.get()) else {
             return;
@@ -337,7 +350,7 @@
         self.watch_host(&host);
     }
 
-    /// The process is gone, and all that it held; its connections are reset.
+    /// The process ended with all requests it held; its connections are reset.
     pub fn lose_all(&mut self, host: &Rc<Host>, ending: AttemptOutcome) {
         for flight in host.flights.take() {
             if let Some(attempt) =
@@ -346,8 +359,8 @@
                 self.records.attempts[attempt].ended = Some((self.now, AttemptEnd::Lost));
             }
             if !flight.ended.get() {
-                let hop = self.hop(host.zone, flight.job.node.zone);
-                self.agenda.put(self.now + hop, Event::AttemptEnds(flight, ending, 0));
+                let hop = self.hop(host.zone, flight.request.node.zone);
+                self.event_queue.put(self.now + hop, Event::AttemptEnds(flight, ending, 0));
             }
         }
     }
@@ -357,16 +370,17 @@
         self.catch_up(&host);
         self.records.probes += 1;
         let mut server = host.server.borrow_mut();
-        if server.has_fallen() || host.struck.has(What::LostReports) {
+        if server.has_fallen() || host.active_troubles.has(What::LostReports) {
             return;
         }
-        server.burden(self.scenario.tiers[host.tier].server.probe_work_ms);
-        let report = if host.struck.has(What::StaleReports) { server.old_report() } else { server.report() };
+        server.add_work(self.scenario.tiers[host.tier].server.probe_work_ms);
+        let report =
+            if host.active_troubles.has(What::StaleReports) { server.old_report() } else { server.report() };
         drop(server);
         self.watch_host(&host);
         let hop = self.hop(host.zone, node.zone);
         let figure = if self.scenario.nodes.told_held { report.held } else { report.utilisation };
         let answer = Event::ProbeAnswered(node.clone(), address, true, vec![figure], sent);
-        self.agenda.put(self.now + hop, answer);
+        self.event_queue.put(self.now + hop, answer);
     }
 }
--- a/crates/pearfront-emulator/src/model/mod.rs
+++ b/crates/pearfront-emulator/src/model/mod.rs
@@ -1,32 +1,32 @@
-//! The model play: a scenario in simulated time round the decision module itself. One seed gives one result, byte for
-//! byte. `play` builds a world, runs it to its end and hands out the records.
+//! The model play: runs a scenario in simulated time around the actual decision module. The same seed gives the
+//! same result, byte for byte. `play` builds the world, runs it to the end and returns the records.
 
-mod callers;
+mod clients;
 mod directory;
 mod hosts;
 mod nodes;
 mod script;
 
-use crate::agenda::Agenda;
-use crate::asks::Drawn;
 use crate::decide::{Fault, Policy};
+use crate::event_queue::EventQueue;
 use crate::list::Line;
 use crate::platform;
 use crate::record::{Answer, Records};
 use crate::scenario::Scenario;
-use callers::{AskState, Front};
+use crate::workload::PlannedAsk;
+use clients::{AskState, Front};
 use directory::Directory;
 use hosts::{Fleet, Host};
-use nodes::{Flight, HeldJob, Node, Seat};
+use nodes::{AttemptInFlight, HeldRequest, Node, NodeHost};
 use pearfront::interface::{Address, AttemptOutcome, Settings};
 use rand::prelude::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::rc::Rc;
 
-/// How long, ms, a play runs on after its last arrival at the most: everything has an answer by then.
-const RUN_OUT: f64 = 60_000.0;
-/// One-way delay, ms, between a server and the node beside it.
-const BESIDE: f64 = 0.05;
+/// Longest time, ms, that a play continues after the last arrival; every request has an answer by then.
+const RUN_OUT_MS: f64 = 60_000.0;
+/// One-way delay, ms, between a server and its own node.
+const SIDECAR_DELAY_MS: f64 = 0.05;
 
 #[derive(Debug, Clone, Copy)]
 pub struct Options {
@@ -42,23 +42,23 @@
 }
 
 enum Event {
-    Ask(Drawn),
+    Ask(PlannedAsk),
     Try(Rc<AskState>),
-    Take(Rc<Node>, Rc<HeldJob>),
+    Take(Rc<Node>, Rc<HeldRequest>),
     Round(Rc<Node>),
-    AttemptArrives(Rc<Flight>),
-    AttemptTimesOut(Rc<Flight>),
-    /// Told to its node, which may know better by now.
-    AttemptEnds(Rc<Flight>, AttemptOutcome, u64),
-    CallOffArrives(Rc<Flight>),
+    AttemptArrives(Rc<AttemptInFlight>),
+    AttemptTimesOut(Rc<AttemptInFlight>),
+    /// Reported to its node, which may have ended the attempt already.
+    AttemptEnds(Rc<AttemptInFlight>, AttemptOutcome, u64),
+    CallOffArrives(Rc<AttemptInFlight>),
     HostDue(Rc<Host>, u64),
     ProbeArrives(Rc<Node>, Address, f64),
     ProbeAnswered(Rc<Node>, Address, bool, Vec<f64>, f64),
-    Answered(Rc<HeldJob>, Answer, u64, f64),
-    CallerLeaves(Rc<HeldJob>),
+    Answered(Rc<HeldRequest>, Answer, u64, f64),
+    ClientLeaves(Rc<HeldRequest>),
     WatchAnswered(Rc<Node>, bool),
     Publish(Line),
-    Told(Rc<Node>, Vec<Line>, bool),
+    ListUpdate(Rc<Node>, Vec<Line>, bool),
     Sweep(Rc<Node>),
     Pause(Rc<Host>),
     Begin(usize),
@@ -66,50 +66,51 @@
     EndHost(Rc<Host>, u64),
     StartHost(Rc<Host>),
     DrainHost(Rc<Host>),
-    EndNode(Rc<Seat>, u64),
-    StartNode(Rc<Seat>),
-    FrontNotices(Rc<Seat>, bool),
-    FrontDrops(Rc<Seat>),
+    EndNode(Rc<NodeHost>, u64),
+    StartNode(Rc<NodeHost>),
+    FrontNotices(Rc<NodeHost>, bool),
+    FrontDrops(Rc<NodeHost>),
 }
 
 struct World {
     scenario: Rc<Scenario>,
     options: Options,
-    agenda: Agenda<Event>,
+    event_queue: EventQueue<Event>,
     now: f64,
     records: Records,
     fleet: Rc<Fleet>,
-    seats: Vec<Rc<Seat>>,
-    /// Settings of the nodes of each tier and zone.
+    node_hosts: Vec<Rc<NodeHost>>,
+    /// Settings of the nodes, by tier and zone.
     settings: Vec<Vec<Settings>>,
     directory: Directory,
     front: Front,
-    /// Chance of the network, of servers and of the script; callers have their own, so that all policies meet the same.
+    /// Random streams of the network, the servers and the script; clients have a separate stream, so that all
+    /// policies get the same workload.
     net: ChaCha8Rng,
     troubles: ChaCha8Rng,
     service: ChaCha8Rng,
     node_salt: ChaCha8Rng,
-    /// Body that a driver with swapped answers hands to the next job.
+    /// Body that a driver with the fault `SwapsAnswers` returns for the next request.
     last_body: u64,
     swaps: u64,
 }
 
-/// Plays the scenario; `progress` hears now and then what share of it is done.
+/// Plays the scenario; `progress` is called from time to time with the share that is done.
 pub fn play(scenario: &Scenario, options: Options, progress: &mut dyn FnMut(f64)) -> Records {
     let mut world = World::new(scenario, options);
     world.begin();
-    let end = scenario.length() + RUN_OUT;
-    let mut told = 0.0;
-    while let Some((at, event)) = world.agenda.next(end) {
+    let end = scenario.length() + RUN_OUT_MS;
+    let mut last_progress = 0.0;
+    while let Some((at, event)) = world.event_queue.next(end) {
         world.now = at;
-        if at - told >= 1000.0 {
-            told = at;
+        if at - last_progress >= 1000.0 {
+            last_progress = at;
             progress((at / scenario.length()).min(1.0));
         }
         if at > scenario.length() && world.front.open == 0 {
             break;
         }
-        world.happen(event);
+        world.handle_event(event);
     }
     world.records
 }
@@ -117,9 +118,9 @@
 impl World {
     fn new(scenario: &Scenario, options: Options) -> Self {
         let stream = |number: u64| {
-            let mut chance = ChaCha8Rng::seed_from_u64(options.seed);
-            chance.set_stream(number);
-            chance
+            let mut rng = ChaCha8Rng::seed_from_u64(options.seed);
+            rng.set_stream(number);
+            rng
         };
         let settings = |tier: usize, zone: usize| {
             let siblings = if tier == 0 { scenario.nodes.count } else { scenario.tiers[tier - 1].servers };
@@ -133,11 +134,11 @@
             front: Front::new(shared.clone(), options.seed),
             scenario: shared,
             options,
-            agenda: Agenda::default(),
+            event_queue: EventQueue::default(),
             now: 0.0,
             records: Records::default(),
             fleet: Rc::default(),
-            seats: Vec::new(),
+            node_hosts: Vec::new(),
             settings: (0..scenario.tiers.len()).map(by_zone).collect(),
             directory: Directory::new(scenario),
             net: stream(2),
@@ -152,18 +153,18 @@
     fn begin(&mut self) {
         self.build_fleet();
         self.directory.publish_all(&self.fleet);
-        self.build_seats();
+        self.build_node_hosts();
         for trouble in 0..self.scenario.troubles.len() {
-            self.agenda.put(self.scenario.troubles[trouble].at_s * 1000.0, Event::Begin(trouble));
+            self.event_queue.put(self.scenario.troubles[trouble].at_s * 1000.0, Event::Begin(trouble));
         }
         self.next_ask();
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Ask(ask) => self.ask(ask),
             Event::Try(ask) => self.try_ask(&ask),
-            Event::Take(node, job) => self.take(&node, &job),
+            Event::Take(node, request) => self.take(&node, &request),
             Event::Round(node) => self.round(&node),
             Event::AttemptArrives(flight) => self.attempt_arrives(&flight),
             Event::AttemptTimesOut(flight) => self.attempt_times_out(&flight),
@@ -174,11 +175,11 @@
             Event::ProbeAnswered(node, address, good, report, sent) => {
                 self.probe_answered(&node, address, good, report, sent);
             }
-            Event::Answered(job, answer, body, wait) => self.answered(&job, answer, body, wait),
-            Event::CallerLeaves(job) => self.caller_leaves(&job),
+            Event::Answered(request, answer, body, wait) => self.answered(&request, answer, body, wait),
+            Event::ClientLeaves(request) => self.client_leaves(&request),
             Event::WatchAnswered(node, good) => self.watch_answered(&node, good),
             Event::Publish(line) => self.publish(line),
-            Event::Told(node, lines, whole) => self.told(&node, lines, whole, false),
+            Event::ListUpdate(node, lines, whole) => self.list_received(&node, lines, whole, false),
             Event::Sweep(node) => self.sweep(&node),
             Event::Pause(host) => self.pause(&host),
             Event::Begin(trouble) => self.begin_trouble(trouble),
@@ -186,10 +187,10 @@
             Event::EndHost(host, life) => self.end_host(&host, life),
             Event::StartHost(host) => self.start_host(&host),
             Event::DrainHost(host) => self.drain_host(&host),
-            Event::FrontDrops(seat) => seat.dealt.set(false),
-            Event::EndNode(seat, life) => self.end_node(&seat, life),
-            Event::StartNode(seat) => self.start_node(&seat),
-            Event::FrontNotices(seat, up) => self.front_notices(&seat, up),
+            Event::FrontDrops(node_host) => node_host.in_rotation.set(false),
+            Event::EndNode(node_host, life) => self.end_node(&node_host, life),
+            Event::StartNode(node_host) => self.start_node(&node_host),
+            Event::FrontNotices(node_host, up) => self.front_notices(&node_host, up),
         }
     }
 
@@ -200,7 +201,7 @@
         base * (1.0 + network.jitter * self.net.random::<f64>())
     }
 
-    fn caller_hop(&mut self) -> f64 {
+    fn client_hop(&mut self) -> f64 {
         let network = &self.scenario.network;
         network.caller_ms * (1.0 + network.jitter * self.net.random::<f64>())
     }
--- a/crates/pearfront-emulator/src/platform.rs
+++ b/crates/pearfront-emulator/src/platform.rs
@@ -1,5 +1,5 @@
-//! A scenario in the platform's words: the settings object and the lines of the list, as nodes on sockets get them.
-//! The model play decodes the same object, so both plays decide by the same figures.
+//! Converts a scenario to the platform's format: the settings object and list values that nodes on sockets
+//! receive. The model play decodes the same object, so both plays use the same settings.
 
 use crate::scenario::{Effect, Group, Scenario};
 use pearfront::interface::ServerState;
@@ -7,7 +7,7 @@
 
 const NS_PER_MS: f64 = 1e6;
 
-/// The settings of a node that sends to `tier`, of which there are `siblings`, in `zone`.
+/// Settings of a node in `zone` that sends to `tier`, one of `siblings` such nodes.
 pub fn settings(scenario: &Scenario, tier: usize, zone: usize, siblings: usize) -> Value {
     let ns = |ms: f64| (ms * NS_PER_MS).round();
     let nodes = &scenario.nodes;
@@ -17,7 +17,7 @@
             "outer_limit": ns(profile.deadline_ms), "gain": profile.gain})
     };
     let customer = |customer: &crate::scenario::Customer| json!({"name": customer.name, "quota_per_s": customer.quota_per_s});
-    let habits = &scenario.tiers[tier].server;
+    let behaviour = &scenario.tiers[tier].server;
     json!({
         "siblings": siblings, "tier": tier, "locality": zone, "round": ns(nodes.round_ms),
         "discovery": if scenario.discovery.pushed { "pushed" } else { "on_request" },
@@ -33,8 +33,8 @@
         "objective_mix": {"whole": scenario.goal.whole, "worst_class": scenario.goal.worst_profile,
             "worst_tenant": scenario.goal.worst_customer},
         "report": {"fields": [if nodes.told_held { "outstanding" } else { "utilization" }], "via": if nodes.probes { "probe" } else { "none" }},
-        "rules": {"ask_within": ns(scenario.discovery.ask_within_s * 1000.0), "cold": ns(habits.warm_up_s * 1000.0),
-            "cold_from": habits.cold_from, "tip_multiple": scenario.rules.tip_multiple,
+        "rules": {"ask_within": ns(scenario.discovery.ask_within_s * 1000.0), "cold": ns(behaviour.warm_up_s * 1000.0),
+            "cold_from": behaviour.cold_from, "tip_multiple": scenario.rules.tip_multiple,
             "overload_for": ns(scenario.rules.tip_window_s * 1000.0)},
     })
 }
--- a/crates/pearfront-emulator/src/sockets/discovery.rs
+++ b/crates/pearfront-emulator/src/sockets/discovery.rs
@@ -1,10 +1,10 @@
-//! Discovery on sockets: a versioned list for each tier, held calls, and one way in for each node, so that it is known
-//! who was told what.
+//! Discovery on sockets: a versioned list for each tier, long polling, and an address of its own for each node,
+//! so that the records show which node received what.
 
 use super::fleet::Side;
 use super::servers::{Host, answer};
 use crate::list::Line;
-use crate::record::Told;
+use crate::record::ListUpdate;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -25,18 +25,19 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// Whose way in it is.
+/// The node that a discovery address belongs to.
 #[derive(Clone)]
 pub enum Asker {
-    Seat(usize),
-    Beside(Rc<Host>),
+    NodeHost(usize),
+    Sidecar(Rc<Host>),
 }
 
 pub struct Directory {
-    /// Each id's last line and the version that brought it; lines of those gone are kept, to be told.
+    /// Last line of each id and the version that introduced it; lines of servers that are gone are kept, to be
+    /// reported.
     lines: RefCell<BTreeMap<String, (u64, Line)>>,
     version: Cell<u64>,
-    news: Notify,
+    changes: Notify,
     busy_until: Cell<f64>,
     down: Cell<u32>,
     old: Cell<u32>,
@@ -48,7 +49,7 @@
         Self {
             lines: RefCell::default(),
             version: Cell::new(1),
-            news: Notify::new(),
+            changes: Notify::new(),
             busy_until: Cell::new(f64::NEG_INFINITY),
             down: Cell::new(0),
             old: Cell::new(0),
@@ -58,12 +59,12 @@
 }
 
 impl Directory {
-    /// Part of the first list.
+    /// Whether the server is part of the first list.
     pub fn put(&self, line: &Line) {
         self.lines.borrow_mut().insert(line.id.clone(), (self.version.get(), line.clone()));
     }
 
-    /// The list of a tier as it is published.
+    /// The published list of a tier.
     pub fn lines(&self, tier: usize) -> Vec<Line> {
         let lines = self.lines.borrow();
         let fits = |line: &&Line| line.tier == tier && line.standing != ServerState::Gone;
@@ -75,17 +76,17 @@
             return self.held_back.borrow_mut().push(line);
         }
         let mut lines = self.lines.borrow_mut();
-        // A line of an earlier life may be overtaken by one of a later.
+        // A line of an earlier life may arrive after one of a later life.
         if lines.get(&line.id).is_some_and(|(_, known)| known.life > line.life) {
             return;
         }
         self.version.set(self.version.get() + 1);
         lines.insert(line.id.clone(), (self.version.get(), line));
         drop(lines);
-        self.news.notify_waiters();
+        self.changes.notify_waiters();
     }
 
-    pub fn grow_old(&self, old: bool) {
+    pub fn become_stale(&self, old: bool) {
         self.old.set(if old { self.old.get() + 1 } else { self.old.get() - 1 });
         if self.old.get() == 0 {
             self.held_back.take().into_iter().for_each(|line| self.publish(line));
@@ -94,7 +95,7 @@
 
     pub fn go_down(&self, down: bool) {
         self.down.set(if down { self.down.get() + 1 } else { self.down.get() - 1 });
-        self.news.notify_waiters();
+        self.changes.notify_waiters();
     }
 
     fn newer(&self, tier: usize, than: u64) -> Vec<Line> {
@@ -120,12 +121,12 @@
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let (side, asker) = (side.clone(), asker.clone());
-                let service = service_fn(move |request| {
+                let service = service_fn(move |http_request| {
                     let (side, asker) = (side.clone(), asker.clone());
-                    async move { Ok::<_, Infallible>(side.tell(tier, &asker, &request).await) }
+                    async move { Ok::<_, Infallible>(side.tell(tier, &asker, &http_request).await) }
                 });
                 spawn_local(async move {
-                    // A connection may end in any way: the next call shows it.
+                    // A connection may end in any way; the next call detects it.
                     let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
                 });
             }
@@ -149,7 +150,7 @@
         let hold = Duration::from_millis(figure("hold_ms").unwrap_or(0).min(60_000));
         let until = Instant::now() + hold;
         loop {
-            let news = directory.news.notified();
+            let changes = directory.changes.notified();
             let lines = directory.newer(tier, from);
             if directory.down.get() > 0 {
                 return failed();
@@ -157,13 +158,13 @@
             if !lines.is_empty() {
                 return self.write(asker, false, directory.version.get(), lines);
             }
-            if timeout_at(until, news).await.is_err() {
+            if timeout_at(until, changes).await.is_err() {
                 return self.write(asker, false, from.max(directory.version.get()), Vec::new());
             }
         }
     }
 
-    /// Calls are worked through in turn; false if this one would wait too long.
+    /// Calls are processed sequentially; false if this one would time out.
     async fn wait_for_turn(&self, tier: usize) -> bool {
         let discovery = &self.scenario.discovery;
         let now = self.clock.get().now();
@@ -182,23 +183,23 @@
         let clock = self.clock.get();
         let at = clock.now();
         if whole {
-            // Who the whole list lacks is gone, as far as this node is told.
+            // Servers that are missing from a whole list count as gone for this node.
             let all = self.directory.lines.borrow();
             for (_, line) in all.values().filter(|(_, line)| line.standing == ServerState::Gone) {
-                self.book(asker, line, at);
+                self.record_update(asker, line, at);
             }
         }
-        lines.iter().for_each(|line| self.book(asker, line, at));
+        lines.iter().for_each(|line| self.record_update(asker, line, at));
         let instances: Vec<_> = lines.iter().map(|line| line.json(&self.scenario, clock.began)).collect();
         let body = json!({"generation": version, "reset": whole, "instances": instances});
         answer(StatusCode::OK, body.to_string())
     }
 
-    fn book(&self, asker: &Asker, line: &Line, at: f64) {
-        let told = |node| Told { node, server: line.life, standing: line.standing, at };
+    fn record_update(&self, asker: &Asker, line: &Line, at: f64) {
+        let update = |node| ListUpdate { node, server: line.life, standing: line.standing, at };
         match asker {
-            Asker::Seat(number) => self.told_seats.borrow_mut().push((*number, told(0))),
-            Asker::Beside(host) => self.records.borrow_mut().told.push(told(host.node_life.get())),
+            Asker::NodeHost(number) => self.node_host_updates.borrow_mut().push((*number, update(0))),
+            Asker::Sidecar(host) => self.records.borrow_mut().list_updates.push(update(host.node_life.get())),
         }
     }
 }
--- a/crates/pearfront-emulator/src/sockets/client.rs
+++ b/crates/pearfront-emulator/src/sockets/http_client.rs
@@ -1,5 +1,5 @@
-//! One who sends jobs to a node and hears its answers: callers, and servers that call the next tier. It keeps
-//! connections, sends one job at a time on each, and opens more when all are busy.
+//! HTTP client of a node, used by clients and by servers that call the next tier. It pools connections, sends
+//! one request at a time on each, and opens more when all are busy.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -15,29 +15,30 @@
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
 
-/// What a job looks like on the wire, beside its id and time.
+/// Contents of a request on the wire, apart from its id and deadline.
 #[derive(Debug, Clone)]
-pub struct Asked {
+pub struct RequestData {
     pub profile: usize,
     pub customer: usize,
     pub key: u64,
-    /// Work over all tiers, and how many jobs of this tier one ask makes; the emulator's own, in the target.
+    /// Work over all tiers, and the number of requests of this tier per ask; for the emulator only, passed in
+    /// the request target.
     pub work: f64,
     pub fan: f64,
     pub root: u64,
 }
 
-/// What came back.
+/// Result of a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Heard {
+pub enum Reply {
     Answer {
         answer: Answer,
         body: u64,
         wait: f64,
     },
-    /// Nobody took the connection.
+    /// The connection was refused.
     Refused,
-    /// The connection ended without a whole answer.
+    /// The connection ended without a complete answer.
     Cut,
 }
 
@@ -52,8 +53,8 @@
         Rc::new(Self { scenario, address, idle: RefCell::default() })
     }
 
-    /// Sends a job whose caller waits `left` ms; `accepted` is called once a connection stands.
-    pub async fn ask(&self, trace: u64, asked: &Asked, left: f64, accepted: impl Fn()) -> Heard {
+    /// Sends a request whose client waits `left` ms; `accepted` is called once a connection is established.
+    pub async fn ask(&self, trace: u64, asked: &RequestData, left: f64, accepted: impl Fn()) -> Reply {
         loop {
             let kept = self.kept();
             let reused = kept.is_some();
@@ -61,16 +62,17 @@
                 Some(sender) => Some(sender),
                 None => self.connect().await,
             };
-            let Some(mut sender) = sender else { return Heard::Refused };
+            let Some(mut sender) = sender else { return Reply::Refused };
             accepted();
             match self.send(&mut sender, trace, asked, left).await {
                 Some(heard) => {
                     self.idle.borrow_mut().push(sender);
                     return heard;
                 }
-                // The node closed a kept connection just as the job was written: once more on a new one.
+                // The node closed a reused connection just as the request was written: sent once more on a new
+                // one.
                 None if reused => self.idle.borrow_mut().clear(),
-                None => return Heard::Cut,
+                None => return Reply::Cut,
             }
         }
     }
@@ -89,7 +91,7 @@
         let stream = TcpStream::connect(self.address).await.ok()?;
         stream.set_nodelay(true).ok()?;
         let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
-        // Its end shows at the sender.
+        // The end of the connection shows at the sender.
         spawn_local(async move { drop(connection.await) });
         Some(sender)
     }
@@ -98,11 +100,11 @@
         &self,
         sender: &mut SendRequest<Full<Bytes>>,
         trace: u64,
-        asked: &Asked,
+        asked: &RequestData,
         left: f64,
-    ) -> Option<Heard> {
-        let request = self.encode(trace, asked, left);
-        let answer = sender.send_request(request).await.ok()?;
+    ) -> Option<Reply> {
+        let http_request = self.encode(trace, asked, left);
+        let answer = sender.send_request(http_request).await.ok()?;
         let (head, body) = answer.into_parts();
         let body = body.collect().await.ok()?.to_bytes();
         let number = |text: &[u8]| std::str::from_utf8(text).ok().and_then(|text| text.trim().parse().ok());
@@ -113,15 +115,15 @@
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => Answer::Rejected,
             _ => Answer::Failed,
         };
-        Some(Heard::Answer { answer, body: number(&body).unwrap_or(0), wait })
+        Some(Reply::Answer { answer, body: number(&body).unwrap_or(0), wait })
     }
 
-    fn encode(&self, trace: u64, asked: &Asked, left: f64) -> Request<Full<Bytes>> {
+    fn encode(&self, trace: u64, asked: &RequestData, left: f64) -> Request<Full<Bytes>> {
         let profile = &self.scenario.profiles[asked.profile];
         let (work, fan, root) = (asked.work, asked.fan, asked.root);
         let target = format!("/{}/it?w={work}&f={fan}&r={root}&c={}", profile.name, asked.customer);
         let method = if profile.effect == Effect::Idempotent { "GET" } else { "POST" };
-        let mut request = Request::builder()
+        let mut http_request = Request::builder()
             .method(method)
             .uri(target)
             .header("Host", "origin.svc")
@@ -129,13 +131,13 @@
             .header("X-Customer", &self.scenario.customers[asked.customer].name)
             .header("X-Expires-In", format!("{:.4}", left.max(0.0) / 1000.0));
         if profile.effect == Effect::Keyed {
-            request = request.header("Idempotency-Key", asked.key.to_string());
+            http_request = http_request.header("Idempotency-Key", asked.key.to_string());
         }
         let body = if method == "GET" { Bytes::new() } else { Bytes::from_static(b"{}") };
-        request.body(Full::new(body)).expect("names were checked with the file")
+        http_request.body(Full::new(body)).expect("names were checked with the file")
     }
 
-    /// Closes what is idle, as when its process ends.
+    /// Closes the idle connections, as at the end of a process.
     pub fn end(&self) {
         self.idle.borrow_mut().clear();
     }
--- a/crates/pearfront-emulator/src/sockets/mod.rs
+++ b/crates/pearfront-emulator/src/sockets/mod.rs
@@ -1,15 +1,15 @@
-//! The play on sockets: node programs on loopback addresses, between an emulated fleet with its discovery on one thread
-//! and callers on another, each a single-threaded runtime of its own. They share nothing but the time of the start and
-//! put their records together at the end.
+//! The play on sockets: node programs on loopback addresses, between an emulated fleet with its discovery on
+//! one thread and clients on another, each on its own single-threaded runtime. They share only the start time,
+//! and their records are merged at the end.
 
-mod callers;
-mod client;
+mod clients;
 mod discovery;
 mod fleet;
+mod http_client;
 mod processes;
 mod servers;
 
-use crate::record::{Job, NodeLife, Records};
+use crate::record::{NodeLife, Records, RequestRecord};
 use crate::scenario::Scenario;
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
@@ -23,25 +23,26 @@
 use tokio::task::LocalSet;
 use tokio::time::Instant;
 
-/// Time between all nodes' being up and the start.
-const SETTLE: Duration = Duration::from_millis(500);
-/// Time between two looks whether a play has shown what it is played for.
-const LOOK: Duration = Duration::from_millis(50);
-/// Longest lateness that is told apart, us.
-const LATE_MOST: u64 = 60_000_000;
+/// Delay between all nodes being up and the start.
+const START_DELAY: Duration = Duration::from_millis(500);
+/// Interval at which the condition of a play is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Upper bound of the lateness histogram, us.
+const MAX_LATENESS_US: u64 = 60_000_000;
 
-/// How nodes are started, and where their files go.
+/// How nodes are started, and the folder of their files.
 #[derive(Debug, Clone)]
 pub struct NodeCommand {
-    /// Given to the shell, as the deploy file's `run` is.
+    /// Run by the shell, like `run` of the deploy file.
     pub run: String,
     pub folder: PathBuf,
 }
 
-/// Told of the fleet's records: has the play shown what it is for? Asked only once all troubles are over.
-pub type Enough = fn(&Records) -> bool;
+/// Condition on the fleet's records under which a play may end early. Checked only after all troubles have
+/// ended.
+pub type EndCondition = fn(&Records) -> bool;
 
-/// Milliseconds since the start of the play; negative before it.
+/// Clock of a play: milliseconds since its start, negative before it.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     start: Instant,
@@ -69,84 +70,86 @@
     }
 }
 
-/// Plays of this process, each of which has addresses of its own.
+/// Number of plays of this process; each has its own addresses.
 static PLAYS: AtomicU32 = AtomicU32::new(0);
 
 /// Loopback addresses that no other play on this machine uses at the same time.
 #[derive(Debug, Clone, Copy)]
-pub struct Places {
+pub struct AddressPlan {
     network: [u8; 2],
 }
 
-impl Places {
+impl AddressPlan {
     fn new() -> Self {
         let number = PLAYS.fetch_add(1, Ordering::Relaxed);
         let [.., high, low] = std::process::id().wrapping_add(number.wrapping_mul(7919)).to_be_bytes();
         Self { network: [128 | (high & 0x7f), low] }
     }
 
-    /// The how many-th of a kind of place.
+    /// Address number `number` of a kind.
     pub fn at(&self, kind: u16, number: usize) -> SocketAddrV4 {
         let [high, low] = self.network;
-        // 127 is the loopback network; the process has a part of it, each number an address there.
+        // 127.0.0.0/8 is the loopback network; the play uses part of it, with one address per number.
         let third = (number / 250) as u8 ^ low;
         SocketAddrV4::new(Ipv4Addr::new(127, high, third, 1 + (number % 250) as u8), 21_000 + kind)
     }
 }
 
-/// Kinds of places: servers, nodes of callers, nodes beside servers, and discovery for each.
+/// Kinds of addresses: servers, nodes of the first tier, servers' own nodes, and the discovery addresses of
+/// both.
 pub const SERVER: u16 = 0;
-pub const SEAT: u16 = 1;
-pub const BESIDE: u16 = 2;
-pub const SEAT_DISCOVERY: u16 = 3;
-pub const BESIDE_DISCOVERY: u16 = 4;
-/// The same nodes among one another.
-pub const SEAT_CLUSTER: u16 = 5;
-pub const BESIDE_CLUSTER: u16 = 6;
-
-/// What a node is told by its file.
+pub const FRONT_NODE: u16 = 1;
+pub const SIDECAR: u16 = 2;
+pub const FRONT_NODE_DISCOVERY: u16 = 3;
+pub const SIDECAR_DISCOVERY: u16 = 4;
+/// Cluster addresses of the nodes.
+pub const FRONT_NODE_CLUSTER: u16 = 5;
+pub const SIDECAR_CLUSTER: u16 = 6;
+
+/// Contents of a node's configuration file.
 pub fn config(scenario: &Scenario, settings: &Value, known: &[Value], seed: u64) -> Value {
     json!({"seed": format!("{seed:016x}"),
         "limits": {"memory_mb": scenario.nodes.memory_mb, "sockets": scenario.nodes.sockets},
         "known": {"generation": 1, "reset": true, "instances": known}, "settings": settings})
 }
 
-/// The same, for one that knows of the others where the scenario says so: it listens there, and asks the first two seats.
+/// Like `config`, with a `cluster` section if the scenario asks for it: the node listens at `at` and uses the
+/// first two nodes as seeds.
 pub fn config_among(
     scenario: &Scenario,
     settings: &Value,
     known: &[Value],
     seed: u64,
-    (places, at): (Places, SocketAddrV4),
+    (address_plan, at): (AddressPlan, SocketAddrV4),
 ) -> Value {
     let mut config = config(scenario, settings, known, seed);
     if scenario.nodes.cluster {
-        let seeds = [places.at(SEAT_CLUSTER, 0), places.at(SEAT_CLUSTER, 1)];
+        let seeds = [address_plan.at(FRONT_NODE_CLUSTER, 0), address_plan.at(FRONT_NODE_CLUSTER, 1)];
         config["cluster"] = json!({"installation": scenario.name, "listen": at, "seeds": seeds});
     }
     config
 }
 
-/// What one side of the play saw. Places of nodes are those of its own list.
-pub struct Seen {
+/// Records of one side of the play. Node indices refer to its own list.
+pub struct SideRecords {
     pub records: Records,
     pub late: Histogram<u64>,
 }
 
 pub fn lateness() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, LATE_MOST, 3).expect("bounds that fit")
+    Histogram::new_with_bounds(1, MAX_LATENESS_US, 3).expect("bounds that fit")
 }
 
-fn run_here<T>(work: impl Future<Output = T>) -> Result<T, String> {
+fn block_on_local<T>(work: impl Future<Output = T>) -> Result<T, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|error| format!("runtime: {error}"))?;
     Ok(LocalSet::new().block_on(&runtime, work))
 }
 
-/// Plays the scenario in real time; `progress` hears now and then what share of it is done.
+/// Plays the scenario in real time; `progress` is called from time to time with the share that is done.
 ///
 /// # Errors
-/// What could not be started, in one line.
+/// Which program or address could not be started, in one line.
 pub fn play(
     scenario: &Scenario,
     seed: u64,
@@ -156,79 +159,80 @@
     play_until(scenario, seed, command, progress, None)
 }
 
-/// The same, but no new jobs come once `enough` says so: the scenario's length is then only the end of patience.
+/// Like `play`, but no new requests are sent once `enough` returns true; the scenario's length is then only an upper limit.
 ///
 /// # Errors
-/// What could not be started, in one line.
+/// Which program or address could not be started, in one line.
 pub fn play_until(
     scenario: &Scenario,
     seed: u64,
     command: &NodeCommand,
     progress: &mut dyn FnMut(f64),
-    enough: Option<Enough>,
+    enough: Option<EndCondition>,
 ) -> Result<Records, String> {
     std::fs::create_dir_all(&command.folder)
         .map_err(|error| format!("{}: {error}", command.folder.display()))?;
-    let places = Places::new();
+    let address_plan = AddressPlan::new();
     let (ready, is_ready) = oneshot::channel::<Result<(), String>>();
-    let (go, goes) = oneshot::channel::<Clock>();
-    let (stop, stops) = oneshot::channel::<()>();
+    let (go, start_signal) = oneshot::channel::<Clock>();
+    let (stop, stop_signal) = oneshot::channel::<()>();
     let (shown, is_shown) = oneshot::channel::<()>();
     let (shared, with) = (Arc::new(scenario.clone()), command.clone());
-    let words = fleet::Words { ready, goes, enough: enough.map(|enough| (enough, shown)), stops };
+    let signals =
+        fleet::Signals { ready, start_signal, enough: enough.map(|enough| (enough, shown)), stop_signal };
     let fleet_of = shared.clone();
     let side = std::thread::spawn(move || {
         let scenario = std::rc::Rc::new((*fleet_of).clone());
-        run_here(fleet::side(scenario, seed, with, places, words))
+        block_on_local(fleet::side(scenario, seed, with, address_plan, signals))
     });
-    let callers = run_here(async {
-        let told = is_ready.await.map_err(|_| "the fleet's thread ended early".to_string())?;
-        told?;
+    let clients = block_on_local(async {
+        let fleet_ready = is_ready.await.map_err(|_| "the fleet's thread ended early".to_string())?;
+        fleet_ready?;
         let scenario = std::rc::Rc::new((*shared).clone());
-        let front = callers::Front::start(scenario.clone(), seed, command, places).await?;
-        let clock = Clock::starting_in(SETTLE);
+        let front = clients::Front::start(scenario.clone(), seed, command, address_plan).await?;
+        let clock = Clock::starting_in(START_DELAY);
         go.send(clock).map_err(|_| "the fleet's thread ended early".to_string())?;
         let seen = front.play(clock, is_shown, progress).await;
         let _ = stop.send(());
-        Ok::<Seen, String>(seen)
+        Ok::<SideRecords, String>(seen)
     })?;
     let fleet = side.join().map_err(|_| "the fleet's thread panicked".to_string())??;
-    Ok(merge(callers?, fleet?))
+    Ok(merge(clients?, fleet?))
 }
 
-/// Puts both sides' records together: jobs and attempts meet by the jobs' ids.
-fn merge(callers: Seen, fleet: fleet::FleetSeen) -> Records {
-    let mut late = callers.late;
-    // Both have the same bounds.
+/// Merges the records of both sides: requests and attempts are joined by request id.
+fn merge(clients: SideRecords, fleet: fleet::FleetRecords) -> Records {
+    let mut late = clients.late;
+    // Both histograms have the same bounds.
     let _ = late.add(&fleet.seen.late);
-    let mut all = callers.records;
+    let mut all = clients.records;
     let offset = all.nodes.len();
     let own = fleet.seen.records;
-    let life_of = |seat: usize, at: f64| -> Option<usize> {
-        let name = format!("n{seat}");
+    let life_of = |node_host: usize, at: f64| -> Option<usize> {
+        let name = format!("n{node_host}");
         let fits = |life: &&NodeLife| life.name == name && life.from <= at;
         let from = |life: &NodeLife| life.from;
         let last = all.nodes.iter().filter(fits).map(from).fold(f64::NEG_INFINITY, f64::max);
         all.nodes.iter().position(|life| life.name == name && life.from == last)
     };
-    let mut told = Vec::new();
-    for (seat, mut word) in fleet.told_seats {
-        if let Some(life) = life_of(seat, word.at) {
-            word.node = life;
-            told.push(word);
+    let mut list_updates = Vec::new();
+    for (node_host, mut update) in fleet.node_host_updates {
+        if let Some(life) = life_of(node_host, update.at) {
+            update.node = life;
+            list_updates.push(update);
         }
     }
-    told.extend(own.told.into_iter().map(|mut word| {
-        word.node += offset;
-        word
+    list_updates.extend(own.list_updates.into_iter().map(|mut update| {
+        update.node += offset;
+        update
     }));
-    all.told = told;
+    all.list_updates = list_updates;
     all.nodes.extend(own.nodes);
-    let moved = |mut job: Job| {
-        job.node += offset;
-        job
+    let moved = |mut request: RequestRecord| {
+        request.node += offset;
+        request
     };
-    all.jobs.extend(own.jobs.into_iter().map(moved));
+    all.requests.extend(own.requests.into_iter().map(moved));
     all.attempts = own.attempts;
     all.servers = own.servers;
     all.probes = own.probes;
--- a/crates/pearfront-emulator/src/sockets/processes.rs
+++ b/crates/pearfront-emulator/src/sockets/processes.rs
@@ -1,4 +1,5 @@
-//! Node programs: started as the deploy file says, told to end, killed. Only processes that were started here.
+//! Node processes: started by the command of the deploy file, signalled, killed. Signals go only to processes
+//! started here.
 
 use super::NodeCommand;
 use serde_json::Value;
@@ -10,10 +11,10 @@
 use tokio::process::{Child, Command};
 use tokio::time::{sleep, timeout};
 
-/// Longest that a node may take to be up.
-const UP_WITHIN: Duration = Duration::from_secs(20);
-/// Time between two looks whether it is.
-const LOOK: Duration = Duration::from_millis(20);
+/// Start-up time-out of a node.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// Poll interval while waiting for start-up.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 pub struct Process {
     name: String,
@@ -21,7 +22,7 @@
     address: SocketAddrV4,
 }
 
-/// Signals that the script sends.
+/// Signals sent by the script.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Signal {
     Term,
@@ -29,7 +30,8 @@
 }
 
 impl NodeCommand {
-    /// Starts a program under that name; its file and its log, which goes on over its lives, are in the folder.
+    /// Starts a program under the given name; its configuration file and its log, which is appended to over
+    /// restarts, are in the folder.
     pub fn spawn(
         &self,
         name: &str,
@@ -74,18 +76,18 @@
         Ok(Self { name: name.into(), child, address })
     }
 
-    /// Waits until it says that it is up.
+    /// Waits until the node reports that it is up.
     pub async fn up(&mut self) -> Result<(), String> {
         let looks = async {
-            while !says_up(self.address).await {
+            while !reports_up(self.address).await {
                 if let Ok(Some(status)) = self.child.try_wait() {
                     return Err(format!("node {} ended at its start: {status}", self.name));
                 }
-                sleep(LOOK).await;
+                sleep(POLL_INTERVAL).await;
             }
             Ok(())
         };
-        timeout(UP_WITHIN, looks).await.map_err(|_| format!("node {} did not come up", self.name))?
+        timeout(START_TIMEOUT, looks).await.map_err(|_| format!("node {} did not come up", self.name))?
     }
 
     pub fn signal(&self, signal: Signal) {
@@ -105,13 +107,13 @@
         }
     }
 
-    /// Waits until it has ended by itself.
+    /// Waits until the process has exited.
     pub async fn ended(&mut self) {
         let _ = self.child.wait().await;
     }
 }
 
-pub async fn says_up(address: SocketAddrV4) -> bool {
+pub async fn reports_up(address: SocketAddrV4) -> bool {
     let ask = async {
         let mut stream = TcpStream::connect(address).await.ok()?;
         stream.write_all(b"GET /up HTTP/1.1\r\nHost: node\r\nConnection: close\r\n\r\n").await.ok()?;
--- a/crates/pearfront-emulator/src/sockets/servers.rs
+++ b/crates/pearfront-emulator/src/sockets/servers.rs
@@ -1,13 +1,14 @@
-//! Emulated servers on sockets: connections, messages and timers round the same `Server` that the model play drives.
+//! Emulated servers on sockets: connections, messages and timers around the same `Server` that the model play
+//! uses.
 
-use super::client::{Asked, Client, Heard};
 use super::fleet::Side;
+use super::http_client::{Client, Reply, RequestData};
 use super::processes::Process;
-use crate::record::{Answer, Attempt, AttemptEnd, Job, ServerLife};
-use crate::repeats::Repeats;
+use crate::active_troubles::{ActiveTroubles, State};
+use crate::dedup::DedupKeys;
+use crate::record::{Answer, Attempt, AttemptEnd, RequestRecord, ServerLife};
 use crate::scenario::{Effect, What};
-use crate::server::{Arrival, Happened, Need, Server};
-use crate::struck::{State, Struck};
+use crate::server::{Arrival, Need, Server, ServerEvent};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
@@ -26,16 +27,16 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{sleep, sleep_until};
 
-/// Connections that the kernel keeps for a server that is up.
+/// Listen backlog of a server that is up.
 const BACKLOG: i32 = 1024;
-/// Connections of our own that fill the queue of a silent one; more than it takes.
+/// Number of own connections that fill the listen backlog of an unresponsive server; more than it holds.
 const FILL: usize = 3;
 
-/// A job that a server holds.
+/// A request that a server holds.
 pub struct Pending {
     root: u64,
-    asked: Asked,
-    limit: f64,
+    asked: RequestData,
+    deadline: f64,
     attempt: usize,
     starts: u64,
     done: RefCell<Option<oneshot::Sender<AttemptEnd>>>,
@@ -62,16 +63,16 @@
     pub life: Cell<usize>,
     pub started: Cell<f64>,
     pub server: RefCell<Server<Ticket>>,
-    pub struck: Struck,
-    /// Rings when its next due time may have moved.
-    pub bell: Notify,
-    /// Rises with each start; connections of earlier ones are dropped.
+    pub active_troubles: ActiveTroubles,
+    /// Notified when its next due time may have changed.
+    pub due_changed: Notify,
+    /// Incremented with each start; connections of earlier starts are dropped.
     pub starts: watch::Sender<u64>,
     pub listening: RefCell<Option<JoinHandle<()>>>,
-    /// The node beside it, and who calls through that.
+    /// Its own node, and the client that calls through it.
     pub node: RefCell<Option<Process>>,
     pub node_life: Cell<usize>,
-    pub caller: RefCell<Option<Rc<Client>>>,
+    pub client: RefCell<Option<Rc<Client>>>,
     pub held: RefCell<Vec<Rc<Pending>>>,
     pub place: usize,
 }
@@ -91,7 +92,7 @@
         records.servers.push(life);
     }
 
-    /// Opens the server's address and serves what comes.
+    /// Listens at the server's address and serves connections.
     pub fn listen(self: &Rc<Self>, host: &Rc<Host>) -> Result<(), String> {
         let address = crate::list::socket(host.address);
         let bound = std::net::TcpListener::bind(address).and_then(|listener| {
@@ -108,20 +109,20 @@
         Ok(())
     }
 
-    /// Works on as time goes, as long as the play lasts.
+    /// Advances the server in real time for the length of the play.
     pub async fn drive(self: Rc<Self>, host: Rc<Host>) {
         loop {
             let due = host.server.borrow().due();
             if due.is_finite() && host.state.get() != State::Down {
                 tokio::select! {
-                    () = host.bell.notified() => {}
+                    () = host.due_changed.notified() => {}
                     () = sleep_until(self.clock.get().at(due)) => {
                         let late = (self.clock.get().now() - due).max(0.0) * 1000.0;
                         self.late.borrow_mut().saturating_record(late as u64);
                     }
                 }
             } else {
-                host.bell.notified().await;
+                host.due_changed.notified().await;
             }
             self.catch_up(&host);
         }
@@ -129,127 +130,134 @@
 
     pub fn catch_up(self: &Rc<Self>, host: &Rc<Host>) {
         let now = self.clock.get().now();
-        let happened = host.server.borrow_mut().advance(now);
-        for (Ticket(job), what) in happened {
+        let events = host.server.borrow_mut().advance(now);
+        for (Ticket(request), what) in events {
             match what {
-                Happened::Began => {}
-                Happened::Calls => self.call_next_tier(host, job),
-                Happened::Done => {
-                    let keyed = self.scenario.profiles[job.asked.profile].effect == Effect::Keyed;
-                    let first = self.repeats(host, &job.asked, Repeats::work_through);
-                    self.records.borrow_mut().attempts[job.attempt].effect = first || !keyed;
-                    self.end(host, &job, AttemptEnd::Served);
+                ServerEvent::Began => {}
+                ServerEvent::Calls => self.call_next_tier(host, request),
+                ServerEvent::Done => {
+                    let keyed = self.scenario.profiles[request.asked.profile].effect == Effect::Keyed;
+                    let first = self.repeats(host, &request.asked, DedupKeys::work_through);
+                    self.records.borrow_mut().attempts[request.attempt].effect = first || !keyed;
+                    self.end(host, &request, AttemptEnd::Served);
                 }
-                Happened::Failed => self.end(host, &job, AttemptEnd::Error),
+                ServerEvent::Failed => self.end(host, &request, AttemptEnd::Error),
             }
         }
     }
 
-    fn end(&self, host: &Host, job: &Rc<Pending>, how: AttemptEnd) {
-        host.held.borrow_mut().retain(|other| !Rc::ptr_eq(other, job));
-        self.records.borrow_mut().attempts[job.attempt].ended = Some((self.clock.get().now(), how));
-        let lost = self.chance.borrow_mut().random::<f64>() >= host.struck.spared(What::LostAnswers);
-        let done = job.done.take();
+    fn end(&self, host: &Host, request: &Rc<Pending>, how: AttemptEnd) {
+        host.held.borrow_mut().retain(|other| !Rc::ptr_eq(other, request));
+        self.records.borrow_mut().attempts[request.attempt].ended = Some((self.clock.get().now(), how));
+        let lost =
+            self.rng.borrow_mut().random::<f64>() >= host.active_troubles.unaffected_share(What::LostAnswers);
+        let done = request.done.take();
         match done {
-            // Its connection stays open and silent.
+            // The connection stays open without an answer.
             Some(done) if lost => self.unanswered.borrow_mut().push(done),
             Some(done) => drop(done.send(how)),
             None => {}
         }
     }
 
-    fn repeats(&self, host: &Host, asked: &Asked, ask: impl Fn(&mut Repeats, u64, f64, f64) -> bool) -> bool {
+    fn repeats(
+        &self,
+        host: &Host,
+        asked: &RequestData,
+        ask: impl Fn(&mut DedupKeys, u64, f64, f64) -> bool,
+    ) -> bool {
         let mut groups = self.repeats.borrow_mut();
         let repeats = groups.of(&self.scenario, host.tier, (host.zone, host.cell), asked.profile);
         let window = self.scenario.profiles[asked.profile].window_s * 1000.0;
         repeats.is_some_and(|repeats| ask(repeats, asked.key, self.clock.get().now(), window))
     }
 
-    fn call_next_tier(self: &Rc<Self>, host: &Rc<Host>, job: Rc<Pending>) {
+    fn call_next_tier(self: &Rc<Self>, host: &Rc<Host>, request: Rc<Pending>) {
         let now = self.clock.get().now();
-        let caller = host.caller.borrow().clone();
-        let Some(caller) = caller.filter(|_| job.limit > now) else {
-            return self.call_ended(host, &job, false);
+        let client = host.client.borrow().clone();
+        let Some(client) = client.filter(|_| request.deadline > now) else {
+            return self.call_ended(host, &request, false);
         };
         let trace = self.next_trace();
-        let fan = job.asked.fan * f64::from(self.scenario.tiers[host.tier].calls);
-        let asked = Asked { fan, ..job.asked.clone() };
+        let fan = request.asked.fan * f64::from(self.scenario.tiers[host.tier].calls);
+        let asked = RequestData { fan, ..request.asked.clone() };
         let place = {
             let mut records = self.records.borrow_mut();
-            records.jobs.push(Job {
+            records.requests.push(RequestRecord {
                 trace,
-                root: job.root,
+                root: request.root,
                 ask: None,
                 node: host.node_life.get(),
                 tier: host.tier + 1,
                 profile: asked.profile,
                 key: asked.key,
                 sent: now,
-                limit: job.limit,
+                deadline: request.deadline,
                 left: None,
                 answers: Vec::new(),
                 cut: false,
             });
-            records.jobs.len() - 1
+            records.requests.len() - 1
         };
         let (side, host) = (self.clone(), host.clone());
         spawn_local(async move {
             let slack = side.scenario.rules.slack_ms;
-            let until = side.clock.get().at(job.limit + slack);
+            let until = side.clock.get().at(request.deadline + slack);
             let heard =
-                tokio::time::timeout_at(until, caller.ask(trace, &asked, job.limit - now, || {})).await;
+                tokio::time::timeout_at(until, client.ask(trace, &asked, request.deadline - now, || {}))
+                    .await;
             let at = side.clock.get().now();
             let served = {
-                let job = &mut side.records.borrow_mut().jobs[place];
+                let request = &mut side.records.borrow_mut().requests[place];
                 match heard {
-                    Ok(Heard::Answer { answer, body, .. }) => {
-                        job.answers.push(crate::record::Answered { at, answer, body });
+                    Ok(Reply::Answer { answer, body, .. }) => {
+                        request.answers.push(crate::record::Answered { at, answer, body });
                         answer == Answer::Served
                     }
-                    Ok(Heard::Refused | Heard::Cut) => {
-                        job.cut = true;
+                    Ok(Reply::Refused | Reply::Cut) => {
+                        request.cut = true;
                         false
                     }
                     Err(_) => {
-                        job.left = Some(at);
+                        request.left = Some(at);
                         false
                     }
                 }
             };
-            side.call_ended(&host, &job, served);
+            side.call_ended(&host, &request, served);
         });
     }
 
-    fn call_ended(self: &Rc<Self>, host: &Rc<Host>, job: &Rc<Pending>, good: bool) {
-        if job.starts != *host.starts.borrow() {
+    fn call_ended(self: &Rc<Self>, host: &Rc<Host>, request: &Rc<Pending>, good: bool) {
+        if request.starts != *host.starts.borrow() {
             return;
         }
         self.catch_up(host);
-        let ended = host.server.borrow_mut().call_ended(&Ticket(job.clone()), good);
+        let ended = host.server.borrow_mut().call_ended(&Ticket(request.clone()), good);
         if ended.is_some() {
-            self.end(host, job, AttemptEnd::Error);
+            self.end(host, request, AttemptEnd::Error);
         }
-        host.bell.notify_one();
+        host.due_changed.notify_one();
     }
 
-    /// The process is gone with all that it held.
+    /// The process ended with all requests it held.
     pub fn lose_all(&self, host: &Host) {
         let now = self.clock.get().now();
-        for job in host.held.take() {
-            self.records.borrow_mut().attempts[job.attempt].ended = Some((now, AttemptEnd::Lost));
+        for request in host.held.take() {
+            self.records.borrow_mut().attempts[request.attempt].ended = Some((now, AttemptEnd::Lost));
         }
         host.starts.send_modify(|starts| *starts += 1);
     }
 
-    /// Reads a job to its end, has it worked on and answers.
-    async fn job(
+    /// Reads a request completely, passes it to the server and answers.
+    async fn request(
         self: Rc<Self>,
         host: Rc<Host>,
-        request: Request<Incoming>,
+        http_request: Request<Incoming>,
         new: bool,
     ) -> Response<Full<Bytes>> {
         let sent = self.clock.get().now();
-        let (head, body) = request.into_parts();
+        let (head, body) = http_request.into_parts();
         let Some((trace, asked)) = self.decode(&head) else {
             return answer(StatusCode::NOT_FOUND, "no job of this play");
         };
@@ -262,7 +270,8 @@
         let now = self.clock.get().now();
         let tier = &self.scenario.tiers[host.tier];
         let own = asked.work * tier.work / asked.fan;
-        let fails = self.chance.borrow_mut().random::<f64>() >= host.struck.spared(What::FastErrors);
+        let fails =
+            self.rng.borrow_mut().random::<f64>() >= host.active_troubles.unaffected_share(What::FastErrors);
         let need = Need {
             work: own + if new { tier.server.connect_work_ms } else { 0.0 },
             calls: tier.calls,
@@ -276,7 +285,7 @@
         let pending = Rc::new(Pending {
             root: asked.root,
             asked,
-            limit: now + left.unwrap_or(0.0) * 1000.0,
+            deadline: now + left.unwrap_or(0.0) * 1000.0,
             attempt,
             starts,
             done: RefCell::new(Some(done)),
@@ -296,7 +305,7 @@
                 self.lose_all(&host);
             }
         }
-        host.bell.notify_one();
+        host.due_changed.notify_one();
         let mut watch = Watch { side: self.clone(), host: host.clone(), pending, over: false };
         let how = is_done.await;
         watch.over = true;
@@ -326,14 +335,14 @@
         records.attempts.len() - 1
     }
 
-    /// A silent machine says nothing, whatever stands at its connections.
+    /// An unresponsive machine does not answer on any connection.
     async fn wait_while_silent(&self, host: &Host) {
         if host.state.get() == State::Silent {
             std::future::pending::<()>().await;
         }
     }
 
-    fn decode(&self, head: &hyper::http::request::Parts) -> Option<(u64, Asked)> {
+    fn decode(&self, head: &hyper::http::request::Parts) -> Option<(u64, RequestData)> {
         let trace = head.headers.get("x-trace-id")?.to_str().ok()?.parse().ok()?;
         let name = head.uri.path().split('/').nth(1)?;
         let profile = self.scenario.profiles.iter().position(|profile| profile.name == name)?;
@@ -342,7 +351,7 @@
             query.split('&').find_map(|pair| pair.strip_prefix(key)?.strip_prefix('=')?.parse().ok())
         };
         let key = head.headers.get("idempotency-key").and_then(|key| key.to_str().ok()?.parse().ok());
-        let asked = Asked {
+        let asked = RequestData {
             profile,
             customer: figure("c")? as usize,
             key: key.unwrap_or(0),
@@ -355,14 +364,15 @@
 
     async fn probe(self: Rc<Self>, host: Rc<Host>) -> Response<Full<Bytes>> {
         self.wait_while_silent(&host).await;
-        if host.struck.has(What::LostReports) {
+        if host.active_troubles.has(What::LostReports) {
             std::future::pending::<()>().await;
         }
         self.catch_up(&host);
         self.records.borrow_mut().probes += 1;
         let mut server = host.server.borrow_mut();
-        server.burden(self.scenario.tiers[host.tier].server.probe_work_ms);
-        let report = if host.struck.has(What::StaleReports) { server.old_report() } else { server.report() };
+        server.add_work(self.scenario.tiers[host.tier].server.probe_work_ms);
+        let report =
+            if host.active_troubles.has(What::StaleReports) { server.old_report() } else { server.report() };
         let text = format!(
             "TEXT inflight={}, queue={}, util={:.3}",
             report.held, report.waiting, report.utilisation
@@ -371,7 +381,7 @@
     }
 }
 
-/// Sees to it that the server hears when a job's connection is closed before its answer.
+/// Notifies the server when the connection of a request is closed before the answer.
 struct Watch {
     side: Rc<Side>,
     host: Rc<Host>,
@@ -394,7 +404,7 @@
             self.side.records.borrow_mut().attempts[attempt].ended = Some((now, AttemptEnd::Dropped));
             self.host.held.borrow_mut().retain(|other| !Rc::ptr_eq(other, &self.pending));
         }
-        self.host.bell.notify_one();
+        self.host.due_changed.notify_one();
     }
 }
 
@@ -408,7 +418,8 @@
     let mut filling: Vec<JoinHandle<()>> = Vec::new();
     loop {
         if host.state.get() == State::Silent {
-            // The queue is made as short as it gets and filled: further connections never come up.
+            // The listen backlog is reduced to its minimum and filled, so that further connections are never
+            // established.
             let _ = SockRef::from(&listener).listen(0);
             if filling.is_empty() {
                 let address = crate::list::socket(host.address);
@@ -431,7 +442,7 @@
     }
 }
 
-/// Holds a connection that nobody accepts.
+/// Holds a connection that is never accepted.
 async fn hold(address: std::net::SocketAddrV4) {
     if let Ok(_stream) = TcpStream::connect(address).await {
         std::future::pending::<()>().await;
@@ -446,14 +457,14 @@
     let new = Rc::new(Cell::new(true));
     let service = {
         let (side, host, busy, moved) = (side.clone(), host.clone(), busy.clone(), moved.clone());
-        service_fn(move |request: Request<Incoming>| {
+        service_fn(move |http_request: Request<Incoming>| {
             let (side, host, busy, moved) = (side.clone(), host.clone(), busy.clone(), moved.clone());
             let first = new.replace(false);
             async move {
                 busy.set(busy.get() + 1);
-                let answer = match request.uri().path() {
+                let answer = match http_request.uri().path() {
                     "/alive" | "/metrics/load" => side.probe(host).await,
-                    _ => side.job(host, request, first).await,
+                    _ => side.request(host, http_request, first).await,
                 };
                 busy.set(busy.get() - 1);
                 moved.notify_one();
@@ -464,10 +475,10 @@
     let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     loop {
-        let idle = host.struck.idle(side.scenario.tiers[host.tier].server.idle_s);
+        let idle = host.active_troubles.idle(side.scenario.tiers[host.tier].server.idle_s);
         tokio::select! {
             _ = &mut connection => break,
-            // A new start: the old process's connections are gone.
+            // The server was started again: connections of the old process are closed.
             _ = starts.changed() => break,
             () = moved.notified() => {}
             () = sleep(Duration::from_secs_f64(idle / 1000.0)), if busy.get() == 0 => {
--- a/crates/pearfront-node/tests/cluster.rs
+++ b/crates/pearfront-node/tests/cluster.rs
@@ -1,12 +1,12 @@
 //! Several node processes of one installation, connected by the test cluster. The tests wait for events; the judge compares
 //! faults and each node's view on one clock. Runs on a machine that was late are void and repeated.
 
-use pearfront_emulator::again::{PLAYS, Play, in_time};
 use pearfront_emulator::processes::judge::judge;
 use pearfront_emulator::processes::relay::Weather;
 use pearfront_emulator::processes::test_cluster::{View, wait};
 use pearfront_emulator::processes::trial::{self, event};
 use pearfront_emulator::processes::{Program, Start, TestCluster, run};
+use pearfront_emulator::void_plays::{PLAYS, Play, in_time};
 use serde_json::{Value, json};
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/pearfront-node/tests/scale.rs
+++ b/crates/pearfront-node/tests/scale.rs
@@ -1,7 +1,7 @@
 //! Small runs of the measurements on real sockets: results that must hold on any machine. Times are not judged; a run whose rig
 //! was late is void and repeated.
 
-use pearfront_emulator::again::{PLAYS, Play, in_time};
+use pearfront_emulator::void_plays::{PLAYS, Play, in_time};
 use pearfront_scale::Point;
 use pearfront_scale::measure::chain::{self, Quantile};
 use pearfront_scale::measure::hollow;
--- a/crates/pearfront-scale/src/measure/client.rs
+++ b/crates/pearfront-scale/src/measure/client.rs
@@ -6,7 +6,7 @@
     ServerState, Settings,
 };
 use pearfront::policy::Balancer;
-use pearfront_emulator::agenda::Agenda;
+use pearfront_emulator::event_queue::EventQueue;
 use rand::prelude::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -126,7 +126,7 @@
 /// One client of one service.
 pub struct Client {
     module: Balancer,
-    events: Agenda<Event>,
+    events: EventQueue<Event>,
     /// Inputs for the next round.
     inputs: Vec<Event>,
     rng: ChaCha8Rng,
@@ -152,7 +152,7 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut client = Self {
             module: Balancer::new(settings, rng.random()),
-            events: Agenda::default(),
+            events: EventQueue::default(),
             inputs: Vec::new(),
             mean_interval: 1000.0 / rate,
             now: 0.0,
--- a/crates/pearfront-scale/src/measure/distribution.rs
+++ b/crates/pearfront-scale/src/measure/distribution.rs
@@ -10,7 +10,7 @@
     ServerState, ServiceChange, Subscriber, SubscriberAction, Times, ToDistributor, ToSubscriber, ToVoter,
     decode, encode,
 };
-use pearfront_emulator::agenda::Agenda;
+use pearfront_emulator::event_queue::EventQueue;
 use rand::distr::weighted::WeightedIndex;
 use rand::prelude::{Distribution, Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -74,7 +74,7 @@
     links: BTreeMap<u64, usize>,
     /// Number of connections that nodes opened so far.
     last_link: u64,
-    events: Agenda<Event>,
+    events: EventQueue<Event>,
     /// Time of the next scheduled wake-up, ms.
     next_wake: f64,
     rng: ChaCha8Rng,
@@ -159,7 +159,7 @@
             nodes,
             links: BTreeMap::new(),
             last_link: 0,
-            events: Agenda::default(),
+            events: EventQueue::default(),
             next_wake: f64::INFINITY,
             rng,
             now: 0.0,
--- a/crates/pearfront-scale/src/measure/voters.rs
+++ b/crates/pearfront-scale/src/measure/voters.rs
@@ -5,7 +5,7 @@
 use crate::clock::{Meter, memory_mb};
 use hdrhistogram::Histogram;
 use pearfront_consensus::{Action, Message, PersistentState, Times, Voter};
-use pearfront_emulator::agenda::Agenda;
+use pearfront_emulator::event_queue::EventQueue;
 use rand::prelude::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -49,7 +49,7 @@
 
 struct World {
     members: Vec<Member>,
-    events: Agenda<Event>,
+    events: EventQueue<Event>,
     rng: ChaCha8Rng,
     now: f64,
     /// One-way delay between regions, ms.
@@ -91,7 +91,7 @@
             Histogram::new_with_bounds(1, 600_000_000, 3).map_err(|error| error.to_string())?;
         let mut world = Self {
             members: (0..REGIONS.len()).map(member).collect(),
-            events: Agenda::default(),
+            events: EventQueue::default(),
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: 0.0,
             remote_delay: round_trip / 2.0,
