--- a/crates/pearfront-emulator/src/processes/holders.rs
+++ b/crates/pearfront-emulator/src/processes/holders.rs
@@ -1,6 +1,6 @@
-//! Those who hold duties beside the programs, as a command of the operators' would: they ask their node, look at the
-//! clock before each act, and act at one place that keeps the order in which acts came and the highest token. What came
-//! there is the record that is judged; no program's opinion is.
+//! Duty holders that run beside the node processes, as an operators' command would. A holder requests the lease from its
+//! node, checks the clock before each act, and acts on one receiver that records the order of acts and the highest fencing
+//! token. Tests judge that record and not what any process reports. Used by the test cluster's scenarios and tests.
 
 use super::test_cluster::{TestCluster, call};
 use serde::Deserialize;
@@ -11,12 +11,12 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::sleep;
 
-/// Time between two acts, and between two calls while it holds.
+/// Interval between two acts, and between two lease renewals while the holder has the lease.
 const ACT: Duration = Duration::from_millis(5);
 const AGAIN: Duration = Duration::from_millis(300);
-/// Time without an act, ms, that is told: one holder's own acts are a fraction of it apart.
+/// Shortest interval without an act, ms, that is reported: the acts of one holder are a fraction of it apart.
 const GAP: f64 = 100.0;
-/// Pause after a call that came to nothing.
+/// Pause after a call that failed or did not grant the lease.
 const PAUSE: Duration = Duration::from_millis(50);
 
 #[derive(Debug, Deserialize)]
@@ -31,7 +31,7 @@
     held: Option<Held>,
 }
 
-/// One act as it came.
+/// One act as the receiver got it: time in ms, holder and fencing token.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Act {
     pub at: f64,
@@ -39,17 +39,17 @@
     pub token: u64,
 }
 
-/// Where acts go.
+/// Receives the acts of all holders and refuses those with an outdated fencing token.
 #[derive(Debug, Default)]
 pub struct Receiver {
-    /// Only where another came, or another token.
+    /// The first act under each new token.
     pub turns: Vec<Act>,
     /// The last act.
     pub last: Option<Act>,
     pub acts: u64,
-    /// Acts with a token below one that had come.
+    /// Number of acts whose token was below the highest one received.
     pub refused: u64,
-    /// Times in which nothing came, ms, where they were longer than `GAP`.
+    /// Intervals without any act, ms, that were longer than `GAP`.
     pub gaps: Vec<f64>,
     highest: u64,
     owners: BTreeMap<u64, usize>,
@@ -57,7 +57,7 @@
 }
 
 impl Receiver {
-    /// Takes one act, or refuses it.
+    /// Records one act, or returns false if its token is outdated.
     pub fn take(&mut self, act: Act) -> bool {
         if act.token < self.highest {
             self.refused += 1;
@@ -78,25 +78,25 @@
         true
     }
 
-    /// Longest time without any act between two instants, ms.
+    /// Time from `at` to the first act under a new token, ms.
     pub fn gap_after(&self, at: f64) -> Option<f64> {
         self.turns.iter().find(|act| act.at >= at).map(|act| act.at - at)
     }
 }
 
-/// One that wants a duty through one node.
+/// A client that requests a duty's lease through one node.
 pub struct Holder {
     pub who: usize,
     duty: String,
     test_cluster: Rc<TestCluster>,
     receiver: Rc<RefCell<Receiver>>,
-    /// Token, and until when it may act, ms from the test cluster's start.
+    /// Token and end of the lease, ms from the test cluster's start.
     may: Cell<Option<(u64, f64)>>,
-    /// It stands still for so long between its next look and the act.
+    /// Delay, ms, between the next clock check and the act that follows it.
     late: Cell<f64>,
     done: Cell<bool>,
     tasks: RefCell<Vec<AbortHandle>>,
-    /// Does it look at the clock? One that does not is there to check the judge.
+    /// Whether it checks the clock before acting. Holders that do not exist to test the judge.
     looks: bool,
 }
 
@@ -124,13 +124,13 @@
         holder
     }
 
-    /// Ends without a word.
+    /// Ends abruptly, without giving the lease up.
     pub fn end(&self) {
         self.tasks.borrow().iter().for_each(AbortHandle::abort);
         self.may.set(None);
     }
 
-    /// Gives the duty up at once, and wants it no more.
+    /// Gives the lease up at once and stops requesting it.
     pub async fn give_up(&self) {
         self.done.set(true);
         self.may.set(None);
@@ -138,7 +138,7 @@
         call(self.test_cluster.operators(self.who), "PUT", &path).await;
     }
 
-    /// Stands still for so long between the next look at the clock and the act.
+    /// Delays the next act by `ms` after its clock check.
     pub fn be_late(&self, ms: f64) {
         self.late.set(ms);
     }
@@ -164,7 +164,7 @@
                     self.give_up().await;
                     self.done.set(false);
                 }
-                // Counted from before it asked.
+                // The lease counts from before the request was sent, so that the answer's delay can't extend it.
                 Some(held) if !self.done.get() => self.may.set(Some((held.token, before + held.left_ms))),
                 _ => {
                     if self.looks {
--- a/crates/pearfront-emulator/src/processes/judge.rs
+++ b/crates/pearfront-emulator/src/processes/judge.rs
@@ -1,11 +1,11 @@
-//! What must hold of the views that processes told, held against what was truly done to them. It reads the records and
-//! nothing else.
+//! Checks the membership views that processes reported against what was really done to the processes. It reads only the
+//! records of a test cluster; scenarios and tests use it for their verdict.
 
 use super::test_cluster::{Act, Records};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Longest stand-still of a process, ms, for which nobody may hold it to be gone, and how long the news of a longer one
-/// may still be on their way.
+/// Longest pause of a process, ms, during which no member may report it as gone; and how long, ms, after a longer pause
+/// reports of it may still spread.
 const BORNE: f64 = 2500.0;
 const EXCUSED: f64 = 10_000.0;
 
@@ -18,25 +18,26 @@
 #[derive(Debug, Clone, Default)]
 pub struct Verdict {
     pub broken: Vec<Finding>,
-    /// For each life that was killed: when each that ran on first held it to be gone, ms after.
+    /// For each killed process run: detection times of the other members, ms after the kill.
     pub found: Vec<(String, Vec<f64>)>,
-    /// For each that stood still for longer than must be borne: when each first held it silent, ms after it stopped.
+    /// For each pause longer than `BORNE`: when each other member first reported the process silent, ms after it began.
     pub silent: Vec<(String, Vec<f64>)>,
-    /// The test cluster itself was late at the hundredth by so much, us.
+    /// 99th percentile of the test cluster's own scheduling delay, us.
     pub late_p99_us: u64,
 }
 
-/// One start of a process to its end.
+/// One run of a process, from its start to its end.
 struct Life {
     who: usize,
     from: f64,
-    /// When it was ended, and whether it was killed.
+    /// When it ended, and whether it was killed.
     to: Option<(f64, bool)>,
-    /// When it stood still for longer than must be borne, to the end of what is excused.
+    /// Pauses longer than `BORNE`, each with the `EXCUSED` time after it.
     still: Vec<(f64, f64)>,
 }
 
-/// Looks at all views. `cuts_excuse` says that ways were cut for so long that silence was true: then only the end counts.
+/// Checks all views. `cuts_excuse` means that links were cut for so long that members were rightly reported silent; then
+/// false reports count only at the end.
 pub fn judge(records: &Records, cuts_excuse: bool) -> Verdict {
     let lives = lives(records);
     let mut verdict = Verdict::default();
@@ -50,7 +51,7 @@
             if !member.is_here() {
                 let runs = life.to.is_none_or(|(to, _)| *at < to);
                 gone.entry(key.clone()).or_insert(*at);
-                // Who was held silent while it ran may say so and die before its word has come to all.
+                // A process reported silent while it runs may refute it and die before the refutation reaches everyone.
                 if !runs || member.state != "silent" {
                     over.insert(key.clone());
                 }
@@ -71,7 +72,7 @@
     at_the_end(records, &lives, &mut verdict);
     for (name, life) in &lives {
         if let Some((to, true)) = life.to {
-            // Whoever was cut off may have held it to be gone before.
+            // Members that were cut off may have reported it gone before the kill.
             let times =
                 gone.iter().filter(|((_, of), at)| of == name && **at >= to).map(|(_, at)| at - to).collect();
             verdict.found.push((records.names[life.who].clone(), times));
@@ -90,7 +91,7 @@
     verdict
 }
 
-/// Nobody who runs is held to be gone for good, nobody who does not to be here.
+/// At the end, no view may report a running process as gone or an ended one as present.
 fn at_the_end(records: &Records, lives: &BTreeMap<String, Life>, verdict: &mut Verdict) {
     let mut last = BTreeMap::new();
     for (_, who, view) in &records.views {
--- a/crates/pearfront-emulator/src/processes/mod.rs
+++ b/crates/pearfront-emulator/src/processes/mod.rs
@@ -1,5 +1,5 @@
-//! The test cluster: several node programs of one installation, a relay of ours at each direction of each link between
-//! them, and what is done to both. What came of it is read from records that are stamped by the machine's one clock.
+//! The test cluster: several node processes of one installation, a relay for each direction of each link between them,
+//! and the faults injected into both. Results come from records that are stamped by the machine's single clock.
 
 pub mod holders;
 pub mod judge;
--- a/crates/pearfront-emulator/src/processes/trial.rs
+++ b/crates/pearfront-emulator/src/processes/trial.rs
@@ -1,5 +1,5 @@
-//! One play of a test on the test cluster: processes that agree, a script that does something to them, a judge. A play
-//! on a machine that was late is void and played again.
+//! Runs one test on the test cluster: starts processes, waits until their views agree, runs a script of faults and judges
+//! the records. A run on a machine that was late is void and repeated. Used by the tests of the process cluster.
 
 use super::judge::{Verdict, judge};
 use super::player::LATE;
@@ -10,25 +10,26 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long an event is waited for: far longer than it takes on the slowest machine.
+/// Time-out for an awaited event: far longer than it takes on the slowest machine.
 pub const PATIENCE: Duration = Duration::from_secs(60);
 
-/// So many programs of that path, in a folder named after the test; `cluster` is put over their files' key.
+/// Describes `count` processes of the program at `path`, in a folder named after the test. `cluster` overrides that key
+/// in their configuration files.
 pub fn program(path: &str, what: &str, count: usize, cluster: Value) -> Program {
     let folder = std::env::temp_dir().join(format!("pearfront-cluster-{what}-{}", std::process::id()));
-    // What an earlier play of this test left is not this one's.
+    // Files left by an earlier run of this test must not be reused.
     drop(std::fs::remove_dir_all(&folder));
     let run = format!("exec '{path}'");
     Program { command: NodeCommand { run, folder }, count, zones: 3, cluster }
 }
 
-/// What came of it, in time: the script's own word, and the judge's.
+/// Result of a run that was in time: the script's own result and the judge's verdict.
 pub type Trial = (Result<(), String>, Verdict);
 
-/// Plays what `script` does to processes that agree, until the machine was in time for it.
+/// Runs `script` on processes whose views agree; repeats it until a run was in time.
 ///
 /// # Errors
-/// What could not be started, or that no play was in time.
+/// A process could not be started, or no run was in time.
 pub fn play<F: Future<Output = Result<(), String>>>(
     program: &Program,
     cuts_excuse: bool,
@@ -58,7 +59,7 @@
 /// Waits for an event.
 ///
 /// # Errors
-/// It did not come in a generous time.
+/// The event did not occur within `PATIENCE`.
 pub async fn event(
     test_cluster: &Rc<TestCluster>,
     what: &str,
