--- a/crates/pearfront-emulator/src/processes/picture.rs
+++ b/crates/pearfront-emulator/src/processes/picture.rs
@@ -1,10 +1,10 @@
-//! A picture of a play: a band for each process, in it a lane for how each other one saw it, in colour; what was done to
-//! it stands above its lanes.
+//! Draws the records of a run as SVG: one band for each process, in it one lane for each observer with the state it
+//! reported, in colour. The faults injected into the process are marked above its lanes. Used for the scenario pages.
 
 use super::test_cluster::{Act, Records};
 use plotters::prelude::*;
 
-/// Height of a lane and of the gap between two bands, and width of all, pixels.
+/// Height of a lane and of the gap between two bands, and width of the whole picture, pixels.
 const LANE: usize = 7;
 const GAP: usize = 22;
 const WIDTH: u32 = 1200;
@@ -19,8 +19,10 @@
     }
 }
 
+/// Renders the records of a run as SVG text.
+///
 /// # Errors
-/// What could not be drawn.
+/// An element could not be drawn.
 pub fn picture(records: &Records) -> Result<String, String> {
     let count = records.names.len();
     let band = count * LANE + GAP;
@@ -43,7 +45,7 @@
                     seen.push((*when, state));
                 }
             }
-            // One that is over sees nothing any more.
+            // A process that ended observes nothing any more.
             let over = records.acts.iter().filter(|(_, act)| ends(act, at));
             seen.extend(over.map(|(when, _)| (*when, None)));
             seen.sort_by(|one, other| one.0.total_cmp(&other.0));
@@ -73,7 +75,7 @@
     matches!(act, Act::Killed { who } | Act::Ended { who } if *who == one)
 }
 
-/// What was done to one, and to ways from it, in a word.
+/// Short labels of the faults injected into one process and into the links from it, with their times.
 fn acts_of(records: &Records, of: usize) -> Vec<(f64, String)> {
     let mut marks: Vec<(f64, String)> = Vec::new();
     for (at, act) in &records.acts {
@@ -89,7 +91,7 @@
             }
             _ => continue,
         };
-        // One word for all ways that change at once.
+        // One label for all links that change at once.
         if !marks.iter().any(|(when, known)| *known == what && at - when < 500.0) {
             marks.push((*at, what));
         }
--- a/crates/pearfront-emulator/src/processes/player.rs
+++ b/crates/pearfront-emulator/src/processes/player.rs
@@ -1,4 +1,5 @@
-//! Plays a scenario among processes: each trouble at its time, then until all agree or patience ends.
+//! Runs a scenario on the test cluster: injects each fault at its time, then waits until all views agree or the
+//! time-out ends, and compares the result with what the scenario expects.
 
 use super::holders::{Holder, Receiver};
 use super::judge::{Finding, Verdict, judge};
@@ -10,18 +11,20 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// Lateness of the test cluster itself at the hundredth, us, beyond which a play says nothing of the programs.
+/// Scheduling delay of the test cluster itself, 99th percentile in us, above which a run is void: it says nothing of
+/// the programs.
 pub const LATE: u64 = 100_000;
-/// Longest that all may take to come together at the start.
+/// Time-out for all processes to agree at the start.
 const JOIN: Duration = Duration::from_secs(60);
 
+/// Result of one run of a scenario.
 pub struct Played {
     pub records: Records,
     pub verdict: Verdict,
-    /// From the last trouble's end until all agreed for good, ms; none if they did not.
+    /// Time from the end of the last fault until all views agreed, ms; none if they did not.
     pub agreed_after: Option<f64>,
     pub suspicions: u64,
-    /// What came of the duty, where there was one.
+    /// How the duty was held, if the scenario has one.
     pub duty: Option<Held>,
     pub void: bool,
 }
@@ -29,14 +32,16 @@
 /// How a duty was held.
 pub struct Held {
     pub acts: u64,
-    /// How often it went on under another token.
+    /// Number of tokens under which the duty was held.
     pub turns: usize,
-    /// Times in which nobody acted, ms.
+    /// Intervals in which no holder acted, ms.
     pub gaps: Vec<f64>,
 }
 
+/// Runs a scenario once.
+///
 /// # Errors
-/// What could not be started.
+/// A process could not be started, or the processes did not agree at the start.
 pub async fn play(scenario: &Scenario, seed: u64, command: &NodeCommand) -> Result<Played, String> {
     let program = Program {
         command: command.clone(),
@@ -85,7 +90,8 @@
     Ok(Played { records, verdict, agreed_after, suspicions, duty: held, void })
 }
 
-/// How the duty was held, and what must not have been: two at one instant, a token of two, nobody when all is well again.
+/// How the duty was held, and the rules that were broken: two holders at one time, one token for two holders, or no
+/// holder after the last fault.
 async fn duty(
     scenario: &Scenario,
     test_cluster: &Rc<TestCluster>,
@@ -110,7 +116,7 @@
     (Some(held), broken)
 }
 
-/// What the scenario expects beside what always must hold.
+/// Checks the scenario's own expectations, in addition to the rules that always hold.
 fn expected(scenario: &Scenario, agreed_after: Option<f64>, suspicions: u64, verdict: &mut Verdict) {
     let expect = &scenario.expect;
     let mut say = |what: String| verdict.broken.push(Finding { at: f64::NAN, what });
--- a/crates/pearfront-emulator/src/processes/relay.rs
+++ b/crates/pearfront-emulator/src/processes/relay.rs
@@ -1,5 +1,5 @@
-//! What stands between processes: a relay at each direction of each link, by UDP and TCP, that passes on, cuts, delays,
-//! loses, doubles, reorders, stalls and resets as it is told.
+//! Relay for one direction of a link between two processes, for UDP and TCP. It forwards, cuts, delays, loses,
+//! duplicates, reorders, stalls and resets traffic as the test cluster sets it.
 
 use rand::prelude::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -15,24 +15,25 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Longest datagram that can come, bytes.
+/// Receive buffer, bytes: the longest possible datagram.
 const DATAGRAM: usize = 65_536;
-/// Pause before an address is bound again.
+/// Back-off before an address is bound again.
 const BIND_AGAIN: Duration = Duration::from_millis(10);
-/// Connections that the kernel holds for a relay.
+/// Listen backlog, connections.
 const BACKLOG: u32 = 64;
 
-/// What befalls one direction.
+/// Network conditions of one direction.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Weather {
-    /// Datagrams don't pass, and don't come later.
+    /// Datagrams are dropped.
     pub no_datagrams: bool,
-    /// Streams stay open and nothing passes; it comes when this is over.
+    /// Streams stay open but stall; their data is delivered afterwards.
     pub no_streams: bool,
-    /// Chance that a datagram is lost, and that it comes twice.
+    /// Probability that a datagram is lost, and that it is duplicated.
     pub loss: f64,
     pub doubled: f64,
-    /// Delay, ms, drawn evenly for each datagram, so that they overtake one another; streams are late by the mean.
+    /// Delay range, ms, drawn uniformly for each datagram, so that datagrams are reordered; streams are delayed by the
+    /// mean.
     pub delay: (f64, f64),
 }
 
@@ -45,7 +46,7 @@
 /// One direction between two processes.
 pub struct Way {
     weather: watch::Sender<Weather>,
-    /// Rises with each reset.
+    /// Number of resets so far.
     resets: watch::Sender<u64>,
     pub passed: Cell<u64>,
     pub lost: Cell<u64>,
@@ -65,27 +66,28 @@
         self.weather.send_replace(weather);
     }
 
-    /// All streams over it end at once, as when something between forgot them.
+    /// Resets all streams over it at once, as a middlebox that lost its connection state does.
     pub fn reset(&self) {
         self.resets.send_modify(|count| *count += 1);
     }
 
     async fn open(&self) {
         let mut weather = self.weather.subscribe();
-        // The sender is this way's own.
+        // The wait can't fail: `self` owns the sender.
         let _ = weather.wait_for(|weather| !weather.no_streams).await;
     }
 }
 
-/// A relay at one address, which one process takes for another's.
+/// A relay listening at the address that one process uses for another.
 pub struct Relay {
     pub at: SocketAddr,
-    /// Where the target is now: it may start again elsewhere.
+    /// Current address of the target, which may restart at another one.
     pub target: Rc<Cell<SocketAddr>>,
-    /// From the one who uses it to the target, and back.
+    /// Direction from the relay's user to the target, and back.
     pub there: Rc<Way>,
     pub back: Rc<Way>,
-    /// Does the target run? An address where nothing listens refuses, and so does this.
+    /// Whether the target runs. While it does not, the relay does not listen, so that connections are refused as at the
+    /// target's own address.
     pub running: watch::Receiver<bool>,
     pub chance: Rc<RefCell<ChaCha8Rng>>,
 }
@@ -155,7 +157,7 @@
     }
 
     async fn stream(self: Rc<Self>, from: TcpStream) {
-        // Taken by the kernel; nothing of it comes through.
+        // The kernel has accepted the connection; nothing is forwarded while streams stall.
         self.there.open().await;
         let Ok(to) = TcpStream::connect(self.target.get()).await else { return reset(&from) };
         let _ = (from.set_nodelay(true), to.set_nodelay(true));
@@ -178,7 +180,7 @@
     socket.listen(BACKLOG)
 }
 
-/// Closed so that the other end hears of a reset, not of an end.
+/// Sets zero linger, so that closing sends a reset and not an end of stream.
 fn abort(socket: &socket2::Socket) {
     let _ = socket.set_linger(Some(Duration::ZERO));
 }
--- a/crates/pearfront-emulator/src/processes/scenario.rs
+++ b/crates/pearfront-emulator/src/processes/scenario.rs
@@ -1,5 +1,5 @@
-//! A rehearsal of several processes as its file describes it, in the notation of the others: how many, and what is done
-//! to them and to the ways between them. `Scenario::parse` is the only way in.
+//! Scenario files for the test cluster (TOML): how many processes, and the faults that are injected into them and into the
+//! links between them. `Scenario::parse` is the only entry point; `pearfront rehearse` and the tests use it.
 
 use super::relay::Weather;
 use super::test_cluster::MOST;
@@ -7,25 +7,26 @@
 use serde::Deserialize;
 use serde_json::Value;
 
+/// One scenario for several node processes.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
     pub name: String,
-    /// Node programs, called n0, n1 and so on.
+    /// Number of node processes, named n0, n1 and so on.
     pub processes: usize,
-    /// Zones, called z0, z1 and so on, among which they take turns.
+    /// Number of zones, named z0, z1 and so on, assigned to the processes in turn.
     #[serde(default = "three")]
     pub zones: usize,
     #[serde(default = "one")]
     pub seed: u64,
-    /// How long, after the last trouble is over, all may take to agree.
+    /// Time-out, after the end of the last fault, for all views to agree.
     #[serde(default = "sixty")]
     pub patience_s: f64,
-    /// Put over the key `cluster` of each process's file.
+    /// Overrides the key `cluster` in each process's configuration file.
     #[serde(default)]
     pub cluster: Value,
-    /// Processes beside which somebody wants the duty meanwhile, as a command of the operators' would; `cluster` has to
-    /// name voters.
+    /// Processes through which a client requests the duty during the run, as an operators' command would; `cluster` has
+    /// to name voters.
     #[serde(default)]
     pub holders: Vec<usize>,
     #[serde(default = "export")]
@@ -36,40 +37,40 @@
     pub troubles: Vec<Trouble>,
 }
 
-/// What has to come of it, beside what always must.
+/// Expected results, in addition to the rules that always hold.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Expect {
-    /// Ways are cut for so long that silence is true: who runs may be held silent meanwhile, not at the end.
+    /// Links are cut for so long that running processes may be reported silent during the run, but not at the end.
     pub cuts_excuse: bool,
-    /// Every killed process is known to be gone to all that run within this time.
+    /// Time, s, within which all running processes must have detected each kill.
     pub found_within_s: Option<f64>,
-    /// Suspicions that all processes together may raise.
+    /// Most suspicions that all processes together may raise.
     pub suspicions_most: Option<u64>,
-    /// All agree again within this time of the last trouble's end.
+    /// Time, s, after the end of the last fault within which all views must agree again.
     pub agreed_within_s: Option<f64>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum What {
-    /// SIGKILL; they start again after `for_s`, if that is given.
+    /// SIGKILL; the processes restart after `for_s`, if that is given.
     Kill,
-    /// SIGTERM, and the same.
+    /// SIGTERM; the processes restart after `for_s`, if that is given.
     End,
-    /// SIGSTOP, and SIGCONT after `for_s`.
+    /// SIGSTOP, then SIGCONT after `for_s`.
     Stop,
-    /// One after another of `who` ends by SIGTERM and starts again, `for_s` apart.
+    /// Rolling restart: each process of `who` in turn gets SIGTERM and restarts, `for_s` apart.
     Roll,
-    /// Nothing passes from `from` to `to`; with `both` neither way.
+    /// Drops all traffic from `from` to `to`, with `both` in both directions.
     Cut,
-    /// Streams stay open and pass nothing; datagrams do.
+    /// Streams stay open but stall; datagrams pass.
     StallStreams,
-    /// Datagrams don't pass; streams do.
+    /// Datagrams are dropped; streams pass.
     LoseDatagrams,
-    /// Streams end at once.
+    /// Resets all streams.
     Reset,
-    /// `loss`, `doubled` and `delay_ms` from `from` to `to`.
+    /// Applies `loss`, `doubled` and `delay_ms` from `from` to `to`.
     Weather,
 }
 
@@ -78,7 +79,7 @@
 pub enum Folder {
     #[default]
     Kept,
-    /// As it was at the start of the play.
+    /// As it was at the start of the run.
     Older,
     Empty,
 }
@@ -104,7 +105,7 @@
     pub doubled: f64,
     #[serde(default)]
     pub delay_ms: (f64, f64),
-    /// With what folder killed ones start again.
+    /// State of the data folder with which ended processes restart.
     #[serde(default)]
     pub folder: Folder,
 }
@@ -123,13 +124,13 @@
 }
 
 impl Trouble {
-    /// When it is over, s.
+    /// End of the fault, s from the start of the run.
     pub fn ends(&self) -> f64 {
         let times = if self.what == What::Roll { self.who.len() as f64 } else { 1.0 };
         self.at_s + times * self.for_s.unwrap_or(0.0)
     }
 
-    /// What befalls a way, where it is one that befalls ways.
+    /// Network conditions that this fault sets on links, if it is a network fault.
     pub fn weather(&self) -> Option<Weather> {
         Some(match self.what {
             What::Cut => Weather::CUT,
@@ -144,6 +145,8 @@
 }
 
 impl Scenario {
+    /// Parses and checks a scenario file.
+    ///
     /// # Errors
     /// The first mistake, with its key and line.
     pub fn parse(text: &str) -> Result<Self, Mistake> {
--- a/crates/pearfront-emulator/src/processes/storm.rs
+++ b/crates/pearfront-emulator/src/processes/storm.rs
@@ -1,24 +1,25 @@
-//! A minute of mixed troubles for processes that hold duties, drawn by seed: kills, stops, cuts either way or both, streams
-//! that stall or end. Voters have as much of it as the others.
+//! Generates, from a seed, a scenario of one minute of mixed faults for processes that hold duties: kills, pauses, cuts
+//! in one or both directions, stalled streams. Voters are hit as often as the other processes.
 
 use super::scenario::{Expect, Folder, Scenario, Trouble, What};
 use rand::prelude::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::json;
 
-/// How long, s, and the mean time between two troubles.
+/// Length of the scenario, s, and mean time between two faults, s.
 const LENGTH: f64 = 60.0;
 const EVERY: f64 = 2.5;
-/// Shortest and longest trouble, s.
+/// Shortest and longest fault, s.
 const LASTS: (f64, f64) = (0.3, 6.0);
-/// One that is itself again is left alone for so long, s.
+/// Time, s, that a process is left without faults after it recovered.
 const REST: f64 = 1.0;
 /// The duty's lease, ms.
 const LEASE: f64 = 2000.0;
+/// Name of the duty that the holders request.
 pub const DUTY: &str = "export";
 
 impl Scenario {
-    /// So many voters, and as many again that want a duty.
+    /// A scenario with `voters` voters, and as many further processes that request the duty.
     pub fn storm(seed: u64, voters: usize) -> Self {
         let mut chance = ChaCha8Rng::seed_from_u64(seed);
         let processes = 2 * voters;
--- a/crates/pearfront-emulator/src/processes/test_cluster.rs
+++ b/crates/pearfront-emulator/src/processes/test_cluster.rs
@@ -1,5 +1,5 @@
-//! Starts the programs, stands between them and does to them what a scenario or a test says. All of it runs on one thread
-//! of its own runtime; programs are ended with it.
+//! Starts the node processes, relays the traffic between them and injects the faults that a scenario or test requests.
+//! Everything runs on one thread with its own runtime; the processes are ended with it.
 
 use super::relay::{Relay, Way, Weather};
 use crate::operators;
@@ -22,21 +22,21 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// Time between two looks at a process's view.
+/// Interval at which each process's view is polled.
 const LOOK: Duration = Duration::from_millis(100);
-/// Longest that an operator's call may take.
+/// Time-out of a call to an admin address.
 const CALL: Duration = Duration::from_secs(1);
-/// Longest that a program may take to be up, and to end after SIGTERM.
+/// Time-out for a process to come up, and to end after SIGTERM.
 const PATIENCE: Duration = Duration::from_secs(30);
-/// Addresses on the last part of an IP address.
+/// Number of ports used on each IP address.
 const PORTS: usize = 200;
-/// Most processes of a test cluster.
+/// Largest number of processes in a test cluster.
 pub const MOST: usize = 32;
 
-/// The file of a node without its cluster: nothing is asked of it here.
+/// Node configuration without `cluster`; the test cluster sends no requests for its services.
 const FILE: &str = include_str!("../../../../deploy/example.json");
 
-/// Kinds of places.
+/// Kinds of addresses; each has its own port range.
 const CLUSTER: usize = 0;
 const MOVED: usize = 1;
 const ADMIN: usize = 2;
@@ -44,28 +44,28 @@
 const DISCOVERY: usize = 4;
 const RELAY: usize = 5;
 
-/// What a program is started with.
+/// State of the data folder with which a process is started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Start {
-    /// Its folder as it left it.
+    /// The folder as the process left it.
     Kept,
-    /// Its folder as it was when `TestCluster::copy_folder` was called.
+    /// The folder as it was when `TestCluster::copy_folder` was called.
     Older,
     /// An empty folder.
     Empty,
 }
 
-/// How many, and with what.
+/// The processes of a test cluster: command, number and configuration.
 #[derive(Debug, Clone)]
 pub struct Program {
     pub command: NodeCommand,
     pub count: usize,
     pub zones: usize,
-    /// Put over the `cluster` of each process's file.
+    /// Overrides `cluster` in each process's configuration file.
     pub cluster: Value,
 }
 
-/// One member in one process's view, as its operators' address tells it.
+/// One member in one process's view, as `/_members` reports it.
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 pub struct Member {
     pub name: String,
@@ -101,7 +101,7 @@
         self.members.iter().find(|member| member.name == name)
     }
 
-    /// Names that it holds to be here, its own with them.
+    /// Names of the members that it regards as present, with its own.
     pub fn here(&self) -> Vec<&str> {
         let mut names: Vec<&str> = self
             .members
@@ -115,7 +115,7 @@
     }
 }
 
-/// What was done, and what was seen, ms from the start.
+/// One action of the test cluster on a process or link.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Act {
     Started {
@@ -134,7 +134,7 @@
     Continued {
         who: usize,
     },
-    /// The weather of a way has changed.
+    /// The network conditions of a link direction have changed.
     Way {
         from: usize,
         to: usize,
@@ -147,9 +147,9 @@
 pub struct Records {
     pub names: Vec<String>,
     pub acts: Vec<(f64, Act)>,
-    /// When whose view was what; only where it changed.
+    /// Time in ms, process and its view; only changed views are recorded.
     pub views: Vec<(f64, usize, View)>,
-    /// How late the test cluster itself was, us.
+    /// Scheduling delay of the test cluster itself, us.
     pub late: Option<Histogram<u64>>,
     pub length: f64,
 }
@@ -157,13 +157,13 @@
 struct Seat {
     name: String,
     child: RefCell<Option<Child>>,
-    /// The process itself, not a shell before it.
+    /// Id of the node process itself, not of a shell that started it.
     pid: Cell<u32>,
     running: watch::Sender<bool>,
-    /// Its true address for the others.
+    /// Its real cluster address, behind the relays.
     cluster: Rc<Cell<SocketAddr>>,
     stopped: Cell<bool>,
-    /// Another's name, which its file gives it.
+    /// Name that its configuration file gives it, if not its own.
     called: RefCell<Option<String>>,
     view: RefCell<Option<View>>,
 }
@@ -173,7 +173,7 @@
     network: (u8, u8),
     start: Instant,
     seats: Vec<Rc<Seat>>,
-    /// By who uses it and whom it leads to.
+    /// Indexed by sender, then by receiver.
     ways: Vec<Vec<Rc<Way>>>,
     records: RefCell<Records>,
     late: RefCell<Histogram<u64>>,
@@ -181,20 +181,20 @@
 
 static TEST_CLUSTERS: AtomicU32 = AtomicU32::new(0);
 
-/// Runs work that needs a test cluster on a runtime of its own.
+/// Runs a future that needs a test cluster on a runtime of its own.
 ///
 /// # Errors
-/// What the work could not do.
+/// The runtime could not be built, or the future's own error.
 pub fn run<T>(work: impl Future<Output = Result<T, String>>) -> Result<T, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     LocalSet::new().block_on(&runtime.map_err(|error| format!("runtime: {error}"))?, work)
 }
 
 impl TestCluster {
-    /// Puts relays between all, starts nothing yet.
+    /// Starts the relays between all processes; starts no process yet.
     ///
     /// # Errors
-    /// What could not be bound or written.
+    /// An address could not be bound or the folder not created.
     pub fn new(program: Program, seed: u64) -> Result<Rc<Self>, String> {
         if !(2..=MOST).contains(&program.count) {
             return Err(format!("{} processes, not 2 to {MOST}", program.count));
@@ -263,17 +263,17 @@
         place_at(self.network, kind, number)
     }
 
-    /// Where operators call a process.
+    /// Admin address of a process.
     pub fn operators(&self, who: usize) -> SocketAddr {
         self.place(ADMIN, who)
     }
 
-    /// Where jobs come to it.
+    /// Address at which a process takes requests.
     pub fn listens(&self, who: usize) -> SocketAddr {
         self.place(LISTEN, who)
     }
 
-    /// Its true address for the others, behind all relays.
+    /// Its real cluster address, behind the relays.
     pub fn cluster(&self, who: usize) -> SocketAddr {
         self.seats[who].cluster.get()
     }
@@ -319,10 +319,10 @@
         self.place(RELAY, who * MOST + other)
     }
 
-    /// Starts one, and waits until it tells its view.
+    /// Starts a process and waits until it reports its view.
     ///
     /// # Errors
-    /// It could not be started, or did not come up in time.
+    /// The process could not be started, or did not come up in time.
     pub async fn start(self: &Rc<Self>, who: usize, with: Start) -> Result<(), String> {
         let seat = &self.seats[who];
         let folder = self.folder(who);
@@ -351,10 +351,10 @@
         Ok(())
     }
 
-    /// Starts all at once.
+    /// Starts all processes at once.
     ///
     /// # Errors
-    /// The first that did not come up.
+    /// The first process that did not come up.
     pub async fn start_all(self: &Rc<Self>) -> Result<(), String> {
         let starts: Vec<_> = (0..self.count())
             .map(|who| {
@@ -368,20 +368,20 @@
         Ok(())
     }
 
-    /// Keeps a copy of its folder, for `Start::Older`.
+    /// Keeps a copy of a process's folder for `Start::Older`.
     ///
     /// # Errors
-    /// What can't be read or written.
+    /// A file could not be read or written.
     pub fn copy_folder(&self, who: usize) -> Result<(), String> {
         let folder = self.folder(who);
         copy(&folder, &folder.with_extension("older"))
             .map_err(|error| format!("{}: {error}", folder.display()))
     }
 
-    /// Turns a bit of a file in its folder.
+    /// Flips a bit of a file in a process's folder.
     ///
     /// # Errors
-    /// What can't be read or written.
+    /// The file could not be read or written, or is too short.
     pub fn spoil_folder(&self, who: usize, file: &str, at: usize) -> Result<(), String> {
         let path = self.folder(who).join(file);
         let told = |error: std::io::Error| format!("{}: {error}", path.display());
@@ -390,7 +390,7 @@
         std::fs::write(&path, bytes).map_err(told)
     }
 
-    /// What it has logged, in all its lives.
+    /// Log of a process over all its runs.
     pub fn log(&self, who: usize) -> String {
         let log = self.program.command.folder.join(format!("{}.log", self.seats[who].name));
         std::fs::read_to_string(log).unwrap_or_default()
@@ -399,7 +399,7 @@
     pub async fn kill(&self, who: usize) {
         let child = self.seats[who].child.take();
         if let Some(mut child) = child {
-            // Stamped before: whoever knows of it earlier than this would be a seer.
+            // Recorded before the kill, so that no process can detect it earlier than the record says.
             self.act(Act::Killed { who });
             if let Err(error) = child.kill().await {
                 log::warn!("{}: kill: {error}", self.seats[who].name);
@@ -408,7 +408,7 @@
         }
     }
 
-    /// SIGTERM, and its end.
+    /// Sends SIGTERM and waits for the end; kills the process after the time-out.
     pub async fn terminate(&self, who: usize) {
         let child = self.seats[who].child.take();
         if let Some(mut child) = child {
@@ -451,24 +451,24 @@
         self.seats[who].child.borrow().is_some()
     }
 
-    /// Its process, as the kernel numbers it; 0 if it does not run.
+    /// Process id; 0 if it does not run.
     pub fn pid(&self, who: usize) -> u32 {
         self.seats[who].pid.get()
     }
 
-    /// From its next start on its file gives it that name.
+    /// Sets the name in its configuration file, from its next start on.
     pub fn call_as(&self, who: usize, name: &str) {
         *self.seats[who].called.borrow_mut() = Some(name.into());
     }
 
-    /// From its next start on it is at another address; the relays follow it.
+    /// Gives it another cluster address from its next start on; the relays use that as their target.
     pub fn move_to_new_address(&self, who: usize) {
         self.seats[who].cluster.set(self.place(MOVED, who));
     }
 
-    // ---- what stands between ----
+    // ---- network ----
 
-    /// Changes the weather of the ways from any of these to any of those.
+    /// Changes the network conditions of all links from `from` to `to`.
     pub fn weather(&self, from: &[usize], to: &[usize], change: impl Fn(&mut Weather)) {
         for (from, to) in from.iter().flat_map(|from| to.iter().map(move |to| (*from, *to))) {
             if from != to {
@@ -480,18 +480,18 @@
         }
     }
 
-    /// Nothing passes from these to those; the other way it does.
+    /// Drops all traffic from `from` to `to`; the opposite direction is unaffected.
     pub fn cut(&self, from: &[usize], to: &[usize]) {
         self.weather(from, to, |weather| *weather = Weather::CUT);
     }
 
-    /// All ways are fine again.
+    /// Restores all links.
     pub fn heal(&self) {
         let all: Vec<usize> = (0..self.count()).collect();
         self.weather(&all, &all, |weather| *weather = Weather::FINE);
     }
 
-    /// Streams between these and those end at once, without any process having ended.
+    /// Resets all streams from `from` to `to`, while the processes go on.
     pub fn reset(&self, from: &[usize], to: &[usize]) {
         for (from, to) in from.iter().flat_map(|from| to.iter().map(move |to| (*from, *to))) {
             if from != to {
@@ -501,20 +501,21 @@
         self.note("streams reset");
     }
 
-    // ---- what is seen ----
+    // ---- observation ----
 
-    /// The last view that a running process told.
+    /// Last view that a running process reported.
     pub fn view(&self, who: usize) -> Option<View> {
         self.seats[who].view.borrow().clone()
     }
 
-    /// One's standing in another's view; nothing if that is not known.
+    /// State of member `of` in the view of `at`, if known.
     pub fn standing(&self, at: usize, of: usize) -> Option<String> {
         let view = self.seats[at].view.borrow();
         view.as_ref()?.member(&self.seats[of].name).map(|member| member.state.clone())
     }
 
-    /// Do all that run hold just those that run to be here, under the same incarnations, and are sure of it?
+    /// Whether every running process is settled and regards exactly the running processes as present, with the same
+    /// incarnations.
     pub fn agreed(&self) -> bool {
         let running: Vec<usize> = (0..self.count()).filter(|who| self.runs(*who)).collect();
         let names: Vec<&str> = running.iter().map(|who| self.seats[*who].name.as_str()).collect();
@@ -536,7 +537,7 @@
         sums.windows(2).all(|pair| pair[0] == pair[1])
     }
 
-    /// Waits for an event; false if it did not come in a generous time.
+    /// Waits for an event; false if it did not occur before the time-out.
     pub async fn until(self: &Rc<Self>, patience: Duration, event: impl Fn(&Self) -> bool) -> bool {
         let end = Instant::now() + patience;
         while !event(self) {
@@ -567,7 +568,7 @@
             let pid = seat.pid.get();
             let Some(text) = call(self.operators(who), "GET", "/_members").await else { continue };
             let Ok(view) = serde_json::from_str::<View>(&text) else { continue };
-            // It may have been ended, and started again, while it was asked.
+            // The process may have been restarted while the call was under way.
             if seat.pid.get() != pid {
                 continue;
             }
@@ -581,9 +582,9 @@
         }
     }
 
-    /// Ends all programs; what was done and seen.
+    /// Ends all processes and returns the records.
     pub async fn end(&self) -> Records {
-        // Taken first: those that are ended last would be seen to hold those before them to be gone.
+        // Taken first: processes that are ended last would report those ended before them as gone.
         let mut records = self.records.take();
         records.length = self.now();
         for who in 0..self.count() {
@@ -604,7 +605,7 @@
     SocketAddr::from((Ipv4Addr::new(127, high, low, last), port))
 }
 
-/// Nothing but times and counts is different.
+/// Whether two views differ in nothing but times and counts.
 fn alike(one: &View, other: &View) -> bool {
     let key = |view: &View| {
         (view.life.clone(), view.state.clone(), view.sure, view.deaf_s.is_some(), view.incarnation)
@@ -626,18 +627,18 @@
     Ok(())
 }
 
-/// One call to an operators' address; its body, if it was answered with 200 in time.
+/// Sends one call to an admin address; returns the body if the answer was 200 and in time.
 pub async fn call(address: SocketAddr, method: &str, path: &str) -> Option<String> {
     call_with(address, method, path, "").await
 }
 
-/// The same with further lines in its head, each with its end.
+/// As `call`, with further header lines, each with its line end.
 pub async fn call_with(address: SocketAddr, method: &str, path: &str, lines: &str) -> Option<String> {
     let told = operators::ask(address, method, path, lines, CALL).await.ok();
     told.filter(|(status, _)| *status == 200).map(|(_, body)| body)
 }
 
-/// Sleeps by the test cluster's own clock.
+/// Sleeps for `ms` milliseconds; not at all if negative.
 pub async fn wait(ms: f64) {
     sleep(Duration::from_secs_f64(ms.max(0.0) / 1000.0)).await;
 }
