--- a/crates/pearfront-emulator/src/cores/consensus.rs
+++ b/crates/pearfront-emulator/src/cores/consensus.rs
@@ -1,6 +1,6 @@
-//! The replicated log by seed: 3 or 5 voters, each on a disk of its own that can lose, lie, stall and be an older one; a
-//! network that delays, loses, doubles and cuts; voters that are killed and stand still. What must always hold is looked at
-//! after every step.
+//! Seeded simulation of the replicated log: 3 or 5 voters, each with a simulated disk that can lose data, report false
+//! syncs, stall or come back in an older state; a network that delays, loses, duplicates and cuts; voters that are killed
+//! or paused. Invariants are checked after every step. Used by `pearfront prove consensus` and the tests.
 
 use super::duties::{Happens, Upper};
 use crate::agenda::Agenda;
@@ -14,49 +14,49 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Applied entries after which a voter takes a snapshot, and bytes of the store's log after which that begins anew.
+/// Applied entries after which a voter takes a snapshot, and bytes of the store's log after which it is compacted.
 const SNAPSHOT: u64 = 40;
 const LOG_BYTES: usize = 64 * 1024;
-/// Time between two proposals, and between two reads, ms.
+/// Interval between two proposals, and between two reads, ms.
 const PROPOSE: f64 = 20.0;
 const READ: f64 = 50.0;
-/// A sync in good times, and on a disk that stalls, ms.
+/// Duration range of a sync, ms, and duration on a stalled disk, ms.
 const SYNC: (f64, f64) = (0.2, 3.0);
 const STALLED: f64 = 5000.0;
-/// Time between two looks at who leads, ms.
+/// Interval at which the leader is checked, ms.
 const LOOK: f64 = 5.0;
-/// A clock that was reckoned back and forth shows that a time has come only so much later, ms.
+/// Rounding tolerance, ms: a time converted to a node's clock and back may be this much late.
 pub(super) const ROUNDING: f64 = 1e-6;
-/// Quiet at the end, ms, in which a leader must be there and all be alike.
+/// Period without faults at the end, ms, after which there must be one leader and all voters must be up to date.
 pub const QUIET: f64 = 8000.0;
-/// How soon a kernel tells the others that a process has ended, ms.
+/// Delay until the kernels notify the others that a process has ended, ms.
 const PROOF: (f64, f64) = (1.0, 100.0);
 
 #[derive(Debug, Clone)]
 pub struct Plan {
     pub voters: usize,
-    /// How long, ms, with troubles up to `QUIET` before the end.
+    /// Length of the run, ms; faults are injected up to `QUIET` before the end.
     pub length: f64,
-    /// Mean time between two troubles, ms; none if 0.
+    /// Mean time between two faults, ms; no faults if 0.
     pub every: f64,
     pub loss: f64,
     pub delay: (f64, f64),
-    /// Do disks lose what they said was synced, and come back older or empty, one at a time?
+    /// Whether disks lose data that they reported as synced and come back older or empty, one at a time.
     pub disks: bool,
-    /// Do kernels tell the others that a voter was killed?
+    /// Whether kernels notify the others that a voter was killed.
     pub proofs: bool,
-    /// A broken voter, to check the looks.
+    /// A faulty driver, to check that the invariant checks find it.
     pub fault: Option<Faulty>,
 }
 
-/// A driver with one fault.
+/// A driver with one deliberate fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Faulty {
-    /// Says that records are stored before they are.
+    /// Reports records as stored before they are synced.
     TellsStoredAtOnce,
-    /// All disks say that they have synced and have not: more than one forgets at a time.
+    /// All disks report syncs that did not happen: several voters lose data at a time.
     AllDisksLie,
-    /// A new leader holds all leases to be over that were granted before it.
+    /// A new leader regards all leases granted before its term as expired.
     CountsNoLeaseAnew,
 }
 
@@ -83,8 +83,8 @@
     pub reads: u64,
     pub terms: u64,
     pub snapshots_sent: u64,
-    /// Times without a leader that a majority follows, ms, and of each the part in which a majority was able to have one:
-    /// up, not standing still, disks not stalled, heard by one another.
+    /// Periods without a leader that a majority follows, ms; and the part of each in which a majority could have had one:
+    /// running, not paused, disks not stalled, connected to one another.
     pub leaderless: Vec<f64>,
     pub able: Vec<f64>,
     pub forgot: u64,
@@ -106,7 +106,7 @@
     Above(Happens),
 }
 
-/// What a voter starts again with.
+/// Disk with which a voter restarts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Disk {
     Own,
@@ -117,31 +117,31 @@
 pub(super) struct Seat {
     pub(super) name: String,
     pub(super) voter: Option<Voter>,
-    /// What is decided on the log, and the leader's side of it.
+    /// State machine applied from the log, and the leader's lease handling.
     pub(super) duties: Duties,
     pub(super) desk: LeaseManager,
-    /// How fast its clock runs.
+    /// Clock rate.
     pub(super) rate: f64,
     store: Option<Store<SimDisk>>,
-    /// Its disk while it is down.
+    /// The disk while the voter is down.
     disk: Option<SimDisk>,
     older: Option<SimDisk>,
     life: u64,
-    /// Stands still until then; what came meanwhile.
+    /// End of the current pause, and the messages that arrived during it.
     pub(super) until: f64,
     waiting: Vec<Came>,
     woken: f64,
-    /// The disk is busy until then.
+    /// Time until which the disk is busy.
     busy: f64,
     sync: (f64, f64),
-    /// What it applied: up to which index, and a sum over all.
+    /// Last applied index and a checksum over all applied entries.
     applied: (u64, u32),
     snapshot_at: u64,
-    /// It came back with less than it had, and has not caught up since.
+    /// It restarted with lost data and has not caught up since.
     forgot: bool,
 }
 
-/// A message of another voter, or of one that wants duties.
+/// A message from another voter, or from a process that requests duties.
 pub(super) enum Came {
     Log(Vec<u8>),
     Ask(Vec<u8>),
@@ -151,21 +151,21 @@
     pub(super) plan: Plan,
     pub(super) seats: Vec<Seat>,
     events: Agenda<Event>,
-    /// Cuts so far, which number them.
+    /// Number of cuts so far; identifies each cut.
     cut: u64,
     pub(super) chance: ChaCha8Rng,
     pub(super) now: f64,
     pub(super) cuts: Vec<(u64, BTreeSet<usize>, BTreeSet<usize>)>,
     leaders: BTreeMap<u64, usize>,
-    /// By index: the term of what is committed there, and the sum over everything up to it.
+    /// By index: term of the committed entry, and checksum over all entries up to it.
     committed: BTreeMap<u64, (u64, u32)>,
-    /// Reads that wait: what was committed when each was asked.
+    /// Pending reads, with the commit index at the time of each request.
     asked: BTreeMap<u64, u64>,
     numbers: u64,
     without: Option<f64>,
     pub(super) findings: Findings,
     able_since: f64,
-    /// Those who want duties, where the play is about them.
+    /// Processes that request duties, in simulations of duties.
     pub(super) upper: Option<Upper>,
 }
 
@@ -249,7 +249,7 @@
         }
         let (mut store, recovered) = match Store::open(disk) {
             Ok(opened) => opened,
-            // It is told by file and place, and operators give it an empty folder.
+            // The voter reports the damaged file and offset, and operators give it an empty folder.
             Err(StoreError::Damaged { .. }) => {
                 seat.disk = Some(SimDisk::new(seed));
                 return self.put(now + 500.0, Event::Start { who, with: Disk::Empty });
@@ -293,7 +293,7 @@
         }
     }
 
-    /// A kernel tells those that run that a voter has ended; one that is up again is another by then.
+    /// Kernels notify the running voters that a voter has ended; if it restarted meanwhile, that is another run.
     fn proof(&mut self, of: usize) {
         let name = self.seats[of].name.clone();
         for who in (0..self.seats.len()).filter(|who| *who != of) {
@@ -303,7 +303,7 @@
         }
     }
 
-    /// What its own clock shows.
+    /// Time on the voter's own clock.
     pub(super) fn own_now(&self, who: usize) -> f64 {
         self.now * self.seats[who].rate
     }
@@ -317,7 +317,7 @@
         self.look_at(who);
     }
 
-    /// Does what the voter wants done.
+    /// Carries out the voter's actions.
     fn done(&mut self, who: usize) {
         let out = self.seats[who].voter.as_mut().map(Voter::take_actions).unwrap_or_default();
         for out in out {
@@ -327,7 +327,7 @@
         }
     }
 
-    /// Does what the leader's side wants done, until it wants nothing more.
+    /// Carries out the actions of the leader's lease handling until there are none left.
     pub(super) fn settle(&mut self, who: usize) {
         let now = self.own_now(who);
         let hasty = self.plan.fault == Some(Faulty::CountsNoLeaseAnew);
@@ -335,7 +335,7 @@
             let seat = &mut self.seats[who];
             let Some(voter) = &mut seat.voter else { return };
             let term = voter.has_committed_in_term().then(|| voter.term());
-            // Long ago: every lease that was granted before is over.
+            // Far in the past, so that every lease granted before counts as expired.
             let since = if hasty { now - 1e9 } else { now };
             seat.desk.set_leadership(term, &seat.duties, since);
             let out = seat.desk.take_actions();
@@ -354,7 +354,7 @@
         }
     }
 
-    /// What must hold of it now, and when it is to be woken.
+    /// Checks the invariants of a voter and schedules its next wake-up.
     fn look_at(&mut self, who: usize) {
         let seat = &mut self.seats[who];
         let Some(voter) = &mut seat.voter else { return };
@@ -412,7 +412,7 @@
         seat.desk.read_result(read, may, &seat.duties, now);
     }
 
-    /// Its disk failed: it stops being a voter, as it has to, and is started again later.
+    /// Its disk failed: it has to stop being a voter, and is restarted later.
     fn dies(&mut self, who: usize) {
         self.kill(who);
         self.put(self.now + 500.0, Event::Start { who, with: Disk::Own });
@@ -425,7 +425,7 @@
             let seat = &mut self.seats[who];
             let (least, most) = seat.sync;
             let sync = least + (most - least) * self.chance.random::<f64>();
-            // One sync takes along all that was written before it.
+            // A sync covers everything written before it.
             seat.busy = seat.busy.max(self.now + sync);
             seat.store.as_mut().map(|store| store.append(&encoded))
         };
@@ -469,7 +469,7 @@
         if entry.index >= seat.snapshot_at + SNAPSHOT {
             seat.snapshot_at = entry.index;
             if let Some(voter) = &mut seat.voter {
-                // Longer than a piece, so that it goes in several.
+                // Larger than one snapshot chunk, so that it is sent in several.
                 let mut bytes = sum.to_le_bytes().to_vec();
                 bytes.extend(seat.duties.encode());
                 bytes.resize(100_000, 7);
@@ -490,7 +490,7 @@
         self.cuts.iter().any(|(_, froms, tos)| froms.contains(&from) && tos.contains(&to))
     }
 
-    /// When a message arrives: not at all, once or twice.
+    /// Arrival times of a message: none, one or two.
     pub(super) fn arrivals(&mut self, from: usize, to: usize) -> Vec<f64> {
         let loss = if self.quiet() { 0.0 } else { self.plan.loss };
         if self.is_cut(from, to) || self.chance.random::<f64>() < loss {
@@ -573,7 +573,7 @@
         self.act(who, |voter, now| voter.tick(now));
     }
 
-    /// To whoever takes itself for the leader, and there may be two.
+    /// Voters that regard themselves as leader; there may be two.
     pub(super) fn leading(&self) -> Vec<usize> {
         let leads = |seat: &Seat| seat.voter.as_ref().is_some_and(|voter| voter.role() == Role::Leader);
         (0..self.seats.len())
@@ -613,18 +613,18 @@
         }
         let next = self.now - self.plan.every * (1.0 - self.chance.random::<f64>()).ln();
         self.put(next, Event::Trouble);
-        // Of what one has forgotten somebody else has to know: with three voters a second fault is one too many.
+        // Data that one voter lost must still be known to another: with three voters a second fault is one too many.
         if self.seats.iter().any(|seat| seat.forgot) {
             return;
         }
         if self.trouble_above() {
             return;
         }
-        // Leaders have more of it than others.
+        // Leaders are hit more often than other voters.
         let leader = self.leading().first().copied().filter(|_| self.chance.random::<bool>());
         let who = leader.unwrap_or_else(|| self.chance.random_range(0..self.seats.len()));
         let lasts = 100.0 + 2500.0 * self.chance.random::<f64>();
-        // Troubles end before the quiet.
+        // Faults end before the period without faults.
         let until = (self.now + lasts).min(self.plan.length - QUIET);
         match self.chance.random_range(0..10) {
             0..=2 => {
@@ -661,14 +661,14 @@
         }
     }
 
-    /// Nothing passes from these to those until then.
+    /// Drops all traffic from `from` to `to` until then.
     pub(super) fn cut_way(&mut self, from: BTreeSet<usize>, to: BTreeSet<usize>, until: f64) {
         self.cut += 1;
         self.cuts.push((self.cut, from, to));
         self.put(until, Event::Heal(self.cut));
     }
 
-    /// Cuts one off from all others until then, one way or both.
+    /// Cuts a process off from all others until then, in one direction or both.
     pub(super) fn cut_off(&mut self, who: usize, until: f64) {
         let above = self.upper.as_ref().map_or(0, |upper| upper.seats.len());
         let all = 0..self.seats.len() + above;
@@ -686,7 +686,7 @@
         self.cuts.is_empty() && self.seats.iter().all(well)
     }
 
-    /// How long is nobody there whom a majority follows?
+    /// Measures the periods without a leader that a majority follows.
     fn look(&mut self) {
         self.put(self.now + LOOK, Event::Look);
         let follows = |seat: &Seat, name: &str| {
@@ -711,7 +711,7 @@
         }
     }
 
-    /// Is there a majority of voters that run, whose disks do, and who hear one another?
+    /// Whether a majority of voters run, have working disks and are connected to one another.
     fn is_able(&self) -> bool {
         let count = self.seats.len();
         let well = |who: usize| {
@@ -750,7 +750,7 @@
         let last = self.committed.last_key_value().map_or(0, |(index, _)| *index);
         for who in 0..self.seats.len() {
             let applied = self.seats[who].applied.0;
-            // What is on its way at the last instant.
+            // Entries in flight at the end are tolerated.
             if applied + 50 < last {
                 self.broken(format!("v{who} has {applied} of {last} after {QUIET} ms without trouble"));
             }
@@ -758,7 +758,7 @@
     }
 }
 
-/// Puts what a store has into one snapshot of it.
+/// Compacts a store: replaces its synced records with one snapshot.
 fn compact(store: &mut Store<SimDisk>) {
     let upto = store.synced_index();
     let Ok(found) = pearfront_store::check(store.disk()) else { return };
@@ -769,11 +769,11 @@
         .filter(|entry| entry.index <= upto)
         .filter_map(|entry| decode_record(&entry.bytes));
     let bytes = encode_records(&recover(old.chain(new)).into_records());
-    // A store that could not is dead, and the next sync tells.
+    // A store that failed here is dead, which the next sync reports.
     let _ = store.snapshot(upto, &bytes);
 }
 
-/// Plays one plan under one seed.
+/// Runs one plan under one seed.
 pub fn play(plan: Plan, seed: u64) -> Findings {
     World::new(plan, seed).play()
 }
--- a/crates/pearfront-emulator/src/cores/history.rs
+++ b/crates/pearfront-emulator/src/cores/history.rs
@@ -1,22 +1,23 @@
-//! Is a history of one duty what a single place could have answered, one call after another? Wing and Gong's search over
-//! the orders that its times allow (Testing and verifying concurrent objects, 1993), with what was seen remembered.
-//! A lease may run out at any time, so a duty may be taken while another had it; what may not be is a token that is not
-//! above all before it, or a renewal of one that is over.
+//! Linearizability check for the history of one duty: Wing and Gong's search over the orders that the call times allow
+//! (Testing and verifying concurrent objects, 1993), with visited states remembered. A lease may expire at any time, so a
+//! duty may be taken while another had it; a token that is not above all earlier ones, or a renewal of an ended token, is
+//! a violation. Used by the simulation of duties.
 
 use std::collections::BTreeSet;
 
+/// Effect of a call, as its answer reported it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum What {
-    /// The duty was given under this token.
+    /// The duty was granted under this token.
     Take(u64),
     /// It was still held under this token.
     Renew(u64),
-    /// It is held under this token no more.
+    /// The duty is no longer held under this token.
     GiveUp(u64),
 }
 
 impl What {
-    /// The token that it has to find held or free.
+    /// The token that has to be the current or a new one.
     fn needs(self) -> Option<u64> {
         match self {
             Self::Take(token) | Self::Renew(token) => Some(token),
@@ -25,7 +26,8 @@
     }
 }
 
-/// A call, when it was made and when its answer came; infinity if none came, and then it may have done something or not.
+/// A call with the times of its request and its answer. Without an answer `to` is infinite, and the call may or may not
+/// have taken effect.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Call {
     pub what: What,
@@ -33,10 +35,10 @@
     pub to: f64,
 }
 
-/// States that are looked at before the search gives up.
+/// Number of states after which the search gives up.
 const MOST: usize = 2_000_000;
 
-/// The duty, and the calls that are in it: all before `first`, and these.
+/// State of the duty, and the calls applied to it: all before `first`, and those in `ahead`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct State {
     first: usize,
@@ -50,7 +52,7 @@
         place < self.first || self.ahead.contains(&place)
     }
 
-    /// Behind that call, if it can come here.
+    /// State after that call, if the call is possible in this state.
     fn after(&self, place: usize, what: What, count: usize) -> Option<Self> {
         let mut next = self.clone();
         match what {
@@ -69,8 +71,10 @@
     }
 }
 
+/// Checks that some order of the calls explains the history.
+///
 /// # Errors
-/// No order of the calls explains them; the furthest that one came.
+/// No order explains it; names the calls around the furthest point reached.
 pub fn linearizable(history: &[Call]) -> Result<(), String> {
     let mut calls = history.to_vec();
     calls.sort_by(|a, b| a.from.total_cmp(&b.from));
@@ -79,13 +83,13 @@
     let mut furthest = 0;
     while let Some(state) = open.pop() {
         let left = || (state.first..calls.len()).filter(|place| !state.has(*place));
-        // Whatever has not happened yet happens before the first of them is answered.
+        // The next call to take effect must have been sent before the earliest answer of the remaining calls.
         let by = left().map(|place| calls[place].to).fold(f64::INFINITY, f64::min);
         if by.is_infinite() {
             return Ok(());
         }
         furthest = furthest.max(state.first);
-        // Tokens only grow: a duty that is taken under one leaves what is open under those below it without a place.
+        // Tokens only grow: once a duty is taken under one, remaining calls under lower tokens can't be placed any more.
         let lowest =
             left().filter(|place| calls[*place].to.is_finite()).filter_map(|place| calls[place].what.needs());
         let lowest = lowest.min().unwrap_or(u64::MAX);
--- a/crates/pearfront-emulator/src/cores/membership.rs
+++ b/crates/pearfront-emulator/src/cores/membership.rs
@@ -1,4 +1,5 @@
-//! Membership by seed: up to a thousand cores, a network with weather between them, kills, pauses, cuts and restarts.
+//! Seeded simulation of the membership protocol: up to a thousand cores, a network that loses, duplicates and delays, and
+//! kills, pauses, cuts and restarts. Used by `pearfront prove membership` and the tests.
 
 use crate::agenda::Agenda;
 use pearfront_membership::{
@@ -10,45 +11,46 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Datagrams that wait for one that stands still; the kernel drops further ones.
+/// Receive buffer of a paused process, datagrams; the kernel drops further ones.
 const WAITING: usize = 256;
-/// Time, ms, from a kill to the kernel's word at the other end of a link and the refused question after it, at most.
+/// Longest time, ms, from a kill until the other end of a link sees the connection closed by the kernel and its check
+/// refused.
 const PROOF: f64 = 20.0;
-/// Neighbours on each side that a process has a link to.
+/// Number of neighbours on each side that a process has a link to.
 pub const LINKS: usize = 8;
-/// Longest stand-still, ms, of which nobody may be held to be gone.
+/// Longest pause, ms, during which a process may not be reported as gone.
 const BORNE: f64 = 3000.0;
-/// How much longer, ms, one that stood still for longer may be held so: the news of it are still on their way.
+/// Time, ms, after a longer pause during which it may still be reported so, since reports of it are still spreading.
 const EXCUSED: f64 = 2000.0;
-/// How often the views are looked at for agreement, ms.
+/// Interval at which the views are checked for agreement, ms.
 const LOOK: f64 = 50.0;
 
-/// What the network and the machines do all the while.
+/// Conditions of the network and the machines during a run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Weather {
-    /// Chance that a datagram is lost, and that it comes twice.
+    /// Probability that a datagram is lost, and that it is duplicated.
     pub loss: f64,
     pub doubled: f64,
-    /// One-way delay, ms, drawn evenly.
+    /// Range of the one-way delay, ms, drawn uniformly.
     pub delay: (f64, f64),
-    /// Mean time between two stand-stills of a process, ms, and the longest of them; none if 0.
+    /// Mean time between two pauses of a process, ms, none if 0; and the longest pause, ms.
     pub pause_every: f64,
     pub pause_most: f64,
 }
 
 impl Weather {
-    /// A quiet site.
+    /// A network without loss, and no pauses.
     pub const CALM: Self =
         Self { loss: 0.0, doubled: 0.0, delay: (0.1, 0.5), pause_every: 0.0, pause_most: 0.0 };
-    /// What no false death may come of: 20 % lost, delays to 500 ms, pauses to 3 s.
+    /// Conditions under which no running process may be reported as gone: 20 % loss, delays up to 500 ms, pauses up to 3 s.
     pub const STORM: Self =
         Self { loss: 0.2, doubled: 0.1, delay: (0.5, 500.0), pause_every: 30_000.0, pause_most: 3000.0 };
 }
 
-/// What befalls whom; names are places.
+/// A fault to inject; processes are given by index.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Trouble {
-    /// Killed; the others' kernels say so where there are links, unless the machine goes with it.
+    /// Kills a process. With `proof` its linked neighbours learn of it from their kernels; without, the machine is lost too.
     Kill {
         who: usize,
         proof: bool,
@@ -57,20 +59,20 @@
         who: usize,
         lasts: f64,
     },
-    /// Nothing passes from any of these to any of those.
+    /// Drops all traffic from `from` to `to`.
     Cut {
         from: Vec<usize>,
         to: Vec<usize>,
     },
-    /// All cuts are over.
+    /// Ends all cuts.
     Heal,
-    /// One that was killed starts again: with what its folder kept or without, at its address or another.
+    /// Restarts a killed process: with or without its stored incarnation, at its address or another.
     Start {
         who: usize,
         kept: bool,
         moved: bool,
     },
-    /// Another process under the name of this one, at an address of its own.
+    /// Starts a second process under the same name, at its own address.
     Double {
         of: usize,
     },
@@ -82,18 +84,18 @@
 #[derive(Debug, Clone)]
 pub struct Plan {
     pub instances: usize,
-    /// How long, ms.
+    /// Length of the run, ms.
     pub length: f64,
     pub weather: Weather,
     pub links: bool,
     pub times: Times,
-    /// When, ms, and what.
+    /// Time, ms, and fault.
     pub troubles: Vec<(f64, Trouble)>,
 }
 
 impl Plan {
-    /// Weather for a minute, in which one in ten is killed, and quiet after it so that views can be held against each
-    /// other.
+    /// A run of a minute under bad conditions, in which one process in ten is killed; the kills end early enough for the
+    /// views to be compared.
     pub fn storm(instances: usize, seed: u64) -> Self {
         let mut chance = ChaCha8Rng::seed_from_u64(seed);
         chance.set_stream(9);
@@ -110,26 +112,26 @@
     }
 }
 
-/// What came of it. Times are ms from the trouble.
+/// Results of a run. Times are ms from the fault.
 #[derive(Debug, Clone, Default)]
 pub struct Findings {
-    /// The first thing that must never be and was, with its time.
+    /// First violation of an invariant, with its time.
     pub broken: Option<String>,
-    /// Running processes that somebody held to be gone, beyond cuts.
+    /// Reports of running processes as gone, in runs without cuts.
     pub false_deaths: usize,
-    /// The same, with those that were cut off from whoever held them so.
+    /// Reports of running processes as gone, in runs with cuts.
     pub deaths_in_cuts: usize,
     pub suspicions: u64,
     pub refutations: u64,
-    /// For each killed one: how long until the first knew, half of all, and the last.
+    /// For each killed process: detection time of the first member, the median and the last.
     pub found: Vec<(f64, f64, f64)>,
-    /// Killed ones that somebody still held to be there at the end.
+    /// Killed processes that some member had not detected at the end.
     pub not_found: usize,
-    /// Do all views agree at the end?
+    /// Whether all views agree at the end.
     pub agreed: bool,
-    /// When views came to agree after the last trouble for good, if they did.
+    /// Time from the last fault until the views agreed for good, if they did.
     pub agreed_after: Option<f64>,
-    /// Datagrams, frames and bytes that a process sent in a second, on the mean, and the most datagrams in any second.
+    /// Mean datagrams, frames and bytes that a process sent per second, and the most datagrams in any second.
     pub datagrams: f64,
     pub frames: f64,
     pub bytes: f64,
@@ -152,7 +154,7 @@
     name: String,
     address: SocketAddr,
     running: bool,
-    /// Stands still until then; and, if that is longer than must be borne, may be held to be gone until then.
+    /// End of the current pause; and, if that is longer than `BORNE`, until when it may be reported as gone.
     until: f64,
     excused: f64,
     waiting: Vec<Vec<u8>>,
@@ -161,7 +163,7 @@
     datagrams: u64,
 }
 
-/// The play itself; `step` shows it piece by piece.
+/// State of a simulation run; `step` advances it by one event.
 pub struct World {
     plan: Plan,
     processes: Vec<Process>,
@@ -176,7 +178,7 @@
     last_trouble: f64,
     sent: (u64, u64, u64),
     second: (f64, u64),
-    /// Changes that cores told of, not yet shown.
+    /// Changes that cores reported and that are not yet shown.
     told: Vec<String>,
 }
 
@@ -267,7 +269,7 @@
         self.findings.broken.get_or_insert_with(|| format!("at {at:.3} s: {what}"));
     }
 
-    /// Calls a core and does what it wants done.
+    /// Calls a core and carries out its actions.
     fn act(&mut self, place: usize, call: impl FnOnce(&mut Membership, f64)) {
         let now = self.now;
         let process = &mut self.processes[place];
@@ -278,7 +280,7 @@
         }
         let due = self.processes[place].core.due().max(now);
         let process = &mut self.processes[place];
-        // One wake is on its way at a time, unless an earlier one is wanted.
+        // At most one wake-up is scheduled at a time, unless an earlier one is needed.
         if due < process.woken {
             process.woken = due;
             self.put(due, Event::Wake { who: place, due });
@@ -318,7 +320,7 @@
 
     fn send(&mut self, from: usize, to: &Destination, bytes: Vec<u8>, may_be_lost: bool) {
         let Some(&place) = self.by_address.get(&to.address) else { return };
-        // A stream needs both ways.
+        // A stream needs both directions.
         let cut = self.is_cut(from, place) || (!may_be_lost && self.is_cut(place, from));
         let weather = self.plan.weather;
         let lost = may_be_lost && self.chance.random::<f64>() < weather.loss;
@@ -328,7 +330,7 @@
         let copies = if may_be_lost && self.chance.random::<f64>() < weather.doubled { 2 } else { 1 };
         for _ in 0..copies {
             let (least, most) = weather.delay;
-            // A stream stands first, and makes good what is lost.
+            // A stream needs a handshake first, and retransmits what is lost.
             let trips = if may_be_lost { 1.0 } else { 3.0 };
             let delay = trips * (least + (most - least) * self.chance.random::<f64>());
             self.put(self.now + delay, Event::Deliver { to: place, bytes: bytes.clone() });
@@ -347,7 +349,7 @@
             Change::Ended { name, .. } => (name, Status::Ended),
             _ => return,
         };
-        // It is that life that is held to be gone: a later one of the name may run already.
+        // The report concerns this run of the process: a later one under the same name may run already.
         let life = self.processes[at].core.member(&name).map(|member| member.card.life);
         let place = self.processes.iter().position(|process| Some(process.core.me().life) == life);
         let Some(place) = place else { return };
@@ -365,7 +367,7 @@
         }
     }
 
-    /// Goes one event further; false at the end. `shows` hears what it was.
+    /// Processes one event and passes its description to `shows`; false at the end.
     pub fn step(&mut self, shows: &mut dyn FnMut(f64, String)) -> bool {
         let Some((at, event)) = self.events.next(self.plan.length) else {
             return false;
@@ -421,7 +423,7 @@
             return;
         }
         self.act(to, |core, now| {
-            // What is refused is counted by the core.
+            // The core counts refused datagrams.
             let _ = core.receive_bytes(&bytes, now);
         });
     }
@@ -491,7 +493,7 @@
         }
     }
 
-    /// Those that run and take part.
+    /// Running processes that are not barred.
     fn partaking(&self) -> Vec<usize> {
         let places = 0..self.processes.len();
         let fits = |place: &usize| {
@@ -524,12 +526,12 @@
         }
     }
 
-    /// The core of a place, to be asked.
+    /// The core of the process with that index.
     pub fn core(&self, place: usize) -> &Membership {
         &self.processes[place].core
     }
 
-    /// Plays to the end.
+    /// Runs the simulation to the end.
     pub fn play(mut self, shows: &mut dyn FnMut(f64, String)) -> (Findings, Self) {
         while self.step(shows) {}
         let running: Vec<usize> =
@@ -553,7 +555,7 @@
     }
 }
 
-/// Plays one plan under one seed.
+/// Runs one plan under one seed.
 pub fn play(plan: Plan, seed: u64) -> Findings {
     World::new(plan, seed).play(&mut |_, _| {}).0
 }
--- a/crates/pearfront-emulator/src/cores/mod.rs
+++ b/crates/pearfront-emulator/src/cores/mod.rs
@@ -1,5 +1,5 @@
-//! Pure cores of many processes in one thread and simulated time, under the same troubles as among real ones; what must
-//! always hold is looked at after every step, and one seed gives one play, to the byte.
+//! Deterministic simulation of the pure protocol cores of many processes, in one thread and simulated time, under the same
+//! faults as among real processes. Invariants are checked after every step, and a seed reproduces a run to the byte.
 
 pub mod consensus;
 pub mod distribute;
