--- a/crates/pearfront-emulator/src/cores/distribute.rs
+++ b/crates/pearfront-emulator/src/cores/distribute.rs
@@ -1,7 +1,8 @@
-//! Distribution of configuration by seed: the real cores of voters (with the replicated log below them), distributors and
-//! nodes, links that carry in order, are slow, stall, are cut one way and end, and writers that say a change again until it is
-//! answered. What must always hold is looked at after every step: a node has one committed version, never an older one after a
-//! newer one; nothing is *in force everywhere* while a node decides under less; one update at most is under way to a node.
+//! Seeded simulation of configuration distribution: the production cores of voters (with the replicated log below them),
+//! distributors and nodes; ordered links that are slow, stall, are cut in one direction and end; and writers that retry a
+//! change until it is answered. Invariants checked after every step: a node has one committed version, never an older one
+//! after a newer one; nothing is *in force everywhere* while a node decides under less; at most one update is in flight to
+//! a node. Used by `pearfront prove distribute` and the tests.
 
 use crate::agenda::Agenda;
 use pearfront_consensus::{Action, Entry, Message, PersistentState, Record, Voter, recover};
@@ -15,35 +16,35 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::{Duration, Instant};
 
-/// Quiet at the end, ms, in which all must come to be alike.
+/// Period without faults at the end, ms, in which all must converge.
 pub const QUIET: f64 = 20_000.0;
 /// A sync of a voter's disk, ms.
 const SYNC: (f64, f64) = (0.2, 3.0);
 /// Applied entries after which a voter takes a snapshot.
 const SNAPSHOT: u64 = 100;
-/// What is lost on a link is sent again after so long, ms; and so often a link that is cut is tried.
+/// Delay, ms, after which data lost on a link is retransmitted; and the retry interval, ms, of a link that is cut.
 const AGAIN: (f64, f64) = (200.0, 400.0);
 const RETRY: f64 = 50.0;
-/// A writer that hears nothing for so long says its change again elsewhere, ms.
+/// Time-out, ms, after which a writer without an answer retries its change elsewhere.
 const WRITER: f64 = 800.0;
-/// Beats and the like that may wait on one link: those of two seconds and a few.
+/// Most heartbeats and similar messages queued on one link: those of two seconds and a few more.
 const MOST_URGENT: usize = 12;
-/// Rounding of times that are added up in different orders, ms.
+/// Rounding tolerance, ms, of times that are added up in different orders.
 const ROUNDING: f64 = 1e-6;
 const REGIONS: usize = 3;
 
-/// What happens in a play that is about one thing.
+/// The faults of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Script {
-    /// Troubles of all kinds, one after another.
+    /// Faults of all kinds, one after another.
     Storm,
-    /// One distributor after another is killed, stopped, cut one way or stalled, each time at rest before.
+    /// One distributor after another is killed, paused, cut off in one direction or stalled, each time from a settled state.
     Distributors,
     /// One region is cut off from the others for two minutes.
     Region,
-    /// All voters are gone for half a minute.
+    /// All voters are down for half a minute.
     Voters,
-    /// All nodes begin at once and hold nothing.
+    /// All nodes start at once, without any version.
     Cold,
     /// All nodes lose their links at once and hold a version.
     Warm,
@@ -62,11 +63,11 @@
     /// Mean time between two changes, ms.
     pub change_every: f64,
     pub loss: f64,
-    /// Folders come back older, one at a time.
+    /// Data folders come back in an older state, one at a time.
     pub disks: bool,
     /// Some changes are refused by nodes.
     pub refusals: bool,
-    /// A node that was not heard for so long is held for gone, ms. Troubles of one process end before.
+    /// Time without messages, ms, after which a node counts as gone. Faults of a single process end earlier.
     pub silence: f64,
     pub script: Script,
 }
@@ -128,23 +129,23 @@
     pub restricts: u64,
     pub restricted: u64,
     pub forgot: u64,
-    /// From a change's acceptance until a node that it concerns has it in force, ms, each of both.
+    /// Times from a change's acceptance until each node that it concerns has it in force, ms.
     pub in_force: Vec<f64>,
-    /// From its acceptance until the voters know that it is in force everywhere, ms.
+    /// Times from its acceptance until the voters know that it is in force everywhere, ms.
     pub known: Vec<f64>,
-    /// Bytes that came to nodes, and went from them, by node and second of the whole play.
+    /// Mean bytes received and sent per node and second over the whole run.
     pub node_bytes: f64,
-    /// Most bytes that one distributor sent, and one node got, in one second after the trouble.
+    /// Most bytes that one distributor sent, and that one node received, in one second after the fault.
     pub most_distributor_bytes: u64,
     pub most_node_bytes: u64,
-    /// From the trouble's end until all nodes had what is newest, ms.
+    /// Time from the end of the fault until all nodes had the newest version, ms.
     pub whole_after: Option<f64>,
     pub spent_distributors: Duration,
     pub spent_nodes: Duration,
 }
 
 impl Findings {
-    /// Counts of another play, and the higher of what is the most of something.
+    /// Adds the counts of another run, and takes the higher of each maximum.
     pub fn add(&mut self, other: &Self) {
         self.versions += other.versions;
         self.refused_sets += other.refused_sets;
@@ -167,13 +168,13 @@
         to: usize,
         message: Message,
     },
-    /// The first that waits in that lane arrives.
+    /// The first message queued in that lane arrives.
     Arrive {
         link: u64,
         up: bool,
         urgent: bool,
     },
-    /// The other end is told that the link is over.
+    /// The other end learns that the link has closed.
     Closed {
         link: u64,
         up: bool,
@@ -227,24 +228,24 @@
     Node(Box<Subscriber>),
 }
 
-/// A place where a process runs, or does not.
+/// A process, running or not, with what outlives its restarts.
 struct Place {
     name: String,
     region: usize,
     life: u64,
     core: Core,
-    /// Stands still until then.
+    /// End of the current pause.
     until: f64,
     woken: f64,
     /// Links that it opened, by its own number.
     opened: BTreeMap<u64, u64>,
-    /// A voter's disk: what is written, and how much of that is synced; an older copy.
+    /// A voter's disk: written data, how much of it is synced, and an older copy.
     disk: (Vec<Record>, usize),
     older: Option<Vec<Record>>,
     busy: f64,
-    /// No trouble before then.
+    /// No fault is injected before then.
     spared: f64,
-    /// A node's services; the version that it was seen at.
+    /// A node's services, and the last version observed there.
     interest: Vec<String>,
     seen: Option<u64>,
     /// Bytes out (a distributor) or in (a node) by second.
@@ -255,7 +256,8 @@
     client: (usize, u64),
     number: u64,
     server: (usize, u64),
-    /// Messages that wait: up, down; each with those that are not urgent and those that are, and when the last arrives.
+    /// Queued messages, up and down: each with a lane for messages that are not urgent and one for those that are, and the
+    /// arrival time of the last.
     lanes: [[(VecDeque<Vec<u8>>, f64); 2]; 2],
     stalled: f64,
 }
@@ -280,14 +282,14 @@
     cuts: Vec<(u64, BTreeSet<usize>, BTreeSet<usize>)>,
     cut_number: u64,
     writers: Vec<Writer>,
-    /// What is committed, by its index; all services at each version, when it was, and which services it touched.
+    /// Committed entries by index: all services at each version, the commit time, and the services that it changed.
     truth: (u64, Catalog),
     history: Vec<(BTreeMap<String, Service>, f64, BTreeSet<String>)>,
     outcomes: BTreeMap<String, u64>,
-    /// The highest version that any voter said is in force everywhere.
+    /// Highest version that any voter reported as in force everywhere.
     stated: u64,
     forgot: Option<usize>,
-    /// Those who are cut off for so long that they are held for gone, from then on.
+    /// Processes that are cut off for so long that they count as gone, with the time from which they do.
     apart: Option<(f64, usize)>,
     healed: Option<f64>,
     pub findings: Findings,
@@ -465,7 +467,7 @@
         }
     }
 
-    /// Calls a core, does what it wants done, looks at what must hold, and sees to it that it is woken.
+    /// Calls a core, carries out its actions, checks the invariants and schedules its next wake-up.
     fn tick(&mut self, at: usize) {
         let now = self.now;
         let started = Instant::now();
@@ -555,7 +557,7 @@
                 place.disk.0.extend(records);
                 place.busy = place.busy.max(self.now) + takes;
                 let (life, at_time) = (place.life, place.busy);
-                // So much is on disk once that is done.
+                // Amount of data on disk after this sync.
                 self.events.put(at_time, Event::Stored { who: at, life, number });
             }
             Action::Send(message) => {
@@ -662,7 +664,7 @@
         self.look_at_node(at);
     }
 
-    // ---- what must hold ----
+    // ---- invariants ----
 
     fn look_at_node(&mut self, at: usize) {
         let place = &self.places[at];
@@ -704,7 +706,7 @@
         }
     }
 
-    /// Nothing is in force everywhere that a running node has not.
+    /// No version may count as in force everywhere while a running node lacks it.
     fn look_at_stated(&mut self, at: usize) {
         let place = &self.places[at];
         let Core::Node(core) = &place.core else { return };
@@ -781,7 +783,7 @@
         self.events.put(arrives, Event::Arrive { link, up, urgent });
     }
 
-    /// One end closes; the other hears of it.
+    /// Closes one end and notifies the other.
     fn close(&mut self, link: u64, by_client: bool) {
         let Some(one) = self.links.get(&link) else { return };
         let (from, to) = if by_client { (one.client.0, one.server.0) } else { (one.server.0, one.client.0) };
@@ -789,7 +791,7 @@
         self.events.put(arrives, Event::Closed { link, up: by_client });
     }
 
-    /// Where that way ends; none if it may not pass now, and when to try again.
+    /// Destination of that direction; none if it is blocked now, with the time of the next attempt.
     fn passes(&self, link: u64, up: bool) -> Result<usize, f64> {
         let Some(one) = self.links.get(&link) else { return Err(f64::INFINITY) };
         let (from, to) = if up { (one.client.0, one.server.0) } else { (one.server.0, one.client.0) };
@@ -889,7 +891,7 @@
     fn write(&mut self) {
         let pause = -self.plan.change_every * (1.0 - self.chance.random::<f64>()).ln();
         self.events.put(self.now + pause, Event::Write);
-        // The last change but for what is under way comes a while before the end.
+        // New changes stop some time before the end; those in flight may still complete.
         if self.now > self.plan.length - 0.7 * QUIET {
             return;
         }
@@ -1012,7 +1014,7 @@
         }
     }
 
-    // ---- troubles ----
+    // ---- faults ----
 
     fn cut(&mut self, from: BTreeSet<usize>, to: BTreeSet<usize>, until: f64) {
         self.cut_number += 1;
@@ -1070,7 +1072,7 @@
             0..=5 => voters + self.chance.random_range(0..distributors),
             _ => voters + distributors + self.chance.random_range(0..self.plan.nodes),
         };
-        // One after another at the same place would be a silence of its own.
+        // Consecutive faults of the same process would add up to one longer outage.
         if self.now < self.places[who].spared {
             return;
         }
@@ -1133,7 +1135,7 @@
                 (0..voters).for_each(|who| self.kill(who));
                 let until = self.now + 30_000.0;
                 (0..voters).for_each(|who| self.events.put(until, Event::Start { who, older: false }));
-                // One node begins anew meanwhile.
+                // One node restarts meanwhile.
                 let node = voters + distributors;
                 self.kill(node);
                 self.events.put(self.now + 10_000.0, Event::Start { who: node, older: false });
@@ -1217,15 +1219,15 @@
             return;
         }
         if let Core::Voter(seat) = &mut place.core {
-            // Groups are synced in order, so all that was written by the time this one was is there; later ones are not
-            // counted as lost, which a kill within a sync would make them.
+            // Groups are synced in order, so everything written up to this one is on disk. Later groups do not count as
+            // lost, although a kill during a sync could lose them.
             place.disk.1 = place.disk.0.len();
             seat.voter.on_stored(number, now);
             self.settle(who);
         }
     }
 
-    /// Whether it has all that concerns it.
+    /// Whether a node has every change that concerns it.
     fn is_even(&self, at: usize) -> bool {
         let Core::Node(core) = &self.places[at].core else { return true };
         let Some(config) = core.config() else { return false };
@@ -1240,14 +1242,14 @@
             return;
         };
         let first = self.plan.voters + self.plan.distributors;
-        // With a change under way all the time none is ever even with the newest: what was newest at the end of the trouble is
-        // what all have to have.
+        // With changes always in flight no node ever has the newest version: nodes have to reach the version that was newest
+        // at the end of the fault.
         let then = self.history.partition_point(|(_, at, _)| *at <= healed) as u64 - 1;
         let has = |at: usize| match &self.places[at].core {
             Core::Node(core) => core.config().is_some_and(|config| config.version >= then),
             _ => true,
         };
-        // The last that was behind is mostly so yet.
+        // Checks the node that was last found behind first: it mostly still is.
         if has(self.places.len() - 1) && (first..self.places.len()).all(has) {
             self.findings.whole_after = Some(self.now - healed);
         }
@@ -1295,7 +1297,7 @@
     }
 }
 
-/// The change set of an entry, if it is one.
+/// The change set of an entry, if it contains one.
 fn postcard_sets(bytes: &[u8]) -> Option<ChangeSet> {
     pearfront_distribute::Command::decode(bytes).and_then(|command| match command {
         pearfront_distribute::Command::Change(set) => Some(set),
@@ -1303,7 +1305,7 @@
     })
 }
 
-/// Plays one plan under one seed.
+/// Runs one plan under one seed.
 pub fn play(plan: Plan, seed: u64) -> Findings {
     World::new(plan, seed).play()
 }
--- a/crates/pearfront-emulator/src/cores/duties.rs
+++ b/crates/pearfront-emulator/src/cores/duties.rs
@@ -1,6 +1,7 @@
-//! Duties by seed: processes that want them, above the simulated voters and their disks. Each has a clock of its own that
-//! runs up to a twentieth too fast or too slow, is killed, stands still, is cut off one way or both. Looked at after every
-//! step: how many act on a duty at this instant, tokens, and at the end whether each history is one place's.
+//! Seeded simulation of duties: processes that request leases, above the simulated voters and their disks. Each has its
+//! own clock, which runs up to a twentieth too fast or too slow, and is killed, paused or cut off in one direction or both.
+//! Checked after every step: how many processes act on a duty at that instant, and the tokens; at the end, whether each
+//! history is linearizable. Used by `pearfront prove duties` and the tests.
 
 use super::consensus::{self, Came, Event, Faulty, QUIET, ROUNDING, World};
 use super::history::{Call, What, linearizable};
@@ -11,49 +12,49 @@
 use rand::prelude::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The duties: how many may hold each, the lease, ms, and whether its work may outlive the process.
+/// The duties: most holders at a time, the lease, ms, and whether the work may outlive the process.
 const DUTIES: [(&str, u32, f64, bool); 3] =
     [("reader", 1, 1500.0, false), ("export", 1, 2500.0, true), ("permit", 2, 2000.0, false)];
-/// Mean time between two changes of mind of one process, and between two acts on a duty, ms.
+/// Mean time between two changes of what one process requests, and between two acts on a duty, ms.
 const WILL: f64 = 1500.0;
 const ACT: f64 = 60.0;
-/// Longest that an act is under way, and that a holder takes to leave, ms.
+/// Longest time that an act is in flight, and that a holder takes to release a duty, ms.
 const ACT_TAKES: f64 = 40.0;
 const LEAVING: f64 = 200.0;
-/// Clocks run so unevenly at most.
+/// Largest relative error of a clock's rate.
 const UNEVEN: f64 = 0.05;
-/// How long before the end, ms, all that may be held has to have been held.
+/// Period before the end, ms, within which every duty must have been held by as many as wanted and permitted.
 const FULL: f64 = 3000.0;
 
 #[derive(Debug, Clone)]
 pub struct Plan {
     pub log: consensus::Plan,
     pub agents: usize,
-    /// Nothing befalls anybody but the holder of `reader`, and that only.
+    /// If set, the only fault is this one, injected into the holder of `reader`.
     pub only: Option<Only>,
     pub fault: Option<Fault>,
 }
 
-/// What becomes of the holder, for the time until the next one acts.
+/// How the holder of a duty is lost when the time until the next holder acts is measured.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Only {
     Word,
     Kill,
     Silence,
-    /// It is heard, and hears nobody.
+    /// Its messages arrive, but it receives none.
     Deaf,
 }
 
-/// A holder with one fault, or a leader.
+/// A deliberate fault of a holder or leader, to check that the invariant checks find it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// Acts until it is told that it is over.
+    /// Acts until it is notified that the lease has ended.
     NeverLooks,
-    /// Counts its lease from when the answer came, and the whole of it.
+    /// Counts its whole lease from the arrival of the answer.
     CountsFromTheAnswer,
-    /// Its clock does not go on while it stands still.
+    /// Its clock stops while the process is paused.
     ClockStops,
-    /// A new leader counts no lease anew.
+    /// A new leader does not restart the leases granted before its term.
     CountsNoLeaseAnew,
 }
 
@@ -63,7 +64,7 @@
         Self { log, agents, only: None, fault: None }
     }
 
-    /// Quiet weather in which the holder is befallen every five seconds.
+    /// A run without other faults in which the holder is hit every five seconds.
     pub fn handover(voters: usize, agents: usize, only: Only) -> Self {
         let log = consensus::Plan {
             every: 5000.0,
@@ -81,12 +82,12 @@
     pub granted: u64,
     pub renewed: u64,
     pub acts: u64,
-    /// Acts that came with a token below one that was seen: refused where they went to.
+    /// Acts with an outdated token, which their receiver refused.
     pub refused: u64,
     pub asks: u64,
-    /// From when something befell the holder until another acted, ms.
+    /// Times from a fault of the holder until another process acted, ms.
     pub without: Vec<f64>,
-    /// Calls in the histories that were checked.
+    /// Number of calls in the checked histories.
     pub calls: usize,
 }
 
@@ -98,13 +99,13 @@
     waiting: Vec<Vec<u8>>,
     woken: f64,
     rate: f64,
-    /// What its clock is behind.
+    /// Time, ms, by which its clock is behind.
     behind: f64,
-    /// When each ask was sent, and when it began to want each duty, and gave one up.
+    /// When each request was sent, and when it began to request and gave up each duty.
     sent: BTreeMap<u64, f64>,
     wanted: BTreeMap<String, f64>,
     given_up: BTreeMap<String, (u64, f64)>,
-    /// What a faulty one believes: until when it may act.
+    /// Until when a faulty holder believes that it may act.
     believes: BTreeMap<String, (u64, f64)>,
 }
 
@@ -114,23 +115,23 @@
     only: Option<Only>,
     fault: Option<Fault>,
     lives: u64,
-    /// Who was given each token.
+    /// Holder to which each token was granted.
     given: BTreeMap<u64, (String, ProcessId)>,
-    /// Tokens that somebody was told of.
+    /// Tokens that were reported to a process.
     taken: BTreeSet<u64>,
-    /// What goes on of a process that has ended: its duty and until when.
+    /// Work that outlives an ended process: its duty and end time.
     ghosts: Vec<(String, f64)>,
-    /// The highest token that came to whoever receives the acts.
+    /// Highest token that the receiver of the acts has seen.
     received: BTreeMap<String, u64>,
     history: BTreeMap<String, Vec<Call>>,
-    /// When each duty was last held by as many as wanted and may.
+    /// When each duty was last held by as many processes as request it and are permitted.
     full: BTreeMap<String, f64>,
-    /// Since when, and above which token, the next holder is waited for.
+    /// Since when the next holder is awaited, and the token that it must exceed.
     befallen: Option<(f64, u64)>,
     findings: Findings,
 }
 
-/// What happens above the log.
+/// Events of the simulation above the log.
 pub(super) enum Happens {
     Told { to: usize, life: u64, bytes: Vec<u8> },
     Wake { who: usize, life: u64, due: f64 },
@@ -143,7 +144,7 @@
     Proof { of: ProcessId },
 }
 
-/// Plays one plan under one seed.
+/// Runs one plan under one seed.
 pub fn play(plan: &Plan, seed: u64) -> Findings {
     let mut log = plan.log.clone();
     if plan.fault == Some(Fault::CountsNoLeaseAnew) {
@@ -301,7 +302,7 @@
         let Some(agent) = post.agent.take() else { return };
         let of = ProcessId { name: format!("n{who}"), life: post.life };
         let outlive = |duty: &str| DUTIES.iter().any(|(name, .., outlives)| *name == duty && *outlives);
-        // What its process had begun may go on until then.
+        // Work that the process had begun may go on until then.
         let ghosts: Vec<(String, f64)> = agent
             .held(now)
             .into_iter()
@@ -339,7 +340,7 @@
         let post = self.post_mut(who);
         let Some(agent) = &mut post.agent else { return };
         call(agent, now);
-        // What it wants done may make it due at once.
+        // Its actions may make it due at once.
         agent.tick(now);
         let out = agent.take_actions();
         let (due, life) = (agent.due(), post.life);
@@ -386,7 +387,7 @@
         }
     }
 
-    /// A call whose answer has just come.
+    /// Records a call whose answer has just arrived.
     fn call(&mut self, duty: &str, what: What, from: f64) {
         let to = self.now;
         self.above().history.entry(duty.into()).or_default().push(Call { what, from, to });
@@ -400,7 +401,7 @@
         }
     }
 
-    /// It changes its mind about a duty, or is done with one.
+    /// Requests a duty, stops requesting it, or finishes releasing it.
     fn will(&mut self, who: usize) {
         let at = self.after(WILL);
         self.put(at, Event::Above(Happens::Will { who }));
@@ -424,7 +425,7 @@
         self.do_at(who, |agent, now| agent.give_up(duty, well, now));
     }
 
-    /// The token under which it may act now.
+    /// Token under which it may act now.
     fn token(&self, who: usize, duty: &str) -> Option<u64> {
         let agent = self.post(who).agent.as_ref()?;
         agent.may_act(duty, self.post_now(who)).map(|(token, _)| token)
@@ -441,7 +442,7 @@
 
     // ---- acts ----
 
-    /// It looks at its clock, and what it does arrives later, much later if it stands still between the two.
+    /// Checks the clock and sends an act, which arrives later; much later if the process is paused in between.
     fn acts(&mut self, who: usize, duty: &'static str) {
         let at = self.after(ACT);
         self.put(at, Event::Above(Happens::Act { who, duty }));
@@ -502,7 +503,7 @@
         self.do_at(to, |agent, now| agent.receive(told, now));
     }
 
-    /// For the history, and what a faulty holder makes of it.
+    /// Records an answer in the history, and applies the fault of a faulty holder.
     fn remember(&mut self, who: usize, told: &LeaseResponse) {
         let now = self.post_now(who);
         let Some(sent) = self.post(who).sent.get(&told.number).copied() else { return };
@@ -513,7 +514,7 @@
         };
         for one in held.iter().filter(|one| one.renewed) {
             self.above().findings.renewed += 1;
-            // Told so for the first time: it was given since this process wants it.
+            // First report of this token: it was granted after this process began to request the duty.
             if self.above().taken.insert(one.token) {
                 let from = self.post(who).wanted.get(&one.duty).copied().unwrap_or(sent);
                 self.call(&one.duty, What::Take(one.token), from);
@@ -539,9 +540,9 @@
         }
     }
 
-    // ---- troubles ----
+    // ---- faults ----
 
-    /// Something befalls one of those who want duties, instead of a voter.
+    /// Injects a fault into a process that requests duties, instead of into a voter.
     pub(super) fn trouble_above(&mut self) -> bool {
         let Some(upper) = &self.upper else { return false };
         let (only, count) = (upper.only, upper.seats.len());
@@ -590,9 +591,9 @@
         }
     }
 
-    // ---- looks ----
+    // ---- checks ----
 
-    /// The token under which it acts at this instant, if it does.
+    /// Token under which it acts at this instant, if it does.
     fn acting(&self, who: usize, duty: &str) -> Vec<u64> {
         let (post, now) = (self.post(who), self.post_now(who));
         let fault = self.upper.as_ref().and_then(|upper| upper.fault);
@@ -608,7 +609,7 @@
         sound.or(believed).into_iter().collect()
     }
 
-    /// An entry that granted or ended something was applied by one voter, the first or not.
+    /// Called when a voter applies an entry that granted or ended leases; other voters may have applied it before.
     pub(super) fn granted(&mut self, changes: &[Change]) {
         if self.upper.is_none() {
             return;
@@ -656,7 +657,7 @@
         self.upper.as_ref().map_or(0, |upper| upper.seats.len())
     }
 
-    /// At the end: everything that may be held is, and each history is that of one place.
+    /// Final checks: every duty that may be held is held, and each history is linearizable.
     fn judge_above(&mut self) {
         if self.findings.broken.is_some() {
             return;
--- a/crates/pearfront-emulator/src/cores/exhaustive.rs
+++ b/crates/pearfront-emulator/src/cores/exhaustive.rs
@@ -1,41 +1,42 @@
-//! All that may happen to three voters, up to a depth: every order of messages, each delivered never, once or again; every
-//! time-out, sync and crash. The cores are those that run, not a copy; a state that was seen is not gone through again.
+//! Bounded model checking of three voters: every order of messages, each delivered never, once or again, and every
+//! time-out, sync and crash, up to a depth. It drives the production cores, not a model of them, and visits each state
+//! once. Used by `pearfront prove` and the tests.
 
 use pearfront_consensus::{Action, Message, PersistentState, Record, Role, Times, Voter, decode, recover};
 use pearfront_duties::{Command, Duties, Entry, Grantee, ProcessId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// A time after which every time-out has come, ms.
+/// A time step after which every time-out has expired, ms.
 const LONG: f64 = 10_000.0;
 
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
-    /// Steps from the beginning.
+    /// Most steps from the initial state.
     pub depth: usize,
-    /// States that are gone through, whatever the depth.
+    /// Most states visited, whatever the depth.
     pub states: usize,
-    /// Terms that may begin.
+    /// Most terms that may begin.
     pub terms: u64,
-    /// Grants that may be proposed: of two duties in turn, to two processes.
+    /// Most grants that may be proposed: of two duties in turn, to two processes.
     pub proposals: u8,
-    /// Voters that may crash; what was not synced is lost. Without any a sync comes at once: to come later is the same as
-    /// a message that does.
+    /// Most crashes of voters; unsynced data is lost. Without crashes a sync completes at once, since a later sync is
+    /// equivalent to a later message.
     pub crashes: u8,
-    /// Begin with a leader, and with so many grants that it has proposed.
+    /// Begin with an elected leader that has proposed its grants.
     pub led: bool,
-    /// A broken driver: says that records are stored, and loses all of them at a crash.
+    /// A faulty driver: reports records as stored, and loses all of them in a crash.
     pub forgets: bool,
-    /// Begin after all have forgotten everything: more than any voters bear, which has to be found.
+    /// Begin after all voters lost all data: more than the protocol tolerates, which the check has to find.
     pub all_forgot: bool,
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Found {
     pub states: usize,
-    /// All states up to so many steps were gone through.
+    /// Number of steps up to which all states were visited.
     pub depth: usize,
-    /// What must never be, and the steps to it.
+    /// First violation of an invariant, and the steps that lead to it.
     pub broken: Option<(String, Vec<String>)>,
 }
 
@@ -43,7 +44,7 @@
 struct Seat {
     voter: Voter,
     now: f64,
-    /// Groups that are not synced, and what is.
+    /// Groups of records not yet synced, and the synced records.
     waiting: VecDeque<(u64, Vec<Record>)>,
     stable: Vec<Record>,
     applied: u64,
@@ -53,7 +54,7 @@
 #[derive(Clone)]
 struct World {
     seats: Vec<Seat>,
-    /// All that was ever sent: a network may lose, delay and double.
+    /// Every message ever sent: the network may lose, delay and duplicate each.
     sent: BTreeSet<Vec<u8>>,
     leaders: BTreeMap<u64, usize>,
     committed: BTreeMap<u64, (u64, Vec<u8>)>,
@@ -106,7 +107,7 @@
             crashes: bounds.crashes,
             broken: None,
         };
-        // All have told one another that they have nothing: from here on anything may happen.
+        // All voters have reported to one another that they hold nothing; from here on any step may follow.
         (0..3).for_each(|place| world.act(place, true, |voter, now| voter.tick(now)));
         world.deliver_all();
         if bounds.led {
@@ -138,7 +139,7 @@
         self.act(to, syncs, |voter, now| voter.receive(message, now));
     }
 
-    /// Does what the voter wants done, and looks at what must hold.
+    /// Carries out the voter's actions and checks the invariants.
     fn act(&mut self, who: usize, syncs: bool, call: impl FnOnce(&mut Voter, f64)) {
         let now = self.seats[who].now;
         call(&mut self.seats[who].voter, now);
@@ -181,7 +182,7 @@
         self.sent.insert(message.encode());
     }
 
-    /// The next group is on disk.
+    /// Completes the sync of the next group.
     fn sync(&mut self, who: usize) {
         let seat = &mut self.seats[who];
         let Some((number, records)) = seat.waiting.pop_front() else { return };
@@ -262,7 +263,7 @@
         next
     }
 
-    /// Those who have applied as much hold the same, and no duty has two holders.
+    /// Voters with the same applied index must hold the same state, and no duty may have two holders.
     fn look(&mut self) {
         for one in &self.seats {
             for other in &self.seats {
@@ -276,7 +277,7 @@
         }
     }
 
-    /// What tells this state from others.
+    /// Encoding that distinguishes this state from others.
     fn key(&self) -> u128 {
         let half = |salt: u8| {
             let mut hasher = DefaultHasher::new();
@@ -295,11 +296,11 @@
     }
 }
 
-/// Goes through all states, the nearest first, until the depth or the number of states is reached or something is broken.
+/// Visits all states, breadth first, until a bound on depth or number of states is reached or an invariant is violated.
 pub fn check(bounds: &Bounds) -> Found {
     let begin = World::new(bounds);
     let mut seen = BTreeSet::from([begin.key()]);
-    // How each state was come to: the one before it, and the step.
+    // Predecessor of each state, and the step from it.
     let mut ways: Vec<(usize, String)> = vec![(0, String::new())];
     let mut open = VecDeque::from([(begin, 0, 0)]);
     let mut found = Found { states: 1, ..Found::default() };
@@ -322,12 +323,12 @@
             open.push_back((next, ways.len() - 1, depth + 1));
         }
     }
-    // There is nothing further.
+    // No states are left.
     found.depth = bounds.depth;
     found
 }
 
-/// The steps to the last state.
+/// The steps that lead to the last state.
 fn way(ways: &[(usize, String)]) -> Vec<String> {
     let (mut steps, mut at) = (Vec::new(), ways.len() - 1);
     while at > 0 {
--- a/crates/pearfront-emulator/src/cores/membership.rs
+++ b/crates/pearfront-emulator/src/cores/membership.rs
@@ -42,7 +42,8 @@
     /// A network without loss, and no pauses.
     pub const CALM: Self =
         Self { loss: 0.0, doubled: 0.0, delay: (0.1, 0.5), pause_every: 0.0, pause_most: 0.0 };
-    /// Conditions under which no running process may be reported as gone: 20 % loss, delays up to 500 ms, pauses up to 3 s.
+    /// Conditions under which no running process may be reported as gone: 20 % loss, delays up to 500 ms, pauses
+    /// up to 3 s.
     pub const STORM: Self =
         Self { loss: 0.2, doubled: 0.1, delay: (0.5, 500.0), pause_every: 30_000.0, pause_most: 3000.0 };
 }
@@ -50,7 +51,8 @@
 /// A fault to inject; processes are given by index.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Trouble {
-    /// Kills a process. With `proof` its linked neighbours learn of it from their kernels; without, the machine is lost too.
+    /// Kills a process. With `proof` its linked neighbours learn of it from their kernels; without, the machine
+    /// is lost too.
     Kill {
         who: usize,
         proof: bool,
@@ -117,9 +119,9 @@
 pub struct Findings {
     /// First violation of an invariant, with its time.
     pub broken: Option<String>,
-    /// Reports of running processes as gone, in runs without cuts.
+    /// Reports of running processes as gone, before the first cut.
     pub false_deaths: usize,
-    /// Reports of running processes as gone, in runs with cuts.
+    /// Reports of running processes as gone, after the first cut.
     pub deaths_in_cuts: usize,
     pub suspicions: u64,
     pub refutations: u64,
