--- a/crates/pearfront-emulator/src/cores/distribute.rs
+++ b/crates/pearfront-emulator/src/cores/distribute.rs
@@ -207,7 +207,7 @@
     Resume {
         who: usize,
     },
-    /// Its distributor is killed, and it stands still: nobody but that one may have known of it.
+    /// Kills a node's distributor and pauses the node: no other process may have known of the node.
     Hide {
         who: usize,
     },
--- a/crates/pearfront-emulator/tests/consensus.rs
+++ b/crates/pearfront-emulator/tests/consensus.rs
@@ -1,10 +1,10 @@
-//! The replicated log among simulated voters, on disks that fail: what must hold, and that the looks find drivers with one
-//! fault each.
+//! The replicated log among simulated voters, on disks that fail: checks the invariants, and that the checks find drivers
+//! with one deliberate fault each.
 
 use pearfront_emulator::cores::consensus::{Faulty, Findings, Plan, play};
 use test_case::test_case;
 
-/// Seeds of each case: few here, many by `make prove-consensus`.
+/// Seeds of each case; `make prove-consensus` runs many more.
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=4;
 
 fn kept(plan: &Plan) -> Vec<Findings> {
--- a/crates/pearfront-emulator/tests/distribute.rs
+++ b/crates/pearfront-emulator/tests/distribute.rs
@@ -1,4 +1,4 @@
-//! Distribution of configuration among simulated processes: what must hold, and the figures of single losses.
+//! Distribution of configuration among simulated processes: invariants, and bounds on recovery time and rate after faults.
 
 use pearfront_emulator::cores::distribute::{Findings, Plan, Script, play};
 use test_case::test_case;
--- a/crates/pearfront-emulator/tests/duties.rs
+++ b/crates/pearfront-emulator/tests/duties.rs
@@ -1,11 +1,11 @@
-//! Duties among simulated processes, above voters on disks that fail: what must hold, and that the looks find drivers with
-//! one fault each.
+//! Duties among simulated processes, above voters on disks that fail: checks the invariants, and that the checks find
+//! drivers with one deliberate fault each.
 
 use pearfront_emulator::cores::consensus;
 use pearfront_emulator::cores::duties::{Fault, Findings, Only, Plan, play};
 use test_case::test_case;
 
-/// Seeds of each case: few here, many by `make prove-duties`.
+/// Seeds of each case; `make prove-duties` runs many more.
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=25;
 
 fn kept(plan: &Plan) -> Vec<Findings> {
@@ -25,15 +25,15 @@
     let sum = |part: fn(&Findings) -> u64| all.iter().map(part).sum::<u64>();
     assert!(sum(|found| found.granted) > 400 && sum(|found| found.renewed) > 2500);
     assert!(sum(|found| found.acts) > 20_000 && sum(|found| found.calls as u64) > 1500);
-    // Somebody stood still between its look and its act, and the token told.
+    // Some holder was paused between its clock check and its act, and the act was refused by its token.
     assert!(sum(|found| found.refused) > 0);
 }
 
-// Goals: 5 ms after a word, 1 s after an end that kernels tell of, a lease and 1 s after silence.
+// Goals: 5 ms after a release, 1 s after an end that kernels report, a lease and 1 s after silence.
 #[test_case(Only::Word, 50.0; "by word")]
 #[test_case(Only::Kill, 1000.0; "killed")]
 #[test_case(Only::Silence, 2500.0; "silent")]
-// Its asks come, and it hears no answer: the leader must not renew for ever what is not acted on.
+// Its requests arrive, but it receives no answers: the leader must not renew a lease for ever that nobody acts on.
 #[test_case(Only::Deaf, 3500.0; "heard, and deaf")]
 fn the_next_holder_acts_soon(only: Only, most: f64) {
     let mut all: Vec<f64> =
--- a/crates/pearfront-emulator/tests/exhaustive.rs
+++ b/crates/pearfront-emulator/tests/exhaustive.rs
@@ -1,4 +1,4 @@
-//! All that may happen to three voters within a few steps. Deeper by `make prove-consensus`.
+//! Bounded model checking of three voters within a few steps; `make prove-consensus` goes deeper.
 
 use pearfront_emulator::cores::exhaustive::{Bounds, check};
 use test_case::test_case;
@@ -24,7 +24,7 @@
     assert!(found.depth >= 3 && found.states >= 1000, "{found:?}");
 }
 
-// Three whose disks all lied begin the same term again: it has to find that.
+// Three voters whose disks all lost synced data begin the same term again; the check has to find that.
 #[test]
 fn voters_that_all_forgot_are_found_to_break_it() {
     let found = check(&Bounds { led: true, all_forgot: true, proposals: 0, ..BOUNDS });
--- a/crates/pearfront-emulator/tests/membership.rs
+++ b/crates/pearfront-emulator/tests/membership.rs
@@ -1,11 +1,11 @@
-//! Cores of many processes in simulated time: the hard cases of membership, each with what must come of it. Also that the
-//! looks at what must never be find a core that is set up wrongly.
+//! Simulation of many membership cores: the hard cases of membership with their expected results. Also tests that the
+//! invariant checks find a misconfigured core.
 
 use pearfront_emulator::cores::membership::{Findings, Plan, Trouble, Weather, World, play};
 use pearfront_membership::{Membership, State, Status, Times};
 use test_case::test_case;
 
-/// Seeds of each case: few here, many by `make prove-membership`.
+/// Seeds of each case; `make prove-membership` runs many more.
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=4;
 
 fn plan(instances: usize, length_s: f64, troubles: Vec<(f64, Trouble)>) -> Plan {
@@ -70,7 +70,7 @@
     assert_eq!(standing(world.core(0), "n9"), Some(Status::Ended));
 }
 
-// A hears B, B does not hear A: others carry the answers, so nobody is given up.
+// A link cut in one direction: indirect probes through other members still succeed, so no member may be reported as gone.
 #[test]
 fn a_link_that_is_cut_one_way_costs_nobody_its_place() {
     for seed in SEEDS {
@@ -93,7 +93,8 @@
     }
 }
 
-// It hears nobody while all hear it: it must doubt itself, not bury the rest in the eyes of all.
+// A member that receives nothing while its own messages arrive must doubt its own view and not make others report the rest
+// as gone.
 #[test]
 fn one_that_hears_nobody_buries_nobody_for_the_others() {
     for seed in SEEDS {
@@ -124,7 +125,7 @@
         let cuts = [(here.clone(), there.clone()), (there, here)];
         let mut troubles: Vec<_> =
             cuts.into_iter().map(|(from, to)| (10.0, Trouble::Cut { from, to })).collect();
-        // One of each half dies meanwhile, and one comes back.
+        // One process of each half is killed meanwhile, and one of them restarts.
         troubles.extend([(15.0, kill(3)), (16.0, kill(12))]);
         troubles.push((22.0, Trouble::Start { who: 12, kept: true, moved: false }));
         troubles.push((30.0, Trouble::Heal));
@@ -132,13 +133,13 @@
         assert!(found.deaths_in_cuts > 0);
         let after = found.agreed_after.unwrap_or(f64::INFINITY);
         assert!(after < 10_000.0, "seed {seed}: agreed after {after}");
-        // Five probes a second, each with three helpers who ask and answer: the same at any size.
+        // Five probes a second, each with requests to and answers from three helpers: independent of the cluster's size.
         assert!(found.most_datagrams < 100.0, "seed {seed}: {} a second", found.most_datagrams);
     }
 }
 
-// Its clock is monotonic: what waited in its buffers and what it believes is old. It must not act on it, nor bring back
-// one that died meanwhile.
+// After a pause a process's view and the datagrams in its buffers are outdated. It must not act on them, nor report a member
+// as alive that was killed meanwhile.
 #[test_case(2.0)]
 #[test_case(20.0)]
 fn one_that_stood_still_doubts_its_view_and_brings_back_no_dead(lasts_s: f64) {
@@ -170,7 +171,7 @@
     }
 }
 
-// The machine is gone and its name is started elsewhere before anybody noticed.
+// A machine is lost and its process is started under the same name elsewhere before the loss is detected.
 #[test]
 fn a_name_at_a_new_address_is_taken_in_once_its_holder_is_known_to_be_gone() {
     let start = Trouble::Start { who: 3, kept: false, moved: true };
@@ -196,7 +197,7 @@
     }
 }
 
-// The holder stood still for so long that its name was given to another: it comes back and is the later one now.
+// A process was paused for so long that another one got its name: when it resumes, it is the later claimant and is barred.
 #[test]
 fn one_whose_name_was_given_away_while_it_stood_still_takes_no_part() {
     for seed in SEEDS {
@@ -240,8 +241,8 @@
     assert_ne!(one(3), one(4));
 }
 
-// Several begin at once and take in one another by pairs: nobody asks those whom nobody knows, unless seeds are asked
-// again. Four node programs that were started in the same instant stayed two pairs for good.
+// Processes that start at the same instant can join one another in separate pairs, and no member contacts a process that it
+// does not know, unless seeds are asked again. Four node processes started at once stayed two pairs for good.
 #[test]
 fn islands_that_were_joined_apart_find_one_another() {
     let (here, there) = (vec![0, 2], vec![1, 3]);
