--- a/crates/pearfront-emulator/src/processes/holders.rs
+++ b/crates/pearfront-emulator/src/processes/holders.rs
@@ -12,12 +12,12 @@
 use tokio::time::sleep;
 
 /// Interval between two acts, and between two lease renewals while the holder has the lease.
-const ACT: Duration = Duration::from_millis(5);
-const AGAIN: Duration = Duration::from_millis(300);
+const ACT_INTERVAL: Duration = Duration::from_millis(5);
+const RENEW_INTERVAL: Duration = Duration::from_millis(300);
 /// Shortest interval without an act, ms, that is reported: the acts of one holder are a fraction of it apart.
-const GAP: f64 = 100.0;
+const REPORTED_GAP_MS: f64 = 100.0;
 /// Pause after a call that failed or did not grant the lease.
-const PAUSE: Duration = Duration::from_millis(50);
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 #[derive(Debug, Deserialize)]
 struct Held {
@@ -27,7 +27,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct Told {
+struct HoldAnswer {
     held: Option<Held>,
 }
 
@@ -49,7 +49,7 @@
     pub acts: u64,
     /// Number of acts whose token was below the highest one received.
     pub refused: u64,
-    /// Intervals without any act, ms, that were longer than `GAP`.
+    /// Intervals without any act, ms, that were longer than `REPORTED_GAP_MS`.
     pub gaps: Vec<f64>,
     highest: u64,
     owners: BTreeMap<u64, usize>,
@@ -69,7 +69,7 @@
         if self.last.is_none_or(|last| last.token != act.token) {
             self.turns.push(act);
         }
-        if let Some(last) = self.last.filter(|last| act.at - last.at > GAP) {
+        if let Some(last) = self.last.filter(|last| act.at - last.at > REPORTED_GAP_MS) {
             self.gaps.push(act.at - last.at);
         }
         self.highest = act.token;
@@ -91,13 +91,13 @@
     test_cluster: Rc<TestCluster>,
     receiver: Rc<RefCell<Receiver>>,
     /// Token and end of the lease, ms from the test cluster's start.
-    may: Cell<Option<(u64, f64)>>,
+    lease: Cell<Option<(u64, f64)>>,
     /// Delay, ms, between the next clock check and the act that follows it.
-    late: Cell<f64>,
+    act_delay: Cell<f64>,
     done: Cell<bool>,
     tasks: RefCell<Vec<AbortHandle>>,
     /// Whether it checks the clock before acting. Holders that do not exist to test the judge.
-    looks: bool,
+    checks_clock: bool,
 }
 
 impl Holder {
@@ -106,20 +106,20 @@
         duty: &str,
         who: usize,
         receiver: &Rc<RefCell<Receiver>>,
-        looks: bool,
+        checks_clock: bool,
     ) -> Rc<Self> {
         let holder = Rc::new(Self {
             who,
             duty: duty.into(),
             test_cluster: test_cluster.clone(),
             receiver: receiver.clone(),
-            may: Cell::new(None),
-            late: Cell::new(0.0),
+            lease: Cell::new(None),
+            act_delay: Cell::new(0.0),
             done: Cell::new(false),
             tasks: RefCell::default(),
-            looks,
+            checks_clock,
         });
-        let tasks = [spawn_local(holder.clone().asks()), spawn_local(holder.clone().acts())];
+        let tasks = [spawn_local(holder.clone().run_requests()), spawn_local(holder.clone().run_acts())];
         holder.tasks.replace(tasks.iter().map(|task| task.abort_handle()).collect());
         holder
     }
@@ -127,64 +127,64 @@
     /// Ends abruptly, without giving the lease up.
     pub fn end(&self) {
         self.tasks.borrow().iter().for_each(AbortHandle::abort);
-        self.may.set(None);
+        self.lease.set(None);
     }
 
     /// Gives the lease up at once and stops requesting it.
     pub async fn give_up(&self) {
         self.done.set(true);
-        self.may.set(None);
+        self.lease.set(None);
         let path = format!("/_duties/{}/give-up?client=c{}", self.duty, self.who);
         call(self.test_cluster.operators(self.who), "PUT", &path).await;
     }
 
     /// Delays the next act by `ms` after its clock check.
     pub fn be_late(&self, ms: f64) {
-        self.late.set(ms);
+        self.act_delay.set(ms);
     }
 
     pub fn may_act(&self) -> Option<u64> {
         let now = self.test_cluster.now();
-        self.may.get().filter(|(_, until)| now < *until).map(|(token, _)| token)
+        self.lease.get().filter(|(_, until)| now < *until).map(|(token, _)| token)
     }
 
-    async fn asks(self: Rc<Self>) {
+    async fn run_requests(self: Rc<Self>) {
         let path = format!("/_duties/{}/hold?client=c{}", self.duty, self.who);
         while !self.done.get() {
             let before = self.test_cluster.now();
             let body = call(self.test_cluster.operators(self.who), "PUT", &path).await;
-            let told = body.and_then(|body| serde_json::from_str::<Told>(&body).ok());
-            let Some(Told { held }) = told else {
-                sleep(PAUSE).await;
+            let answer = body.and_then(|body| serde_json::from_str::<HoldAnswer>(&body).ok());
+            let Some(HoldAnswer { held }) = answer else {
+                sleep(RETRY_PAUSE).await;
                 continue;
             };
             match held {
                 Some(held) if held.leave => {
-                    self.may.set(None);
+                    self.lease.set(None);
                     self.give_up().await;
                     self.done.set(false);
                 }
                 // The lease counts from before the request was sent, so that the answer's delay can't extend it.
-                Some(held) if !self.done.get() => self.may.set(Some((held.token, before + held.left_ms))),
+                Some(held) if !self.done.get() => self.lease.set(Some((held.token, before + held.left_ms))),
                 _ => {
-                    if self.looks {
-                        self.may.set(None);
+                    if self.checks_clock {
+                        self.lease.set(None);
                     }
                 }
             }
-            sleep(if self.may.get().is_some() { AGAIN } else { PAUSE }).await;
+            sleep(if self.lease.get().is_some() { RENEW_INTERVAL } else { RETRY_PAUSE }).await;
         }
     }
 
-    async fn acts(self: Rc<Self>) {
+    async fn run_acts(self: Rc<Self>) {
         loop {
-            sleep(ACT).await;
+            sleep(ACT_INTERVAL).await;
             let now = self.test_cluster.now();
-            let Some((token, until)) = self.may.get() else { continue };
-            if self.looks && now >= until {
+            let Some((token, until)) = self.lease.get() else { continue };
+            if self.checks_clock && now >= until {
                 continue;
             }
-            let late = self.late.replace(0.0);
+            let late = self.act_delay.replace(0.0);
             if late > 0.0 {
                 sleep(Duration::from_secs_f64(late / 1e3)).await;
             }
--- a/crates/pearfront-emulator/src/processes/judge.rs
+++ b/crates/pearfront-emulator/src/processes/judge.rs
@@ -6,8 +6,8 @@
 
 /// Longest pause of a process, ms, during which no member may report it as gone; and how long, ms, after a longer pause
 /// reports of it may still spread.
-const BORNE: f64 = 2500.0;
-const EXCUSED: f64 = 10_000.0;
+const TOLERATED_PAUSE_MS: f64 = 2500.0;
+const REPORT_GRACE_MS: f64 = 10_000.0;
 
 #[derive(Debug, Clone, PartialEq)]
 pub struct Finding {
@@ -20,7 +20,8 @@
     pub broken: Vec<Finding>,
     /// For each killed process run: detection times of the other members, ms after the kill.
     pub found: Vec<(String, Vec<f64>)>,
-    /// For each pause longer than `BORNE`: when each other member first reported the process silent, ms after it began.
+    /// For each pause longer than `TOLERATED_PAUSE_MS`: when each other member first reported the process silent, ms after
+    /// it began.
     pub silent: Vec<(String, Vec<f64>)>,
     /// 99th percentile of the test cluster's own scheduling delay, us.
     pub late_p99_us: u64,
@@ -32,8 +33,8 @@
     from: f64,
     /// When it ended, and whether it was killed.
     to: Option<(f64, bool)>,
-    /// Pauses longer than `BORNE`, each with the `EXCUSED` time after it.
-    still: Vec<(f64, f64)>,
+    /// Pauses longer than `TOLERATED_PAUSE_MS`, each with the `REPORT_GRACE_MS` time after it.
+    pauses: Vec<(f64, f64)>,
 }
 
 /// Checks all views. `cuts_excuse` means that links were cut for so long that members were rightly reported silent; then
@@ -42,8 +43,8 @@
     let lives = lives(records);
     let mut verdict = Verdict::default();
     let mut gone: BTreeMap<(usize, String), f64> = BTreeMap::new();
-    let mut over: BTreeSet<(usize, String)> = BTreeSet::new();
-    let mut told: Vec<(usize, String)> = Vec::new();
+    let mut seen_gone: BTreeSet<(usize, String)> = BTreeSet::new();
+    let mut reported: Vec<(usize, String)> = Vec::new();
     for (at, who, view) in &records.views {
         for member in &view.members {
             let Some(life) = lives.get(&member.life) else { continue };
@@ -53,23 +54,26 @@
                 gone.entry(key.clone()).or_insert(*at);
                 // A process reported silent while it runs may refute it and die before the refutation reaches everyone.
                 if !runs || member.state != "silent" {
-                    over.insert(key.clone());
+                    seen_gone.insert(key.clone());
                 }
-                let excused = life.still.iter().any(|(from, to)| (*from..*to).contains(at)) || cuts_excuse;
-                if runs && !excused && !told.contains(&key) {
-                    told.push(key);
+                let excused = life.pauses.iter().any(|(from, to)| (*from..*to).contains(at)) || cuts_excuse;
+                if runs && !excused && !reported.contains(&key) {
+                    reported.push(key);
                     let what =
                         format!("{} holds {}, which runs, to be {}", view.name, member.name, member.state);
                     verdict.broken.push(Finding { at: *at, what });
                 }
-            } else if over.contains(&key) && life.to.is_some_and(|(to, _)| *at > to) && !told.contains(&key) {
-                told.push(key);
+            } else if seen_gone.contains(&key)
+                && life.to.is_some_and(|(to, _)| *at > to)
+                && !reported.contains(&key)
+            {
+                reported.push(key);
                 let what = format!("{} brings back {}, a life that is over", view.name, member.name);
                 verdict.broken.push(Finding { at: *at, what });
             }
         }
     }
-    at_the_end(records, &lives, &mut verdict);
+    check_final_views(records, &lives, &mut verdict);
     for (name, life) in &lives {
         if let Some((to, true)) = life.to {
             // Members that were cut off may have reported it gone before the kill.
@@ -79,7 +83,7 @@
         }
     }
     for (name, life) in &lives {
-        for (since, until) in &life.still {
+        for (since, until) in &life.pauses {
             let times = gone.iter().filter(|((_, of), at)| of == name && (*since..*until).contains(*at));
             let times = times.map(|(_, at)| at - since).collect();
             verdict.silent.push((records.names[life.who].clone(), times));
@@ -92,7 +96,7 @@
 }
 
 /// At the end, no view may report a running process as gone or an ended one as present.
-fn at_the_end(records: &Records, lives: &BTreeMap<String, Life>, verdict: &mut Verdict) {
+fn check_final_views(records: &Records, lives: &BTreeMap<String, Life>, verdict: &mut Verdict) {
     let mut last = BTreeMap::new();
     for (_, who, view) in &records.views {
         last.insert(*who, view);
@@ -118,7 +122,7 @@
     for (at, act) in &records.acts {
         let (who, killed) = match act {
             Act::Started { who, life } => {
-                let new = Life { who: *who, from: *at, to: None, still: Vec::new() };
+                let new = Life { who: *who, from: *at, to: None, pauses: Vec::new() };
                 lives.insert(life.clone(), new);
                 continue;
             }
@@ -127,9 +131,9 @@
                 continue;
             }
             Act::Continued { who } => {
-                let since = stopped.remove(who).filter(|since| at - since > BORNE);
-                if let (Some(since), Some(life)) = (since, last_of(&mut lives, *who)) {
-                    life.still.push((since, at + EXCUSED));
+                let since = stopped.remove(who).filter(|since| at - since > TOLERATED_PAUSE_MS);
+                if let (Some(since), Some(life)) = (since, latest_life(&mut lives, *who)) {
+                    life.pauses.push((since, at + REPORT_GRACE_MS));
                 }
                 continue;
             }
@@ -137,14 +141,14 @@
             Act::Ended { who } => (*who, false),
             Act::Way { .. } | Act::Note(_) => continue,
         };
-        if let Some(life) = last_of(&mut lives, who) {
+        if let Some(life) = latest_life(&mut lives, who) {
             life.to = Some((*at, killed));
         }
     }
     lives
 }
 
-fn last_of(lives: &mut BTreeMap<String, Life>, who: usize) -> Option<&mut Life> {
+fn latest_life(lives: &mut BTreeMap<String, Life>, who: usize) -> Option<&mut Life> {
     let of = lives.values_mut().filter(|life| life.who == who);
     of.max_by(|a, b| a.from.total_cmp(&b.from))
 }
--- a/crates/pearfront-emulator/src/processes/player.rs
+++ b/crates/pearfront-emulator/src/processes/player.rs
@@ -15,7 +15,7 @@
 /// the programs.
 pub const LATE: u64 = 100_000;
 /// Time-out for all processes to agree at the start.
-const JOIN: Duration = Duration::from_secs(60);
+const JOIN_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Result of one run of a scenario.
 pub struct Played {
@@ -51,25 +51,25 @@
     };
     let test_cluster = TestCluster::new(program, seed)?;
     test_cluster.start_all().await?;
-    if !test_cluster.until(JOIN, TestCluster::agreed).await {
+    if !test_cluster.until(JOIN_TIMEOUT, TestCluster::agreed).await {
         test_cluster.end().await;
         return Err("the processes did not come together".into());
     }
     for who in 0..test_cluster.count() {
         test_cluster.copy_folder(who)?;
     }
-    let place = Rc::new(RefCell::new(Receiver::default()));
+    let receiver = Rc::new(RefCell::new(Receiver::default()));
     let holders: Vec<_> = scenario
         .holders
         .iter()
-        .map(|who| Holder::start(&test_cluster, &scenario.duty, *who, &place, true))
+        .map(|who| Holder::start(&test_cluster, &scenario.duty, *who, &receiver, true))
         .collect();
     test_cluster.note("all agree: troubles begin");
     let began = test_cluster.now();
     let troubles: Vec<_> = scenario
         .troubles
         .iter()
-        .map(|trouble| spawn_local(befall(test_cluster.clone(), trouble.clone(), began)))
+        .map(|trouble| spawn_local(inject(test_cluster.clone(), trouble.clone(), began)))
         .collect();
     for trouble in troubles {
         trouble.await.map_err(|error| error.to_string())??;
@@ -77,7 +77,7 @@
     let over = test_cluster.now();
     let agreed = test_cluster.until(Duration::from_secs_f64(scenario.patience_s), TestCluster::agreed).await;
     let agreed_after = agreed.then(|| test_cluster.now() - over);
-    let held = duty(scenario, &test_cluster, &place, over).await;
+    let held = duty(scenario, &test_cluster, &receiver, over).await;
     holders.iter().for_each(|holder| holder.end());
     let count = |view: super::test_cluster::View| view.counts.get("suspicions").copied().unwrap_or(0);
     let suspicions = (0..test_cluster.count()).filter_map(|who| test_cluster.view(who)).map(count).sum();
@@ -95,40 +95,40 @@
 async fn duty(
     scenario: &Scenario,
     test_cluster: &Rc<TestCluster>,
-    place: &RefCell<Receiver>,
+    receiver: &RefCell<Receiver>,
     over: f64,
 ) -> (Option<Held>, Vec<String>) {
     if scenario.holders.is_empty() {
         return (None, Vec::new());
     }
     let patience = Duration::from_secs_f64(scenario.patience_s);
-    let acts = |_: &TestCluster| place.borrow().last.is_some_and(|act| act.at > over);
+    let acts = |_: &TestCluster| receiver.borrow().last.is_some_and(|act| act.at > over);
     let acted = test_cluster.until(patience, acts).await;
-    let place = place.borrow();
-    let mut broken = place.broken.clone();
-    if place.refused > 0 {
-        broken.push(format!("{} acts came under an old token: two held the duty at once", place.refused));
+    let receiver = receiver.borrow();
+    let mut broken = receiver.broken.clone();
+    if receiver.refused > 0 {
+        broken.push(format!("{} acts came under an old token: two held the duty at once", receiver.refused));
     }
     if !acted {
         broken.push(format!("nobody acts {} s after the last trouble", scenario.patience_s));
     }
-    let held = Held { acts: place.acts, turns: place.turns.len(), gaps: place.gaps.clone() };
+    let held = Held { acts: receiver.acts, turns: receiver.turns.len(), gaps: receiver.gaps.clone() };
     (Some(held), broken)
 }
 
 /// Checks the scenario's own expectations, in addition to the rules that always hold.
 fn expected(scenario: &Scenario, agreed_after: Option<f64>, suspicions: u64, verdict: &mut Verdict) {
     let expect = &scenario.expect;
-    let mut say = |what: String| verdict.broken.push(Finding { at: f64::NAN, what });
+    let mut report = |what: String| verdict.broken.push(Finding { at: f64::NAN, what });
     match (agreed_after, expect.agreed_within_s) {
-        (None, _) => say(format!("not all agreed {} s after the last trouble", scenario.patience_s)),
+        (None, _) => report(format!("not all agreed {} s after the last trouble", scenario.patience_s)),
         (Some(after), Some(within)) if after > within * 1000.0 => {
-            say(format!("all agreed {:.1} s after the last trouble, not within {within}", after / 1000.0));
+            report(format!("all agreed {:.1} s after the last trouble, not within {within}", after / 1000.0));
         }
         _ => {}
     }
     if let Some(most) = expect.suspicions_most.filter(|most| suspicions > *most) {
-        say(format!("{suspicions} suspicions, not at most {most}"));
+        report(format!("{suspicions} suspicions, not at most {most}"));
     }
     let slow: Vec<String> = verdict
         .found
@@ -139,16 +139,16 @@
             Some(format!("{name} was found by all after {last:.1} s, not within {within}"))
         })
         .collect();
-    slow.into_iter().for_each(say);
+    slow.into_iter().for_each(report);
 }
 
-async fn befall(test_cluster: Rc<TestCluster>, trouble: Trouble, began: f64) -> Result<(), String> {
+async fn inject(test_cluster: Rc<TestCluster>, trouble: Trouble, began: f64) -> Result<(), String> {
     wait(began + trouble.at_s * 1000.0 - test_cluster.now()).await;
     let lasts = trouble.for_s.map(|s| s * 1000.0);
     if let Some(weather) = trouble.weather() {
-        strike(&test_cluster, &trouble, |way| *way = weather);
+        set_links(&test_cluster, &trouble, |way| *way = weather);
         wait(lasts.unwrap_or(0.0)).await;
-        strike(&test_cluster, &trouble, |way| *way = super::relay::Weather::FINE);
+        set_links(&test_cluster, &trouble, |way| *way = super::relay::Weather::FINE);
         return Ok(());
     }
     match trouble.what {
@@ -189,7 +189,7 @@
     Ok(())
 }
 
-fn strike(test_cluster: &TestCluster, trouble: &Trouble, change: impl Fn(&mut super::relay::Weather)) {
+fn set_links(test_cluster: &TestCluster, trouble: &Trouble, change: impl Fn(&mut super::relay::Weather)) {
     test_cluster.weather(&trouble.from, &trouble.to, &change);
     if trouble.both {
         test_cluster.weather(&trouble.to, &trouble.from, &change);
--- a/crates/pearfront-emulator/src/processes/test_cluster.rs
+++ b/crates/pearfront-emulator/src/processes/test_cluster.rs
@@ -23,11 +23,11 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 /// Interval at which each process's view is polled.
-const LOOK: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Time-out of a call to an admin address.
-const CALL: Duration = Duration::from_secs(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time-out for a process to come up, and to end after SIGTERM.
-const PATIENCE: Duration = Duration::from_secs(30);
+const START_STOP_TIMEOUT: Duration = Duration::from_secs(30);
 /// Number of ports used on each IP address.
 const PORTS: usize = 200;
 /// Largest number of processes in a test cluster.
@@ -154,7 +154,7 @@
     pub length: f64,
 }
 
-struct Seat {
+struct Process {
     name: String,
     child: RefCell<Option<Child>>,
     /// Id of the node process itself, not of a shell that started it.
@@ -172,7 +172,7 @@
     program: Program,
     network: (u8, u8),
     start: Instant,
-    seats: Vec<Rc<Seat>>,
+    processes: Vec<Rc<Process>>,
     /// Indexed by sender, then by receiver.
     ways: Vec<Vec<Rc<Way>>>,
     records: RefCell<Records>,
@@ -204,8 +204,8 @@
         let [.., high, low] = mixed.to_be_bytes();
         let network = (64 | (high & 0x3f), low);
         let chance = Rc::new(RefCell::new(ChaCha8Rng::seed_from_u64(seed)));
-        let seat = |place: usize| {
-            Rc::new(Seat {
+        let process = |place: usize| {
+            Rc::new(Process {
                 name: format!("n{place}"),
                 child: RefCell::default(),
                 pid: Cell::new(0),
@@ -221,13 +221,13 @@
         let test_cluster = Rc::new(Self {
             network,
             start: Instant::now(),
-            seats: (0..program.count).map(seat).collect(),
+            processes: (0..program.count).map(process).collect(),
             ways: (0..program.count).map(|_| ways()).collect(),
             records: RefCell::default(),
             late: RefCell::new(late),
             program,
         });
-        let names = test_cluster.seats.iter().map(|seat| seat.name.clone()).collect();
+        let names = test_cluster.processes.iter().map(|process| process.name.clone()).collect();
         test_cluster.records.borrow_mut().names = names;
         std::fs::create_dir_all(&test_cluster.program.command.folder)
             .map_err(|error| format!("{}: {error}", test_cluster.program.command.folder.display()))?;
@@ -235,10 +235,10 @@
             for to in (0..test_cluster.count()).filter(|to| *to != from) {
                 let relay = Relay {
                     at: test_cluster.place(RELAY, from * MOST + to),
-                    target: test_cluster.seats[to].cluster.clone(),
+                    target: test_cluster.processes[to].cluster.clone(),
                     there: test_cluster.ways[from][to].clone(),
                     back: test_cluster.ways[to][from].clone(),
-                    running: test_cluster.seats[to].running.subscribe(),
+                    running: test_cluster.processes[to].running.subscribe(),
                     chance: chance.clone(),
                 };
                 relay.start()?;
@@ -251,7 +251,7 @@
     }
 
     pub fn count(&self) -> usize {
-        self.seats.len()
+        self.processes.len()
     }
 
     /// Milliseconds since the start.
@@ -275,7 +275,7 @@
 
     /// Its real cluster address, behind the relays.
     pub fn cluster(&self, who: usize) -> SocketAddr {
-        self.seats[who].cluster.get()
+        self.processes[who].cluster.get()
     }
 
     fn act(&self, act: Act) {
@@ -291,13 +291,14 @@
 
     /// Its folder.
     pub fn folder(&self, who: usize) -> PathBuf {
-        self.program.command.folder.join(format!("{}.folder", self.seats[who].name))
+        self.program.command.folder.join(format!("{}.folder", self.processes[who].name))
     }
 
     fn file(&self, who: usize) -> Result<Value, String> {
         let mut file: Value = serde_json::from_str(FILE).map_err(|error| error.to_string())?;
         let peers = (0..self.count()).filter(|other| *other != who);
-        let peers = peers.map(|other| (self.seats[other].name.clone(), json!(self.reached_by(who, other))));
+        let peers =
+            peers.map(|other| (self.processes[other].name.clone(), json!(self.reached_by(who, other))));
         let peers: serde_json::Map<String, Value> = peers.collect();
         let mut cluster = json!({
             "installation": "test-cluster", "zone": format!("z{}", who % self.program.zones.max(1)),
@@ -306,7 +307,7 @@
         if let (Some(cluster), Some(over)) = (cluster.as_object_mut(), self.program.cluster.as_object()) {
             cluster.extend(over.clone());
         }
-        if let Some(name) = self.seats[who].called.borrow().as_ref() {
+        if let Some(name) = self.processes[who].called.borrow().as_ref() {
             cluster["name"] = json!(name);
         }
         file["admin"] = json!(self.operators(who));
@@ -324,7 +325,7 @@
     /// # Errors
     /// The process could not be started, or did not come up in time.
     pub async fn start(self: &Rc<Self>, who: usize, with: Start) -> Result<(), String> {
-        let seat = &self.seats[who];
+        let process = &self.processes[who];
         let folder = self.folder(who);
         let told = |error: std::io::Error| format!("{}: {error}", folder.display());
         match with {
@@ -336,15 +337,15 @@
             }
         }
         let (listen, discovery) = (self.listens(who), self.place(DISCOVERY, who));
-        let child = self.program.command.spawn(&seat.name, listen, discovery, &self.file(who)?)?;
-        seat.pid.set(child.id().unwrap_or(0));
-        seat.child.replace(Some(child));
-        seat.stopped.set(false);
-        *seat.view.borrow_mut() = None;
-        seat.running.send_replace(true);
-        let up = self.until(PATIENCE, |test_cluster| test_cluster.view(who).is_some()).await;
+        let child = self.program.command.spawn(&process.name, listen, discovery, &self.file(who)?)?;
+        process.pid.set(child.id().unwrap_or(0));
+        process.child.replace(Some(child));
+        process.stopped.set(false);
+        *process.view.borrow_mut() = None;
+        process.running.send_replace(true);
+        let up = self.until(START_STOP_TIMEOUT, |test_cluster| test_cluster.view(who).is_some()).await;
         if !up {
-            return Err(format!("{} did not come up", seat.name));
+            return Err(format!("{} did not come up", process.name));
         }
         let life = self.view(who).map(|view| view.life).unwrap_or_default();
         self.act(Act::Started { who, life });
@@ -392,78 +393,78 @@
 
     /// Log of a process over all its runs.
     pub fn log(&self, who: usize) -> String {
-        let log = self.program.command.folder.join(format!("{}.log", self.seats[who].name));
+        let log = self.program.command.folder.join(format!("{}.log", self.processes[who].name));
         std::fs::read_to_string(log).unwrap_or_default()
     }
 
     pub async fn kill(&self, who: usize) {
-        let child = self.seats[who].child.take();
+        let child = self.processes[who].child.take();
         if let Some(mut child) = child {
             // Recorded before the kill, so that no process can detect it earlier than the record says.
             self.act(Act::Killed { who });
             if let Err(error) = child.kill().await {
-                log::warn!("{}: kill: {error}", self.seats[who].name);
+                log::warn!("{}: kill: {error}", self.processes[who].name);
             }
-            self.over(who);
+            self.mark_ended(who);
         }
     }
 
     /// Sends SIGTERM and waits for the end; kills the process after the time-out.
     pub async fn terminate(&self, who: usize) {
-        let child = self.seats[who].child.take();
+        let child = self.processes[who].child.take();
         if let Some(mut child) = child {
             self.act(Act::Ended { who });
             self.signal(who, Signal::TERM);
-            if timeout(PATIENCE, child.wait()).await.is_err() {
+            if timeout(START_STOP_TIMEOUT, child.wait()).await.is_err() {
                 drop(child.kill().await);
             }
-            self.over(who);
+            self.mark_ended(who);
         }
     }
 
-    fn over(&self, who: usize) {
-        let seat = &self.seats[who];
-        seat.running.send_replace(false);
-        seat.pid.set(0);
-        *seat.view.borrow_mut() = None;
+    fn mark_ended(&self, who: usize) {
+        let process = &self.processes[who];
+        process.running.send_replace(false);
+        process.pid.set(0);
+        *process.view.borrow_mut() = None;
     }
 
     pub fn stop(&self, who: usize) {
-        self.seats[who].stopped.set(true);
+        self.processes[who].stopped.set(true);
         self.act(Act::Stopped { who });
         self.signal(who, Signal::STOP);
     }
 
     pub fn go_on(&self, who: usize) {
         self.signal(who, Signal::CONT);
-        self.seats[who].stopped.set(false);
+        self.processes[who].stopped.set(false);
         self.act(Act::Continued { who });
     }
 
     fn signal(&self, who: usize, signal: Signal) {
-        let pid = rustix::process::Pid::from_raw(self.seats[who].pid.get() as i32);
+        let pid = rustix::process::Pid::from_raw(self.processes[who].pid.get() as i32);
         if let Some(Err(error)) = pid.map(|pid| rustix::process::kill_process(pid, signal)) {
-            log::warn!("{}: signal: {error}", self.seats[who].name);
+            log::warn!("{}: signal: {error}", self.processes[who].name);
         }
     }
 
     pub fn runs(&self, who: usize) -> bool {
-        self.seats[who].child.borrow().is_some()
+        self.processes[who].child.borrow().is_some()
     }
 
     /// Process id; 0 if it does not run.
     pub fn pid(&self, who: usize) -> u32 {
-        self.seats[who].pid.get()
+        self.processes[who].pid.get()
     }
 
     /// Sets the name in its configuration file, from its next start on.
     pub fn call_as(&self, who: usize, name: &str) {
-        *self.seats[who].called.borrow_mut() = Some(name.into());
+        *self.processes[who].called.borrow_mut() = Some(name.into());
     }
 
     /// Gives it another cluster address from its next start on; the relays use that as their target.
     pub fn move_to_new_address(&self, who: usize) {
-        self.seats[who].cluster.set(self.place(MOVED, who));
+        self.processes[who].cluster.set(self.place(MOVED, who));
     }
 
     // ---- network ----
@@ -505,23 +506,23 @@
 
     /// Last view that a running process reported.
     pub fn view(&self, who: usize) -> Option<View> {
-        self.seats[who].view.borrow().clone()
+        self.processes[who].view.borrow().clone()
     }
 
     /// State of member `of` in the view of `at`, if known.
     pub fn standing(&self, at: usize, of: usize) -> Option<String> {
-        let view = self.seats[at].view.borrow();
-        view.as_ref()?.member(&self.seats[of].name).map(|member| member.state.clone())
+        let view = self.processes[at].view.borrow();
+        view.as_ref()?.member(&self.processes[of].name).map(|member| member.state.clone())
     }
 
     /// Whether every running process is settled and regards exactly the running processes as present, with the same
     /// incarnations.
     pub fn agreed(&self) -> bool {
         let running: Vec<usize> = (0..self.count()).filter(|who| self.runs(*who)).collect();
-        let names: Vec<&str> = running.iter().map(|who| self.seats[*who].name.as_str()).collect();
+        let names: Vec<&str> = running.iter().map(|who| self.processes[*who].name.as_str()).collect();
         let mut sums = Vec::new();
         for who in &running {
-            let view = self.seats[*who].view.borrow();
+            let view = self.processes[*who].view.borrow();
             let Some(view) = view.as_ref().filter(|view| view.sure && view.state == "member") else {
                 return false;
             };
@@ -546,35 +547,35 @@
             }
             let due = Instant::now() + Duration::from_millis(20);
             sleep_until(due).await;
-            self.note_late(due);
+            self.record_delay(due);
         }
         true
     }
 
-    fn note_late(&self, due: Instant) {
+    fn record_delay(&self, due: Instant) {
         let late = Instant::now().saturating_duration_since(due).as_micros() as u64;
         self.late.borrow_mut().saturating_record(late);
     }
 
     async fn watch(self: Rc<Self>, who: usize) {
         loop {
-            let due = Instant::now() + LOOK;
+            let due = Instant::now() + POLL_INTERVAL;
             sleep_until(due).await;
-            self.note_late(due);
-            let seat = &self.seats[who];
-            if !self.runs(who) || seat.stopped.get() {
+            self.record_delay(due);
+            let process = &self.processes[who];
+            if !self.runs(who) || process.stopped.get() {
                 continue;
             }
-            let pid = seat.pid.get();
+            let pid = process.pid.get();
             let Some(text) = call(self.operators(who), "GET", "/_members").await else { continue };
             let Ok(view) = serde_json::from_str::<View>(&text) else { continue };
             // The process may have been restarted while the call was under way.
-            if seat.pid.get() != pid {
+            if process.pid.get() != pid {
                 continue;
             }
             let at = self.now();
-            let mut last = seat.view.borrow_mut();
-            let same = last.as_ref().is_some_and(|last| alike(last, &view));
+            let mut last = process.view.borrow_mut();
+            let same = last.as_ref().is_some_and(|last| same_state(last, &view));
             if !same {
                 self.records.borrow_mut().views.push((at, who, view.clone()));
             }
@@ -588,11 +589,11 @@
         let mut records = self.records.take();
         records.length = self.now();
         for who in 0..self.count() {
-            let child = self.seats[who].child.take();
+            let child = self.processes[who].child.take();
             if let Some(mut child) = child {
                 drop(child.kill().await);
             }
-            self.over(who);
+            self.mark_ended(who);
         }
         records.late = Some(self.late.borrow().clone());
         records
@@ -606,7 +607,7 @@
 }
 
 /// Whether two views differ in nothing but times and counts.
-fn alike(one: &View, other: &View) -> bool {
+fn same_state(one: &View, other: &View) -> bool {
     let key = |view: &View| {
         (view.life.clone(), view.state.clone(), view.sure, view.deaf_s.is_some(), view.incarnation)
     };
@@ -634,7 +635,7 @@
 
 /// As `call`, with further header lines, each with its line end.
 pub async fn call_with(address: SocketAddr, method: &str, path: &str, lines: &str) -> Option<String> {
-    let told = operators::ask(address, method, path, lines, CALL).await.ok();
+    let told = operators::ask(address, method, path, lines, CALL_TIMEOUT).await.ok();
     told.filter(|(status, _)| *status == 200).map(|(_, body)| body)
 }
 
