--- a/crates/pearfront-emulator/src/cores/consensus.rs
+++ b/crates/pearfront-emulator/src/cores/consensus.rs
@@ -91,7 +91,7 @@
 }
 
 pub(super) enum Event {
-    Deliver { to: usize, came: Came },
+    Deliver { to: usize, message: Received },
     Wake { who: usize, life: u64, due: f64 },
     Stored { who: usize, life: u64, number: u64 },
     Propose,
@@ -114,12 +114,12 @@
     Empty,
 }
 
-pub(super) struct Seat {
+pub(super) struct Node {
     pub(super) name: String,
     pub(super) voter: Option<Voter>,
     /// State machine applied from the log, and the leader's lease handling.
     pub(super) duties: Duties,
-    pub(super) desk: LeaseManager,
+    pub(super) lease_manager: LeaseManager,
     /// Clock rate.
     pub(super) rate: f64,
     store: Option<Store<SimDisk>>,
@@ -129,7 +129,7 @@
     life: u64,
     /// End of the current pause, and the messages that arrived during it.
     pub(super) until: f64,
-    waiting: Vec<Came>,
+    waiting: Vec<Received>,
     woken: f64,
     /// Time until which the disk is busy.
     busy: f64,
@@ -142,14 +142,14 @@
 }
 
 /// A message from another voter, or from a process that requests duties.
-pub(super) enum Came {
+pub(super) enum Received {
     Log(Vec<u8>),
-    Ask(Vec<u8>),
+    LeaseRequest(Vec<u8>),
 }
 
 pub struct World {
     pub(super) plan: Plan,
-    pub(super) seats: Vec<Seat>,
+    pub(super) nodes: Vec<Node>,
     events: Agenda<Event>,
     /// Number of cuts so far; identifies each cut.
     cut: u64,
@@ -171,11 +171,11 @@
 
 impl World {
     pub fn new(plan: Plan, seed: u64) -> Self {
-        let seat = |place: usize| Seat {
+        let node = |place: usize| Node {
             name: format!("v{place}"),
             voter: None,
             duties: Duties::default(),
-            desk: LeaseManager::new("", pearfront_duties::Times::default()),
+            lease_manager: LeaseManager::new("", pearfront_duties::Times::default()),
             rate: 1.0,
             store: None,
             disk: Some(SimDisk::new(seed ^ (place as u64) << 32)),
@@ -191,7 +191,7 @@
             forgot: false,
         };
         let mut world = Self {
-            seats: (0..plan.voters).map(seat).collect(),
+            nodes: (0..plan.voters).map(node).collect(),
             events: Agenda::default(),
             cut: 0,
             chance: ChaCha8Rng::seed_from_u64(seed),
@@ -234,24 +234,24 @@
     // ---- voters ----
 
     fn start(&mut self, who: usize, with: Disk) {
-        let names: Vec<String> = self.seats.iter().map(|seat| seat.name.clone()).collect();
+        let names: Vec<String> = self.nodes.iter().map(|node| node.name.clone()).collect();
         let (now, seed) = (self.now, self.chance.random());
-        let seat = &mut self.seats[who];
-        let Some(own) = seat.disk.take() else { return };
+        let node = &mut self.nodes[who];
+        let Some(own) = node.disk.take() else { return };
         let disk = match with {
             Disk::Own => own,
-            Disk::Older => seat.older.clone().unwrap_or(own),
+            Disk::Older => node.older.clone().unwrap_or(own),
             Disk::Empty => SimDisk::new(seed),
         };
         if with != Disk::Own {
-            seat.forgot = true;
+            node.forgot = true;
             self.findings.forgot += 1;
         }
         let (mut store, recovered) = match Store::open(disk) {
             Ok(opened) => opened,
             // The voter reports the damaged file and offset, and operators give it an empty folder.
             Err(StoreError::Damaged { .. }) => {
-                seat.disk = Some(SimDisk::new(seed));
+                node.disk = Some(SimDisk::new(seed));
                 return self.put(now + 500.0, Event::Start { who, with: Disk::Empty });
             }
             Err(error) => return self.broken(format!("{names:?} {who}: {error}")),
@@ -262,30 +262,30 @@
         if self.plan.fault == Some(Faulty::AllDisksLie) {
             store.disk().inject(Fault::SyncIgnored);
         }
-        seat.life += 1;
-        seat.store = Some(store);
-        seat.applied = (0, 0);
-        seat.snapshot_at = 0;
-        seat.busy = now;
-        seat.woken = f64::INFINITY;
-        seat.until = 0.0;
-        let own = now * seat.rate;
-        seat.duties = Duties::default();
-        seat.desk =
+        node.life += 1;
+        node.store = Some(store);
+        node.applied = (0, 0);
+        node.snapshot_at = 0;
+        node.busy = now;
+        node.woken = f64::INFINITY;
+        node.until = 0.0;
+        let own = now * node.rate;
+        node.duties = Duties::default();
+        node.lease_manager =
             LeaseManager::new(&names[who], self.upper.as_ref().map(|upper| upper.times).unwrap_or_default());
-        seat.voter = Some(Voter::new(&names[who], &names, kept, Times::default(), seed, own));
+        node.voter = Some(Voter::new(&names[who], &names, kept, Times::default(), seed, own));
         self.act(who, |voter, now| voter.tick(now));
     }
 
     pub(super) fn kill(&mut self, who: usize) {
-        let seat = &mut self.seats[who];
-        let (Some(_), Some(mut store)) = (seat.voter.take(), seat.store.take()) else { return };
+        let node = &mut self.nodes[who];
+        let (Some(_), Some(mut store)) = (node.voter.take(), node.store.take()) else { return };
         let mut disk = store.disk().clone();
         disk.crash();
         disk.clear_faults();
-        seat.disk = Some(disk);
-        seat.waiting.clear();
-        seat.sync = SYNC;
+        node.disk = Some(disk);
+        node.waiting.clear();
+        node.sync = SYNC;
         if self.plan.proofs {
             let (least, most) = PROOF;
             let at = self.now + least + (most - least) * self.chance.random::<f64>();
@@ -295,9 +295,9 @@
 
     /// Kernels notify the running voters that a voter has ended; if it restarted meanwhile, that is another run.
     fn proof(&mut self, of: usize) {
-        let name = self.seats[of].name.clone();
-        for who in (0..self.seats.len()).filter(|who| *who != of) {
-            if self.seats[who].until <= self.now && self.seats[of].voter.is_none() {
+        let name = self.nodes[of].name.clone();
+        for who in (0..self.nodes.len()).filter(|who| *who != of) {
+            if self.nodes[who].until <= self.now && self.nodes[of].voter.is_none() {
                 self.act(who, |voter, now| voter.process_ended(&name, now));
             }
         }
@@ -305,12 +305,12 @@
 
     /// Time on the voter's own clock.
     pub(super) fn own_now(&self, who: usize) -> f64 {
-        self.now * self.seats[who].rate
+        self.now * self.nodes[who].rate
     }
 
     pub(super) fn act(&mut self, who: usize, call: impl FnOnce(&mut Voter, f64)) {
         let now = self.own_now(who);
-        let Some(voter) = &mut self.seats[who].voter else { return };
+        let Some(voter) = &mut self.nodes[who].voter else { return };
         call(voter, now);
         self.done(who);
         self.settle(who);
@@ -319,9 +319,9 @@
 
     /// Carries out the voter's actions.
     fn done(&mut self, who: usize) {
-        let out = self.seats[who].voter.as_mut().map(Voter::take_actions).unwrap_or_default();
+        let out = self.nodes[who].voter.as_mut().map(Voter::take_actions).unwrap_or_default();
         for out in out {
-            if self.seats[who].voter.is_some() {
+            if self.nodes[who].voter.is_some() {
                 self.carry(who, out);
             }
         }
@@ -332,22 +332,22 @@
         let now = self.own_now(who);
         let hasty = self.plan.fault == Some(Faulty::CountsNoLeaseAnew);
         loop {
-            let seat = &mut self.seats[who];
-            let Some(voter) = &mut seat.voter else { return };
+            let node = &mut self.nodes[who];
+            let Some(voter) = &mut node.voter else { return };
             let term = voter.has_committed_in_term().then(|| voter.term());
             // Far in the past, so that every lease granted before counts as expired.
             let since = if hasty { now - 1e9 } else { now };
-            seat.desk.set_leadership(term, &seat.duties, since);
-            let out = seat.desk.take_actions();
+            node.lease_manager.set_leadership(term, &node.duties, since);
+            let out = node.lease_manager.take_actions();
             if out.is_empty() {
                 return;
             }
             for out in out {
-                let Some(voter) = &mut self.seats[who].voter else { return };
+                let Some(voter) = &mut self.nodes[who].voter else { return };
                 match out {
                     ManagerAction::Propose(bytes) => drop(voter.propose(bytes, now)),
                     ManagerAction::Read(read) => voter.request_read(read, now),
-                    ManagerAction::Respond(told) => self.tell(who, &told),
+                    ManagerAction::Respond(response) => self.send_response(who, &response),
                 }
             }
             self.done(who);
@@ -356,16 +356,16 @@
 
     /// Checks the invariants of a voter and schedules its next wake-up.
     fn look_at(&mut self, who: usize) {
-        let seat = &mut self.seats[who];
-        let Some(voter) = &mut seat.voter else { return };
+        let node = &mut self.nodes[who];
+        let Some(voter) = &mut node.voter else { return };
         let (role, term) = (voter.role(), voter.term());
-        if seat.forgot && voter.may_stand() && voter.commit_index() > 0 {
-            seat.forgot = false;
+        if node.forgot && voter.may_stand() && voter.commit_index() > 0 {
+            node.forgot = false;
         }
-        let due = (voter.due().min(seat.desk.due()) / seat.rate).max(self.now) + ROUNDING;
-        let life = seat.life;
-        if due < seat.woken {
-            seat.woken = due;
+        let due = (voter.due().min(node.lease_manager.due()) / node.rate).max(self.now) + ROUNDING;
+        let life = node.life;
+        if due < node.woken {
+            node.woken = due;
             self.put(due, Event::Wake { who, life, due });
         }
         if role == Role::Leader {
@@ -383,16 +383,16 @@
             Action::Commit(entry) => self.commit(who, &entry),
             Action::Restore { index, bytes } => {
                 let sum = bytes.first_chunk::<4>().map_or(0, |bytes| u32::from_le_bytes(*bytes));
-                self.seats[who].applied = (index, sum);
-                self.seats[who].snapshot_at = index;
+                self.nodes[who].applied = (index, sum);
+                self.nodes[who].snapshot_at = index;
                 if self.committed.get(&index).is_some_and(|(_, known)| *known != sum)
                     || self.committed.len() < index as usize
                 {
                     self.broken(format!("v{who} restores {index} as something else"));
                 }
-                let (now, seat) = (self.own_now(who), &mut self.seats[who]);
-                seat.duties = bytes.get(4..).and_then(Duties::decode).unwrap_or_default();
-                seat.desk.restored(&seat.duties, now);
+                let (now, node) = (self.own_now(who), &mut self.nodes[who]);
+                node.duties = bytes.get(4..).and_then(Duties::decode).unwrap_or_default();
+                node.lease_manager.restored(&node.duties, now);
             }
             Action::ReadReady { read_id: read, .. } if self.upper.is_some() => self.read(who, read, true),
             Action::ReadFailed { read_id: read } if self.upper.is_some() => self.read(who, read, false),
@@ -408,12 +408,12 @@
 
     fn read(&mut self, who: usize, read: u64, may: bool) {
         self.findings.reads += 1;
-        let (now, seat) = (self.own_now(who), &mut self.seats[who]);
-        seat.desk.read_result(read, may, &seat.duties, now);
+        let (now, node) = (self.own_now(who), &mut self.nodes[who]);
+        node.lease_manager.read_result(read, may, &node.duties, now);
     }
 
     /// Its disk failed: it has to stop being a voter, and is restarted later.
-    fn dies(&mut self, who: usize) {
+    fn disk_failed(&mut self, who: usize) {
         self.kill(who);
         self.put(self.now + 500.0, Event::Start { who, with: Disk::Own });
     }
@@ -422,40 +422,40 @@
         let encoded: Vec<Vec<u8>> = records.iter().map(Record::encode).collect();
         let encoded: Vec<&[u8]> = encoded.iter().map(Vec::as_slice).collect();
         let took = {
-            let seat = &mut self.seats[who];
-            let (least, most) = seat.sync;
+            let node = &mut self.nodes[who];
+            let (least, most) = node.sync;
             let sync = least + (most - least) * self.chance.random::<f64>();
             // A sync covers everything written before it.
-            seat.busy = seat.busy.max(self.now + sync);
-            seat.store.as_mut().map(|store| store.append(&encoded))
+            node.busy = node.busy.max(self.now + sync);
+            node.store.as_mut().map(|store| store.append(&encoded))
         };
         match took {
             Some(Ok(_)) => {}
-            _ => return self.dies(who),
+            _ => return self.disk_failed(who),
         }
-        let (at, life) = (self.seats[who].busy, self.seats[who].life);
+        let (at, life) = (self.nodes[who].busy, self.nodes[who].life);
         let at = if self.plan.fault == Some(Faulty::TellsStoredAtOnce) { self.now } else { at };
         self.put(at, Event::Stored { who, life, number });
     }
 
     fn stored(&mut self, who: usize, number: u64) {
-        let told_at_once = self.plan.fault == Some(Faulty::TellsStoredAtOnce);
-        let seat = &mut self.seats[who];
-        let Some(store) = &mut seat.store else { return };
-        if !told_at_once && store.sync().is_err() {
-            return self.dies(who);
+        let reported_at_once = self.plan.fault == Some(Faulty::TellsStoredAtOnce);
+        let node = &mut self.nodes[who];
+        let Some(store) = &mut node.store else { return };
+        if !reported_at_once && store.sync().is_err() {
+            return self.disk_failed(who);
         }
-        if !told_at_once && store.log_bytes() > LOG_BYTES {
+        if !reported_at_once && store.log_bytes() > LOG_BYTES {
             compact(store);
         }
         self.act(who, |voter, now| voter.on_stored(number, now));
     }
 
     fn commit(&mut self, who: usize, entry: &Entry) {
-        let seat = &mut self.seats[who];
-        let sum = crc32c::crc32c_append(seat.applied.1, &entry.bytes);
-        let follows = entry.index == seat.applied.0 + 1;
-        seat.applied = (entry.index, sum);
+        let node = &mut self.nodes[who];
+        let sum = crc32c::crc32c_append(node.applied.1, &entry.bytes);
+        let follows = entry.index == node.applied.0 + 1;
+        node.applied = (entry.index, sum);
         if !follows {
             return self.broken(format!("v{who} applies {} out of turn", entry.index));
         }
@@ -463,15 +463,15 @@
         if known != (entry.term, sum) {
             return self.broken(format!("v{who} commits another entry at {}", entry.index));
         }
-        let (now, seat) = (self.own_now(who), &mut self.seats[who]);
-        let changes = seat.duties.apply(&entry.bytes);
-        seat.desk.applied(changes.clone(), &seat.duties, now);
-        if entry.index >= seat.snapshot_at + SNAPSHOT {
-            seat.snapshot_at = entry.index;
-            if let Some(voter) = &mut seat.voter {
+        let (now, node) = (self.own_now(who), &mut self.nodes[who]);
+        let changes = node.duties.apply(&entry.bytes);
+        node.lease_manager.applied(changes.clone(), &node.duties, now);
+        if entry.index >= node.snapshot_at + SNAPSHOT {
+            node.snapshot_at = entry.index;
+            if let Some(voter) = &mut node.voter {
                 // Larger than one snapshot chunk, so that it is sent in several.
                 let mut bytes = sum.to_le_bytes().to_vec();
-                bytes.extend(seat.duties.encode());
+                bytes.extend(node.duties.encode());
                 bytes.resize(100_000, 7);
                 voter.compact(entry.index, bytes);
             }
@@ -480,9 +480,9 @@
     }
 
     fn send(&mut self, from: usize, message: &Message) {
-        let Some(to) = self.seats.iter().position(|seat| seat.name == message.to) else { return };
+        let Some(to) = self.nodes.iter().position(|node| node.name == message.to) else { return };
         for at in self.arrivals(from, to) {
-            self.put(at, Event::Deliver { to, came: Came::Log(message.encode()) });
+            self.put(at, Event::Deliver { to, message: Received::Log(message.encode()) });
         }
     }
 
@@ -509,18 +509,18 @@
         };
         self.now = at;
         match event {
-            Event::Deliver { to, came } => self.deliver(to, came),
+            Event::Deliver { to, message } => self.deliver(to, message),
             Event::Wake { who, life, due } => {
-                let seat = &mut self.seats[who];
-                if seat.woken == due && seat.life == life {
-                    seat.woken = f64::INFINITY;
+                let node = &mut self.nodes[who];
+                if node.woken == due && node.life == life {
+                    node.woken = f64::INFINITY;
                 }
-                if seat.life == life && seat.until <= at {
+                if node.life == life && node.until <= at {
                     self.tick(who);
                 }
             }
             Event::Stored { who, life, number } => {
-                if self.seats[who].life == life {
+                if self.nodes[who].life == life {
                     self.stored(who, number);
                 }
             }
@@ -536,7 +536,7 @@
             Event::Start { who, with } => self.start(who, with),
             Event::Resume { who } => self.resume(who),
             Event::Heal(number) => self.cuts.retain(|(one, ..)| *one != number),
-            Event::Mend { who } => self.seats[who].sync = SYNC,
+            Event::Mend { who } => self.nodes[who].sync = SYNC,
             Event::Look => self.look(),
             Event::Proof { of } => self.proof(of),
             Event::Above(what) => self.happens(what),
@@ -545,39 +545,39 @@
         self.findings.broken.is_none()
     }
 
-    fn deliver(&mut self, to: usize, came: Came) {
-        if self.seats[to].until > self.now {
-            return self.seats[to].waiting.push(came);
+    fn deliver(&mut self, to: usize, message: Received) {
+        if self.nodes[to].until > self.now {
+            return self.nodes[to].waiting.push(message);
         }
-        match came {
-            Came::Log(bytes) => {
+        match message {
+            Received::Log(bytes) => {
                 if let Some(message) = decode(&bytes) {
                     self.act(to, |voter, now| voter.receive(message, now));
                 }
             }
-            Came::Ask(bytes) => self.asked(to, &bytes),
+            Received::LeaseRequest(bytes) => self.asked(to, &bytes),
         }
     }
 
     pub(super) fn resume(&mut self, who: usize) {
-        let waiting = std::mem::take(&mut self.seats[who].waiting);
-        waiting.into_iter().for_each(|came| self.deliver(who, came));
+        let waiting = std::mem::take(&mut self.nodes[who].waiting);
+        waiting.into_iter().for_each(|message| self.deliver(who, message));
         self.tick(who);
     }
 
     fn tick(&mut self, who: usize) {
-        let (now, seat) = (self.own_now(who), &mut self.seats[who]);
-        if seat.voter.is_some() {
-            seat.desk.tick(&seat.duties, now);
+        let (now, node) = (self.own_now(who), &mut self.nodes[who]);
+        if node.voter.is_some() {
+            node.lease_manager.tick(&node.duties, now);
         }
         self.act(who, |voter, now| voter.tick(now));
     }
 
     /// Voters that regard themselves as leader; there may be two.
     pub(super) fn leading(&self) -> Vec<usize> {
-        let leads = |seat: &Seat| seat.voter.as_ref().is_some_and(|voter| voter.role() == Role::Leader);
-        (0..self.seats.len())
-            .filter(|who| leads(&self.seats[*who]) && self.seats[*who].until <= self.now)
+        let leads = |node: &Node| node.voter.as_ref().is_some_and(|voter| voter.role() == Role::Leader);
+        (0..self.nodes.len())
+            .filter(|who| leads(&self.nodes[*who]) && self.nodes[*who].until <= self.now)
             .collect()
     }
 
@@ -614,7 +614,7 @@
         let next = self.now - self.plan.every * (1.0 - self.chance.random::<f64>()).ln();
         self.put(next, Event::Trouble);
         // Data that one voter lost must still be known to another: with three voters a second fault is one too many.
-        if self.seats.iter().any(|seat| seat.forgot) {
+        if self.nodes.iter().any(|node| node.forgot) {
             return;
         }
         if self.trouble_above() {
@@ -622,7 +622,7 @@
         }
         // Leaders are hit more often than other voters.
         let leader = self.leading().first().copied().filter(|_| self.chance.random::<bool>());
-        let who = leader.unwrap_or_else(|| self.chance.random_range(0..self.seats.len()));
+        let who = leader.unwrap_or_else(|| self.chance.random_range(0..self.nodes.len()));
         let lasts = 100.0 + 2500.0 * self.chance.random::<f64>();
         // Faults end before the period without faults.
         let until = (self.now + lasts).min(self.plan.length - QUIET);
@@ -634,26 +634,26 @@
             3 if self.plan.disks && self.all_well() => {
                 let with = if self.chance.random::<bool>() { Disk::Empty } else { Disk::Older };
                 self.kill(who);
-                self.seats[who].forgot = true;
+                self.nodes[who].forgot = true;
                 self.put(until, Event::Start { who, with });
             }
             3 => {
-                let disk = self.seats[who].store.as_mut().map(|store| store.disk().clone());
-                self.seats[who].older = disk.map(|mut disk| {
+                let disk = self.nodes[who].store.as_mut().map(|store| store.disk().clone());
+                self.nodes[who].older = disk.map(|mut disk| {
                     disk.crash();
                     disk
                 });
             }
             4 | 5 => {
-                self.seats[who].until = until;
+                self.nodes[who].until = until;
                 self.put(until, Event::Resume { who });
             }
             6 => {
-                self.seats[who].sync = (STALLED, STALLED);
+                self.nodes[who].sync = (STALLED, STALLED);
                 self.put(until, Event::Mend { who });
             }
             7 => {
-                if let Some(store) = &mut self.seats[who].store {
+                if let Some(store) = &mut self.nodes[who].store {
                     store.disk().inject(Fault::SyncFails);
                 }
             }
@@ -670,9 +670,9 @@
 
     /// Cuts a process off from all others until then, in one direction or both.
     pub(super) fn cut_off(&mut self, who: usize, until: f64) {
-        let above = self.upper.as_ref().map_or(0, |upper| upper.seats.len());
-        let all = 0..self.seats.len() + above;
-        let (one, rest): (BTreeSet<usize>, BTreeSet<usize>) = all.partition(|seat| *seat == who);
+        let above = self.upper.as_ref().map_or(0, |upper| upper.nodes.len());
+        let all = 0..self.nodes.len() + above;
+        let (one, rest): (BTreeSet<usize>, BTreeSet<usize>) = all.partition(|node| *node == who);
         let sides = match self.chance.random_range(0..3) {
             0 => vec![(one, rest)],
             1 => vec![(rest, one)],
@@ -682,20 +682,20 @@
     }
 
     fn all_well(&self) -> bool {
-        let well = |seat: &Seat| seat.voter.is_some() && seat.until <= self.now && seat.sync == SYNC;
-        self.cuts.is_empty() && self.seats.iter().all(well)
+        let well = |node: &Node| node.voter.is_some() && node.until <= self.now && node.sync == SYNC;
+        self.cuts.is_empty() && self.nodes.iter().all(well)
     }
 
     /// Measures the periods without a leader that a majority follows.
     fn look(&mut self) {
         self.put(self.now + LOOK, Event::Look);
-        let follows = |seat: &Seat, name: &str| {
-            let voter = seat.voter.as_ref().filter(|_| seat.until <= self.now);
+        let follows = |node: &Node, name: &str| {
+            let voter = node.voter.as_ref().filter(|_| node.until <= self.now);
             voter.is_some_and(|voter| voter.leader() == Some(name))
         };
         let led = self.leading().into_iter().any(|leader| {
-            let name = &self.seats[leader].name;
-            self.seats.iter().filter(|seat| follows(seat, name)).count() * 2 > self.seats.len()
+            let name = &self.nodes[leader].name;
+            self.nodes.iter().filter(|node| follows(node, name)).count() * 2 > self.nodes.len()
         });
         if !led && self.is_able() {
             self.able_since += LOOK;
@@ -713,13 +713,13 @@
 
     /// Whether a majority of voters run, have working disks and are connected to one another.
     fn is_able(&self) -> bool {
-        let count = self.seats.len();
+        let count = self.nodes.len();
         let well = |who: usize| {
-            let seat = &self.seats[who];
-            seat.voter.is_some()
-                && seat.until <= self.now
-                && seat.sync == SYNC
-                && seat.busy < self.now + SYNC.1
+            let node = &self.nodes[who];
+            node.voter.is_some()
+                && node.until <= self.now
+                && node.sync == SYNC
+                && node.busy < self.now + SYNC.1
         };
         (0u32..1 << count).any(|set| {
             let all: Vec<usize> = (0..count).filter(|who| set & 1 << who != 0).collect();
@@ -748,8 +748,8 @@
             return self.broken(format!("{} lead after {QUIET} ms without trouble", self.leading().len()));
         }
         let last = self.committed.last_key_value().map_or(0, |(index, _)| *index);
-        for who in 0..self.seats.len() {
-            let applied = self.seats[who].applied.0;
+        for who in 0..self.nodes.len() {
+            let applied = self.nodes[who].applied.0;
             // Entries in flight at the end are tolerated.
             if applied + 50 < last {
                 self.broken(format!("v{who} has {applied} of {last} after {QUIET} ms without trouble"));
--- a/crates/pearfront-emulator/src/cores/duties.rs
+++ b/crates/pearfront-emulator/src/cores/duties.rs
@@ -3,7 +3,7 @@
 //! Checked after every step: how many processes act on a duty at that instant, and the tokens; at the end, whether each
 //! history is linearizable. Used by `pearfront prove duties` and the tests.
 
-use super::consensus::{self, Came, Event, Faulty, QUIET, ROUNDING, World};
+use super::consensus::{self, Event, Faulty, QUIET, ROUNDING, Received, World};
 use super::history::{Call, What, linearizable};
 use pearfront_duties::{
     Agent, AgentAction, Change, LeaseRequest, LeaseResponse, ProcessId, Rank, ResponseBody, Times, Want,
@@ -111,7 +111,7 @@
 
 pub(super) struct Upper {
     pub times: Times,
-    pub seats: Vec<Post>,
+    pub nodes: Vec<Post>,
     only: Option<Only>,
     fault: Option<Fault>,
     lives: u64,
@@ -133,7 +133,7 @@
 
 /// Events of the simulation above the log.
 pub(super) enum Happens {
-    Told { to: usize, life: u64, bytes: Vec<u8> },
+    Response { to: usize, life: u64, bytes: Vec<u8> },
     Wake { who: usize, life: u64, due: f64 },
     Will { who: usize },
     Act { who: usize, duty: &'static str },
@@ -161,10 +161,10 @@
 impl World {
     fn add(&mut self, plan: &Plan) {
         let times = Times { stability: 3000.0, time_interval: 5000.0, ..Times::default() };
-        for seat in &mut self.seats {
-            seat.rate = 1.0 + UNEVEN * (2.0 * self.chance.random::<f64>() - 1.0);
+        for node in &mut self.nodes {
+            node.rate = 1.0 + UNEVEN * (2.0 * self.chance.random::<f64>() - 1.0);
         }
-        let seats = (0..plan.agents).map(|_| Post {
+        let nodes = (0..plan.agents).map(|_| Post {
             agent: None,
             life: 0,
             until: 0.0,
@@ -180,7 +180,7 @@
         });
         self.upper = Some(Upper {
             times,
-            seats: seats.collect(),
+            nodes: nodes.collect(),
             only: plan.only,
             fault: plan.fault,
             lives: 0,
@@ -212,11 +212,11 @@
     }
 
     fn post(&self, who: usize) -> &Post {
-        &self.upper.as_ref().expect("played with duties").seats[who]
+        &self.upper.as_ref().expect("played with duties").nodes[who]
     }
 
     fn post_mut(&mut self, who: usize) -> &mut Post {
-        &mut self.above().seats[who]
+        &mut self.above().nodes[who]
     }
 
     fn above(&mut self) -> &mut Upper {
@@ -225,7 +225,7 @@
 
     pub(super) fn happens(&mut self, what: Happens) {
         match what {
-            Happens::Told { to, life, bytes } => self.told(to, life, bytes),
+            Happens::Response { to, life, bytes } => self.deliver_response(to, life, bytes),
             Happens::Wake { who, life, due } => {
                 let now = self.now;
                 let post = self.post_mut(who);
@@ -236,7 +236,7 @@
                     self.do_at(who, |agent, now| agent.tick(now));
                 }
             }
-            Happens::Will { who } => self.will(who),
+            Happens::Will { who } => self.change_requests(who),
             Happens::Act { who, duty } => self.acts(who, duty),
             Happens::Arrives { duty, token } => self.arrives(duty, token),
             Happens::GivesUp { who, life, duty } => {
@@ -249,8 +249,8 @@
             Happens::Proof { of } => {
                 for who in self.leading() {
                     let now = self.own_now(who);
-                    let seat = &mut self.seats[who];
-                    seat.desk.process_ended(&of, &seat.duties, now);
+                    let node = &mut self.nodes[who];
+                    node.lease_manager.process_ended(&of, &node.duties, now);
                     self.settle(who);
                 }
             }
@@ -260,7 +260,7 @@
     // ---- processes ----
 
     fn start_post(&mut self, who: usize) {
-        let voters: Vec<String> = self.seats.iter().map(|seat| seat.name.clone()).collect();
+        let voters: Vec<String> = self.nodes.iter().map(|node| node.name.clone()).collect();
         let at = self.now;
         let upper = self.above();
         upper.lives += 1;
@@ -331,7 +331,7 @@
             post.behind += (now - post.since) * post.rate;
         }
         let (waiting, life) = (std::mem::take(&mut post.waiting), post.life);
-        waiting.into_iter().for_each(|bytes| self.told(who, life, bytes));
+        waiting.into_iter().for_each(|bytes| self.deliver_response(who, life, bytes));
         self.do_at(who, |agent, now| agent.tick(now));
     }
 
@@ -359,10 +359,10 @@
                 self.above().findings.asks += 1;
                 let post = self.post_mut(who);
                 post.sent.insert(ask.number, at);
-                let Some(voter) = self.seats.iter().position(|seat| seat.name == to) else { return };
-                let from = self.seats.len() + who;
+                let Some(voter) = self.nodes.iter().position(|node| node.name == to) else { return };
+                let from = self.nodes.len() + who;
                 for at in self.arrivals(from, voter) {
-                    self.put(at, Event::Deliver { to: voter, came: Came::Ask(encode(&ask)) });
+                    self.put(at, Event::Deliver { to: voter, message: Received::LeaseRequest(encode(&ask)) });
                 }
             }
             AgentAction::Acquired { duty, token, .. } => {
@@ -402,7 +402,7 @@
     }
 
     /// Requests a duty, stops requesting it, or finishes releasing it.
-    fn will(&mut self, who: usize) {
+    fn change_requests(&mut self, who: usize) {
         let at = self.after(WILL);
         self.put(at, Event::Above(Happens::Will { who }));
         let runs = self.post(who).agent.is_some() && self.post(who).until <= self.now;
@@ -474,40 +474,41 @@
 
     pub(super) fn asked(&mut self, to: usize, bytes: &[u8]) {
         let now = self.own_now(to);
-        let seat = &mut self.seats[to];
-        let (Some(voter), Some(ask)) = (&seat.voter, decode::<LeaseRequest>(bytes)) else { return };
-        seat.desk.receive(ask, voter.leader(), now);
+        let node = &mut self.nodes[to];
+        let (Some(voter), Some(ask)) = (&node.voter, decode::<LeaseRequest>(bytes)) else { return };
+        node.lease_manager.receive(ask, voter.leader(), now);
         self.settle(to);
         self.act(to, |_, _| {});
     }
 
-    pub(super) fn tell(&mut self, from: usize, told: &LeaseResponse) {
-        let Some(to) = told.to.name.strip_prefix('n').and_then(|number| number.parse::<usize>().ok()) else {
+    pub(super) fn send_response(&mut self, from: usize, response: &LeaseResponse) {
+        let Some(to) = response.to.name.strip_prefix('n').and_then(|number| number.parse::<usize>().ok())
+        else {
             return;
         };
-        let place = self.seats.len() + to;
+        let place = self.nodes.len() + to;
         for at in self.arrivals(from, place) {
-            let (life, bytes) = (told.to.life, encode(told));
-            self.put(at, Event::Above(Happens::Told { to, life, bytes }));
+            let (life, bytes) = (response.to.life, encode(response));
+            self.put(at, Event::Above(Happens::Response { to, life, bytes }));
         }
     }
 
-    fn told(&mut self, to: usize, life: u64, bytes: Vec<u8>) {
+    fn deliver_response(&mut self, to: usize, life: u64, bytes: Vec<u8>) {
         let at = self.now;
         let post = self.post_mut(to);
         if post.until > at {
             return post.waiting.push(bytes);
         }
-        let Some(told) = decode::<LeaseResponse>(&bytes).filter(|_| post.life == life) else { return };
-        self.remember(to, &told);
-        self.do_at(to, |agent, now| agent.receive(told, now));
+        let Some(response) = decode::<LeaseResponse>(&bytes).filter(|_| post.life == life) else { return };
+        self.record_response(to, &response);
+        self.do_at(to, |agent, now| agent.receive(response, now));
     }
 
     /// Records an answer in the history, and applies the fault of a faulty holder.
-    fn remember(&mut self, who: usize, told: &LeaseResponse) {
+    fn record_response(&mut self, who: usize, response: &LeaseResponse) {
         let now = self.post_now(who);
-        let Some(sent) = self.post(who).sent.get(&told.number).copied() else { return };
-        let held = match &told.body {
+        let Some(sent) = self.post(who).sent.get(&response.number).copied() else { return };
+        let held = match &response.body {
             ResponseBody::Status { held, .. } => held.clone(),
             ResponseBody::Granted(held) => vec![held.clone()],
             ResponseBody::NotLeader { .. } => return,
@@ -525,7 +526,7 @@
                 post.believes.insert(one.duty.clone(), (one.token, now + one.lease));
             }
         }
-        if let ResponseBody::Status { .. } = told.body {
+        if let ResponseBody::Status { .. } = response.body {
             let post = self.post_mut(who);
             let gone = |(duty, (token, since)): (&String, &(u64, f64))| {
                 let over = *since <= sent && !held.iter().any(|one| one.duty == *duty && one.token == *token);
@@ -545,7 +546,7 @@
     /// Injects a fault into a process that requests duties, instead of into a voter.
     pub(super) fn trouble_above(&mut self) -> bool {
         let Some(upper) = &self.upper else { return false };
-        let (only, count) = (upper.only, upper.seats.len());
+        let (only, count) = (upper.only, upper.nodes.len());
         if let Some(only) = only {
             self.befalls_holder(only);
             return true;
@@ -565,14 +566,14 @@
                 self.put(until, Event::Above(Happens::Start { who }));
             }
             1 => self.stop_post(who, until),
-            _ => self.cut_off(self.seats.len() + who, until),
+            _ => self.cut_off(self.nodes.len() + who, until),
         }
         true
     }
 
     fn befalls_holder(&mut self, only: Only) {
         let (duty, ..) = DUTIES[0];
-        let count = self.above().seats.len();
+        let count = self.above().nodes.len();
         let Some(who) = (0..count).find(|who| !self.acting(*who, duty).is_empty()) else { return };
         let under = self.acting(who, duty).first().copied().unwrap_or(0);
         self.above().befallen = Some((self.now, under));
@@ -585,8 +586,8 @@
             }
             Only::Silence => self.stop_post(who, until),
             Only::Deaf => {
-                let voters = (0..self.seats.len()).collect();
-                self.cut_way(voters, [self.seats.len() + who].into(), until);
+                let voters = (0..self.nodes.len()).collect();
+                self.cut_way(voters, [self.nodes.len() + who].into(), until);
             }
         }
     }
@@ -654,7 +655,7 @@
     }
 
     fn post_count(&self) -> usize {
-        self.upper.as_ref().map_or(0, |upper| upper.seats.len())
+        self.upper.as_ref().map_or(0, |upper| upper.nodes.len())
     }
 
     /// Final checks: every duty that may be held is held, and each history is linearizable.
--- a/crates/pearfront-emulator/src/cores/exhaustive.rs
+++ b/crates/pearfront-emulator/src/cores/exhaustive.rs
@@ -41,7 +41,7 @@
 }
 
 #[derive(Clone)]
-struct Seat {
+struct Node {
     voter: Voter,
     now: f64,
     /// Groups of records not yet synced, and the synced records.
@@ -53,7 +53,7 @@
 
 #[derive(Clone)]
 struct World {
-    seats: Vec<Seat>,
+    nodes: Vec<Node>,
     /// Every message ever sent: the network may lose, delay and duplicate each.
     sent: BTreeSet<Vec<u8>>,
     leaders: BTreeMap<u64, usize>,
@@ -91,15 +91,15 @@
 
 impl World {
     fn new(bounds: &Bounds) -> Self {
-        let seat = |place: usize| {
+        let node = |place: usize| {
             let names = names();
             let voter =
                 Voter::new(&names[place], &names, PersistentState::default(), Times::default(), 1, 0.0);
             let (waiting, stable, duties) = (VecDeque::new(), Vec::new(), Duties::default());
-            Seat { voter, now: 0.0, waiting, stable, applied: 0, duties }
+            Node { voter, now: 0.0, waiting, stable, applied: 0, duties }
         };
         let mut world = Self {
-            seats: (0..3).map(seat).collect(),
+            nodes: (0..3).map(node).collect(),
             sent: BTreeSet::new(),
             leaders: BTreeMap::new(),
             committed: BTreeMap::new(),
@@ -111,7 +111,7 @@
         (0..3).for_each(|place| world.act(place, true, |voter, now| voter.tick(now)));
         world.deliver_all();
         if bounds.led {
-            world.seats[0].now += LONG;
+            world.nodes[0].now += LONG;
             world.act(0, true, |voter, now| voter.tick(now));
             world.deliver_all();
         }
@@ -141,10 +141,10 @@
 
     /// Carries out the voter's actions and checks the invariants.
     fn act(&mut self, who: usize, syncs: bool, call: impl FnOnce(&mut Voter, f64)) {
-        let now = self.seats[who].now;
-        call(&mut self.seats[who].voter, now);
+        let now = self.nodes[who].now;
+        call(&mut self.nodes[who].voter, now);
         loop {
-            let out = self.seats[who].voter.take_actions();
+            let out = self.nodes[who].voter.take_actions();
             if out.is_empty() {
                 break;
             }
@@ -153,7 +153,7 @@
                 self.sync(who);
             }
         }
-        let voter = &self.seats[who].voter;
+        let voter = &self.nodes[who].voter;
         if voter.role() == Role::Leader && *self.leaders.entry(voter.term()).or_insert(who) != who {
             self.broken = Some(format!("two leaders in term {}", voter.term()));
         }
@@ -161,13 +161,13 @@
 
     fn carry(&mut self, who: usize, out: Action) {
         match out {
-            Action::Store { number, records } => self.seats[who].waiting.push_back((number, records)),
+            Action::Store { number, records } => self.nodes[who].waiting.push_back((number, records)),
             Action::Send(message) => self.send(&message),
             Action::Commit(entry) => {
-                let seat = &mut self.seats[who];
-                seat.duties.apply(&entry.bytes);
-                let follows = entry.index == seat.applied + 1;
-                seat.applied = entry.index;
+                let node = &mut self.nodes[who];
+                node.duties.apply(&entry.bytes);
+                let follows = entry.index == node.applied + 1;
+                node.applied = entry.index;
                 let is = (entry.term, entry.bytes);
                 let known = self.committed.entry(entry.index).or_insert(is.clone());
                 if *known != is || !follows {
@@ -184,24 +184,24 @@
 
     /// Completes the sync of the next group.
     fn sync(&mut self, who: usize) {
-        let seat = &mut self.seats[who];
-        let Some((number, records)) = seat.waiting.pop_front() else { return };
-        seat.stable.extend(records);
+        let node = &mut self.nodes[who];
+        let Some((number, records)) = node.waiting.pop_front() else { return };
+        node.stable.extend(records);
         self.act(who, false, |voter, now| voter.on_stored(number, now));
     }
 
     fn crash(&mut self, who: usize, forgets: bool) {
         self.crashes -= 1;
         let names = names();
-        let seat = &mut self.seats[who];
-        seat.waiting.clear();
+        let node = &mut self.nodes[who];
+        node.waiting.clear();
         if forgets {
-            seat.stable.clear();
+            node.stable.clear();
         }
-        let kept = recover(seat.stable.iter().cloned());
-        seat.now += LONG;
-        seat.voter = Voter::new(&names[who], &names, kept, Times::default(), 1, seat.now);
-        (seat.applied, seat.duties) = (0, Duties::default());
+        let kept = recover(node.stable.iter().cloned());
+        node.now += LONG;
+        node.voter = Voter::new(&names[who], &names, kept, Times::default(), 1, node.now);
+        (node.applied, node.duties) = (0, Duties::default());
         self.act(who, false, |voter, now| voter.tick(now));
     }
 
@@ -223,16 +223,16 @@
 
     fn steps(&self, bounds: &Bounds) -> Vec<Step> {
         let mut steps: Vec<Step> = self.sent.iter().cloned().map(Step::Deliver).collect();
-        for (who, seat) in self.seats.iter().enumerate() {
-            if seat.voter.role() == Role::Leader {
+        for (who, node) in self.nodes.iter().enumerate() {
+            if node.voter.role() == Role::Leader {
                 steps.push(Step::Beat(who));
                 if self.proposals > 0 {
                     steps.push(Step::Propose(who));
                 }
-            } else if seat.voter.term() < bounds.terms && seat.voter.may_stand() {
+            } else if node.voter.term() < bounds.terms && node.voter.may_stand() {
                 steps.push(Step::TimeOut(who));
             }
-            if !seat.waiting.is_empty() {
+            if !node.waiting.is_empty() {
                 steps.push(Step::Sync(who));
             }
             if self.crashes > 0 {
@@ -248,11 +248,11 @@
         match step {
             Step::Deliver(bytes) => next.deliver(bytes, syncs),
             Step::TimeOut(who) => {
-                next.seats[*who].now += LONG;
+                next.nodes[*who].now += LONG;
                 next.act(*who, syncs, |voter, now| voter.tick(now));
             }
             Step::Beat(who) => {
-                next.seats[*who].now += Times::default().heartbeat;
+                next.nodes[*who].now += Times::default().heartbeat;
                 next.act(*who, syncs, |voter, now| voter.tick(now));
             }
             Step::Propose(who) => next.propose(*who),
@@ -265,8 +265,8 @@
 
     /// Voters with the same applied index must hold the same state, and no duty may have two holders.
     fn look(&mut self) {
-        for one in &self.seats {
-            for other in &self.seats {
+        for one in &self.nodes {
+            for other in &self.nodes {
                 if one.applied == other.applied && one.duties != other.duties {
                     self.broken = Some(format!("two voters differ at entry {}", one.applied));
                 }
@@ -282,9 +282,9 @@
         let half = |salt: u8| {
             let mut hasher = DefaultHasher::new();
             salt.hash(&mut hasher);
-            for seat in &self.seats {
-                seat.voter.fingerprint(seat.now).hash(&mut hasher);
-                format!("{:?}{:?}", seat.waiting, seat.stable).hash(&mut hasher);
+            for node in &self.nodes {
+                node.voter.fingerprint(node.now).hash(&mut hasher);
+                format!("{:?}{:?}", node.waiting, node.stable).hash(&mut hasher);
             }
             self.sent.hash(&mut hasher);
             self.leaders.hash(&mut hasher);
--- a/crates/pearfront-emulator/src/cores/membership.rs
+++ b/crates/pearfront-emulator/src/cores/membership.rs
@@ -12,18 +12,18 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 /// Receive buffer of a paused process, datagrams; the kernel drops further ones.
-const WAITING: usize = 256;
+const RECEIVE_BUFFER_DATAGRAMS: usize = 256;
 /// Longest time, ms, from a kill until the other end of a link sees the connection closed by the kernel and its check
 /// refused.
-const PROOF: f64 = 20.0;
+const MAX_PROOF_DELAY_MS: f64 = 20.0;
 /// Number of neighbours on each side that a process has a link to.
 pub const LINKS: usize = 8;
 /// Longest pause, ms, during which a process may not be reported as gone.
-const BORNE: f64 = 3000.0;
+const TOLERATED_PAUSE_MS: f64 = 3000.0;
 /// Time, ms, after a longer pause during which it may still be reported so, since reports of it are still spreading.
-const EXCUSED: f64 = 2000.0;
+const REPORT_GRACE_MS: f64 = 2000.0;
 /// Interval at which the views are checked for agreement, ms.
-const LOOK: f64 = 50.0;
+const CHECK_INTERVAL_MS: f64 = 50.0;
 
 /// Conditions of the network and the machines during a run.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -156,7 +156,7 @@
     name: String,
     address: SocketAddr,
     running: bool,
-    /// End of the current pause; and, if that is longer than `BORNE`, until when it may be reported as gone.
+    /// End of the current pause; and, if that is longer than `TOLERATED_PAUSE_MS`, until when it may be reported as gone.
     until: f64,
     excused: f64,
     waiting: Vec<Vec<u8>>,
@@ -181,7 +181,7 @@
     sent: (u64, u64, u64),
     second: (f64, u64),
     /// Changes that cores reported and that are not yet shown.
-    told: Vec<String>,
+    unshown_changes: Vec<String>,
 }
 
 fn address(place: usize) -> SocketAddr {
@@ -204,7 +204,7 @@
             last_trouble: plan.troubles.iter().fold(0.0, |last, (at, _)| last.max(*at)),
             sent: (0, 0, 0),
             second: (0.0, 0),
-            told: Vec::new(),
+            unshown_changes: Vec::new(),
             plan,
         };
         for place in 0..world.plan.instances {
@@ -216,7 +216,7 @@
         for who in 0..world.plan.instances {
             world.next_pause(who);
         }
-        world.put(LOOK, Event::Look);
+        world.put(CHECK_INTERVAL_MS, Event::Look);
         world
     }
 
@@ -278,7 +278,7 @@
         call(&mut process.core, now);
         let out = process.core.take_actions();
         for out in out {
-            self.carry(place, out);
+            self.perform(place, out);
         }
         let due = self.processes[place].core.due().max(now);
         let process = &mut self.processes[place];
@@ -289,7 +289,7 @@
         }
     }
 
-    fn carry(&mut self, from: usize, out: Action) {
+    fn perform(&mut self, from: usize, out: Action) {
         match out {
             Action::Datagram { to, bytes } => {
                 self.processes[from].datagrams += 1;
@@ -340,7 +340,7 @@
     }
 
     fn changed(&mut self, at: usize, change: Change) {
-        self.told.push(format!("{}: {change:?}", self.processes[at].name));
+        self.unshown_changes.push(format!("{}: {change:?}", self.processes[at].name));
         match &change {
             Change::Suspected { .. } => self.findings.suspicions += 1,
             Change::Refuted { .. } => self.findings.refutations += 1,
@@ -369,8 +369,8 @@
         }
     }
 
-    /// Processes one event and passes its description to `shows`; false at the end.
-    pub fn step(&mut self, shows: &mut dyn FnMut(f64, String)) -> bool {
+    /// Processes one event and passes its description to `show`; false at the end.
+    pub fn step(&mut self, show: &mut dyn FnMut(f64, String)) -> bool {
         let Some((at, event)) = self.events.next(self.plan.length) else {
             return false;
         };
@@ -383,7 +383,7 @@
         }
         match event {
             Event::Deliver { to, bytes } => {
-                shows(at, format!("{} hears {} bytes", self.processes[to].name, bytes.len()));
+                show(at, format!("{} hears {} bytes", self.processes[to].name, bytes.len()));
                 self.deliver(to, bytes);
             }
             Event::Wake { who, due } => {
@@ -391,7 +391,7 @@
                     self.processes[who].woken = f64::INFINITY;
                 }
                 if self.processes[who].running && self.processes[who].until <= at {
-                    shows(at, format!("{} wakes", self.processes[who].name));
+                    show(at, format!("{} wakes", self.processes[who].name));
                     self.act(who, |core, now| core.tick(now));
                 }
             }
@@ -403,13 +403,13 @@
             }
             Event::Pause { who, lasts } => {
                 self.next_pause(who);
-                self.pause(who, lasts, shows);
+                self.pause(who, lasts, show);
             }
-            Event::Resume { who } => self.resume(who, shows),
-            Event::Trouble(number) => self.trouble(number, shows),
+            Event::Resume { who } => self.resume(who, show),
+            Event::Trouble(number) => self.trouble(number, show),
             Event::Look => self.look(),
         }
-        self.told.drain(..).for_each(|what| shows(at, what));
+        self.unshown_changes.drain(..).for_each(|what| show(at, what));
         self.findings.broken.is_none()
     }
 
@@ -419,7 +419,7 @@
             return;
         }
         if process.until > self.now {
-            if process.waiting.len() < WAITING {
+            if process.waiting.len() < RECEIVE_BUFFER_DATAGRAMS {
                 process.waiting.push(bytes);
             }
             return;
@@ -430,33 +430,33 @@
         });
     }
 
-    fn pause(&mut self, who: usize, lasts: f64, shows: &mut dyn FnMut(f64, String)) {
+    fn pause(&mut self, who: usize, lasts: f64, show: &mut dyn FnMut(f64, String)) {
         if self.processes[who].running && self.processes[who].until <= self.now {
-            shows(self.now, format!("{} stands still for {lasts:.0} ms", self.processes[who].name));
+            show(self.now, format!("{} stands still for {lasts:.0} ms", self.processes[who].name));
             self.processes[who].until = self.now + lasts;
-            if lasts > BORNE {
-                self.processes[who].excused = self.now + lasts + EXCUSED;
+            if lasts > TOLERATED_PAUSE_MS {
+                self.processes[who].excused = self.now + lasts + REPORT_GRACE_MS;
             }
             self.put(self.now + lasts, Event::Resume { who });
         }
     }
 
-    fn resume(&mut self, who: usize, shows: &mut dyn FnMut(f64, String)) {
+    fn resume(&mut self, who: usize, show: &mut dyn FnMut(f64, String)) {
         if !self.processes[who].running {
             return;
         }
-        shows(self.now, format!("{} goes on", self.processes[who].name));
+        show(self.now, format!("{} goes on", self.processes[who].name));
         let waiting = std::mem::take(&mut self.processes[who].waiting);
         waiting.into_iter().for_each(|bytes| self.deliver(who, bytes));
         self.act(who, |core, now| core.tick(now));
     }
 
-    fn trouble(&mut self, number: usize, shows: &mut dyn FnMut(f64, String)) {
+    fn trouble(&mut self, number: usize, show: &mut dyn FnMut(f64, String)) {
         let trouble = self.plan.troubles[number].1.clone();
-        shows(self.now, format!("{trouble:?}"));
+        show(self.now, format!("{trouble:?}"));
         match trouble {
             Trouble::Kill { who, proof } => self.kill(who, proof),
-            Trouble::Pause { who, lasts } => self.pause(who, lasts, shows),
+            Trouble::Pause { who, lasts } => self.pause(who, lasts, show),
             Trouble::Cut { from, to } => {
                 self.ever_cut = true;
                 self.cuts.push((from.into_iter().collect(), to.into_iter().collect()));
@@ -489,14 +489,14 @@
         let all = self.plan.instances;
         for step in 1..=LINKS.min(all / 2) {
             for at in [(who + step) % all, (who + all - step) % all] {
-                let delay = PROOF * self.chance.random::<f64>();
+                let delay = MAX_PROOF_DELAY_MS * self.chance.random::<f64>();
                 self.put(self.now + delay, Event::Proof { at, of: who, life });
             }
         }
     }
 
     /// Running processes that are not barred.
-    fn partaking(&self) -> Vec<usize> {
+    fn participants(&self) -> Vec<usize> {
         let places = 0..self.processes.len();
         let fits = |place: &usize| {
             let process = &self.processes[*place];
@@ -506,16 +506,16 @@
     }
 
     fn agreed(&self) -> bool {
-        let partaking = self.partaking();
+        let participants = self.participants();
         let sums: BTreeSet<u32> =
-            partaking.iter().map(|place| self.processes[*place].core.view_checksum()).collect();
+            participants.iter().map(|place| self.processes[*place].core.view_checksum()).collect();
         let here =
             |place: &usize| self.processes[*place].core.members().filter(|one| one.is_present()).count() + 1;
-        sums.len() == 1 && partaking.first().is_some_and(|place| here(place) == partaking.len())
+        sums.len() == 1 && participants.first().is_some_and(|place| here(place) == participants.len())
     }
 
     fn look(&mut self) {
-        self.put(self.now + LOOK, Event::Look);
+        self.put(self.now + CHECK_INTERVAL_MS, Event::Look);
         let agreed = self.agreed();
         self.findings.agreed = agreed;
         if agreed && self.findings.joined_after.is_none() {
@@ -534,8 +534,8 @@
     }
 
     /// Runs the simulation to the end.
-    pub fn play(mut self, shows: &mut dyn FnMut(f64, String)) -> (Findings, Self) {
-        while self.step(shows) {}
+    pub fn play(mut self, show: &mut dyn FnMut(f64, String)) -> (Findings, Self) {
+        while self.step(show) {}
         let running: Vec<usize> =
             (0..self.processes.len()).filter(|place| self.processes[*place].running).collect();
         for (at, found) in self.killed.values() {
