--- a/crates/pearfront-emulator/tests/duties.rs
+++ b/crates/pearfront-emulator/tests/duties.rs
@@ -8,7 +8,7 @@
 /// Seeds of each case; `make prove-duties` runs many more.
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=25;
 
-fn kept(plan: &Plan) -> Vec<Findings> {
+fn play_all_seeds(plan: &Plan) -> Vec<Findings> {
     let play = |seed| {
         let found = play(plan, seed);
         assert_eq!(found.log.broken, None, "seed {seed}");
@@ -21,7 +21,7 @@
 #[test_case(5, false; "five voters")]
 #[test_case(3, true; "three voters, one of which may forget at a time")]
 fn one_acts_at_a_time_and_each_history_is_that_of_one_place(voters: usize, disks: bool) {
-    let all = kept(&Plan::storm(voters, 6, disks));
+    let all = play_all_seeds(&Plan::storm(voters, 6, disks));
     let sum = |part: fn(&Findings) -> u64| all.iter().map(part).sum::<u64>();
     assert!(sum(|found| found.granted) > 400 && sum(|found| found.renewed) > 2500);
     assert!(sum(|found| found.acts) > 20_000 && sum(|found| found.calls as u64) > 1500);
@@ -37,7 +37,7 @@
 #[test_case(Only::Deaf, 3500.0; "heard, and deaf")]
 fn the_next_holder_acts_soon(only: Only, most: f64) {
     let mut all: Vec<f64> =
-        kept(&Plan::handover(3, 6, only)).into_iter().flat_map(|found| found.without).collect();
+        play_all_seeds(&Plan::handover(3, 6, only)).into_iter().flat_map(|found| found.without).collect();
     all.sort_by(f64::total_cmp);
     assert!(all.len() >= 8, "{} times", all.len());
     assert!(all[all.len() / 2] <= most, "{all:?}");
@@ -47,7 +47,7 @@
 #[test_case(Fault::CountsFromTheAnswer; "a holder that counts its lease from the answer")]
 #[test_case(Fault::ClockStops; "a holder whose clock stands still with it")]
 #[test_case(Fault::CountsNoLeaseAnew; "a leader that forgets the leases before it")]
-fn the_looks_find_a_driver_with_a_fault(fault: Fault) {
+fn the_checks_find_a_driver_with_a_fault(fault: Fault) {
     let plan = Plan { fault: Some(fault), ..Plan::storm(3, 6, false) };
     assert!((1..=100).any(|seed| play(&plan, seed).log.broken.is_some()));
 }
--- a/crates/pearfront-emulator/tests/exhaustive.rs
+++ b/crates/pearfront-emulator/tests/exhaustive.rs
@@ -18,7 +18,7 @@
 #[test_case(Bounds { led: true, ..BOUNDS }; "a leader, grants, and another election")]
 #[test_case(Bounds { led: true, crashes: 1, ..BOUNDS }; "a crash that loses what was not synced")]
 #[test_case(Bounds { led: true, crashes: 1, forgets: true, ..BOUNDS }; "one that forgets everything is found out")]
-fn nothing_that_must_not_be_can_be(bounds: Bounds) {
+fn no_reachable_state_breaks_an_invariant(bounds: Bounds) {
     let found = check(&bounds);
     assert_eq!(found.broken, None);
     assert!(found.depth >= 3 && found.states >= 1000, "{found:?}");
@@ -26,7 +26,7 @@
 
 // Three voters whose disks all lost synced data begin the same term again; the check has to find that.
 #[test]
-fn voters_that_all_forgot_are_found_to_break_it() {
+fn voters_that_all_lost_their_data_are_found_to_break_an_invariant() {
     let found = check(&Bounds { led: true, all_forgot: true, proposals: 0, ..BOUNDS });
     let (what, steps) = found.broken.expect("found");
     assert!(what.starts_with("two leaders in term 1") && steps.len() >= 5, "{what}: {steps:?}");
--- a/crates/pearfront-emulator/tests/membership.rs
+++ b/crates/pearfront-emulator/tests/membership.rs
@@ -14,7 +14,7 @@
     Plan { instances, length, weather: Weather::CALM, links: false, times, troubles }
 }
 
-fn shown(plan: Plan, seed: u64) -> (Findings, World) {
+fn play_unbroken(plan: Plan, seed: u64) -> (Findings, World) {
     let (found, world) = World::new(plan, seed).play(&mut |_, _| {});
     assert_eq!(found.broken, None, "seed {seed}");
     (found, world)
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn in_a_storm_nobody_who_runs_is_held_to_be_gone_and_all_the_killed_are_found() {
+fn under_bad_conditions_no_running_process_is_reported_gone_and_all_kills_are_detected() {
     for seed in SEEDS {
         let found = play(Plan::storm(10, seed), seed);
         assert_eq!((found.broken, found.not_found), (None, 0), "seed {seed}");
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn the_looks_find_a_core_that_buries_after_a_moment() {
+fn the_checks_find_a_core_with_too_short_a_suspicion_time() {
     let mut plan = Plan::storm(10, 1);
     plan.times = Times { suspicion: 20.0, ..Times::default() };
     plan.weather = Weather { delay: (0.1, 0.5), loss: 0.0, ..plan.weather };
@@ -51,7 +51,7 @@
 #[test_case(16)]
 fn a_killed_process_is_found_by_all_in_the_stated_time(instances: usize) {
     for seed in SEEDS {
-        let (found, _) = shown(plan(instances, 30.0, vec![(10.0, kill(instances - 1))]), seed);
+        let (found, _) = play_unbroken(plan(instances, 30.0, vec![(10.0, kill(instances - 1))]), seed);
         let (first, _, last) = found.found[0];
         assert!(first > Times::default().suspicion && last < 6000.0, "seed {seed}: {:?}", found.found);
     }
@@ -65,7 +65,7 @@
 fn where_the_kernel_gives_proof_it_is_known_at_once() {
     let mut plan = plan(16, 20.0, vec![(10.0, Trouble::Kill { who: 9, proof: true })]);
     plan.links = true;
-    let (found, world) = shown(plan, 1);
+    let (found, world) = play_unbroken(plan, 1);
     assert!(found.found[0].2 < 1000.0, "{:?}", found.found);
     assert_eq!(standing(world.core(0), "n9"), Some(Status::Ended));
 }
@@ -75,7 +75,7 @@
 fn a_link_that_is_cut_one_way_costs_nobody_its_place() {
     for seed in SEEDS {
         let cut = Trouble::Cut { from: vec![0], to: vec![1] };
-        let (found, _) = shown(plan(5, 40.0, vec![(10.0, cut), (30.0, Trouble::Heal)]), seed);
+        let (found, _) = play_unbroken(plan(5, 40.0, vec![(10.0, cut), (30.0, Trouble::Heal)]), seed);
         assert_eq!(found.deaths_in_cuts, 0, "seed {seed}");
         assert!(found.agreed);
     }
@@ -87,7 +87,7 @@
         let cut = |place: usize| (10.0, Trouble::Cut { from: vec![place], to: vec![(place + 1) % 6] });
         let mut troubles: Vec<_> = (0..6).map(cut).collect();
         troubles.push((30.0, Trouble::Heal));
-        let (found, _) = shown(plan(6, 40.0, troubles), seed);
+        let (found, _) = play_unbroken(plan(6, 40.0, troubles), seed);
         assert_eq!(found.deaths_in_cuts, 0, "seed {seed}");
         assert!(found.agreed);
     }
@@ -96,7 +96,7 @@
 // A member that receives nothing while its own messages arrive must doubt its own view and not make others report the rest
 // as gone.
 #[test]
-fn one_that_hears_nobody_buries_nobody_for_the_others() {
+fn a_member_that_receives_nothing_makes_nobody_gone_for_others() {
     for seed in SEEDS {
         let cut = Trouble::Cut { from: all_but(5, 2), to: vec![2] };
         let mut world = World::new(plan(5, 40.0, vec![(10.0, cut), (30.0, Trouble::Heal)]), seed);
@@ -129,7 +129,7 @@
         troubles.extend([(15.0, kill(3)), (16.0, kill(12))]);
         troubles.push((22.0, Trouble::Start { who: 12, kept: true, moved: false }));
         troubles.push((30.0, Trouble::Heal));
-        let (found, _) = shown(plan(16, 60.0, troubles), seed);
+        let (found, _) = play_unbroken(plan(16, 60.0, troubles), seed);
         assert!(found.deaths_in_cuts > 0);
         let after = found.agreed_after.unwrap_or(f64::INFINITY);
         assert!(after < 10_000.0, "seed {seed}: agreed after {after}");
@@ -164,7 +164,7 @@
 fn a_name_that_comes_back_is_the_same_member_under_a_higher_incarnation() {
     for (kept, moved) in [(true, false), (false, false), (true, true), (false, true)] {
         let start = Trouble::Start { who: 3, kept, moved };
-        let (found, world) = shown(plan(5, 60.0, vec![(10.0, kill(3)), (20.0, start)]), 1);
+        let (found, world) = play_unbroken(plan(5, 60.0, vec![(10.0, kill(3)), (20.0, start)]), 1);
         let card = &world.core(0).member("n3").expect("known").card;
         assert_eq!(world.core(3).me(), card, "kept {kept}, moved {moved}");
         assert!(card.incarnation > 1 && found.agreed);
@@ -175,7 +175,7 @@
 #[test]
 fn a_name_at_a_new_address_is_taken_in_once_its_holder_is_known_to_be_gone() {
     let start = Trouble::Start { who: 3, kept: false, moved: true };
-    let (found, world) = shown(plan(5, 60.0, vec![(10.0, kill(3)), (10.1, start)]), 1);
+    let (found, world) = play_unbroken(plan(5, 60.0, vec![(10.0, kill(3)), (10.1, start)]), 1);
     assert_eq!(world.core(3).state(), &State::Member);
     assert!(found.agreed);
 }
@@ -202,7 +202,8 @@
 fn one_whose_name_was_given_away_while_it_stood_still_takes_no_part() {
     for seed in SEEDS {
         let pause = Trouble::Pause { who: 3, lasts: 20_000.0 };
-        let (_, world) = shown(plan(5, 60.0, vec![(10.0, pause), (12.0, Trouble::Double { of: 3 })]), seed);
+        let (_, world) =
+            play_unbroken(plan(5, 60.0, vec![(10.0, pause), (12.0, Trouble::Double { of: 3 })]), seed);
         assert_eq!(world.core(5).state(), &State::Member, "seed {seed}");
         assert!(matches!(world.core(3).state(), State::Barred { .. }), "seed {seed}");
         assert_eq!(world.core(0).member("n3").expect("known").card, *world.core(5).me());
@@ -213,16 +214,16 @@
 fn seeds_that_are_down_at_the_start_only_make_it_later() {
     let start = |who| Trouble::Start { who, kept: false, moved: false };
     let one = vec![(0.0, kill(0)), (15.0, start(0))];
-    let (found, _) = shown(plan(5, 30.0, one), 1);
+    let (found, _) = play_unbroken(plan(5, 30.0, one), 1);
     assert!(found.agreed, "one seed down");
     let all = vec![(0.0, kill(0)), (0.0, kill(1)), (20.0, start(0)), (25.0, start(1))];
-    let (found, _) = shown(plan(5, 40.0, all), 1);
+    let (found, _) = play_unbroken(plan(5, 40.0, all), 1);
     assert!(found.agreed, "all seeds down");
 }
 
 #[test]
-fn one_that_says_goodbye_is_gone_at_once_and_not_suspected() {
-    let (found, world) = shown(plan(8, 15.0, vec![(10.0, Trouble::Leave { who: 5 })]), 1);
+fn a_member_that_leaves_is_gone_at_once_and_not_suspected() {
+    let (found, world) = play_unbroken(plan(8, 15.0, vec![(10.0, Trouble::Leave { who: 5 })]), 1);
     assert_eq!(standing(world.core(0), "n5"), Some(Status::Left));
     assert!(found.suspicions == 0 && found.agreed_after.is_some_and(|after| after < 1000.0), "{found:?}");
 }
@@ -230,12 +231,12 @@
 #[test]
 fn a_third_killed_at_once_is_found_and_nobody_else_is_lost() {
     let troubles = (10..15).map(|who| (10.0, kill(who))).collect();
-    let (found, _) = shown(plan(15, 30.0, troubles), 1);
+    let (found, _) = play_unbroken(plan(15, 30.0, troubles), 1);
     assert_eq!((found.found.len(), found.false_deaths, found.agreed), (5, 0, true));
 }
 
 #[test]
-fn one_seed_gives_one_play() {
+fn one_seed_gives_one_run() {
     let one = |seed| format!("{:?}", play(Plan::storm(8, seed), seed));
     assert_eq!(one(3), one(3));
     assert_ne!(one(3), one(4));
@@ -244,14 +245,14 @@
 // Processes that start at the same instant can join one another in separate pairs, and no member contacts a process that it
 // does not know, unless seeds are asked again. Four node processes started at once stayed two pairs for good.
 #[test]
-fn islands_that_were_joined_apart_find_one_another() {
+fn groups_that_joined_separately_find_one_another() {
     let (here, there) = (vec![0, 2], vec![1, 3]);
     let cut = |from: &Vec<usize>, to: &Vec<usize>| (2.0, Trouble::Cut { from: from.clone(), to: to.clone() });
     for seed in SEEDS {
         let mut troubles: Vec<_> = (0..4).map(|who| (1.0, kill(who))).collect();
         troubles.extend([cut(&here, &there), cut(&there, &here), (8.0, Trouble::Heal)]);
         troubles.extend((0..4).map(|who| (3.0, Trouble::Start { who, kept: false, moved: false })));
-        let (found, world) = shown(plan(4, 30.0, troubles), seed);
+        let (found, world) = play_unbroken(plan(4, 30.0, troubles), seed);
         assert_eq!(found.false_deaths, 0);
         for place in 0..4 {
             let here = world.core(place).members().filter(|member| member.is_present()).count();
