--- a/crates/pearfront-emulator/src/cores/consensus.rs
+++ b/crates/pearfront-emulator/src/cores/consensus.rs
@@ -1,6 +1,6 @@
-//! The replicated log by seed: 3 or 5 voters, each on a disk of its own that can lose, lie, stall and be an older one; a
-//! network that delays, loses, doubles and cuts; voters that are killed and stand still. What must always hold is looked at
-//! after every step.
+//! Seeded simulation of the replicated log: 3 or 5 voters, each with a simulated disk that can lose data, report false
+//! syncs, stall or come back in an older state; a network that delays, loses, duplicates and cuts; voters that are killed
+//! or paused. Invariants are checked after every step. Used by `pearfront prove consensus` and the tests.
 
 use super::duties::{Happens, Upper};
 use crate::event_queue::EventQueue;
@@ -14,49 +14,49 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Applied entries after which a voter takes a snapshot, and bytes of the store's log after which that begins anew.
+/// Applied entries after which a voter takes a snapshot, and bytes of the store's log after which it is compacted.
 const SNAPSHOT: u64 = 40;
 const LOG_BYTES: usize = 64 * 1024;
-/// Time between two proposals, and between two reads, ms.
+/// Interval between two proposals, and between two reads, ms.
 const PROPOSE: f64 = 20.0;
 const READ: f64 = 50.0;
-/// A sync in good times, and on a disk that stalls, ms.
+/// Duration range of a sync, ms, and duration on a stalled disk, ms.
 const SYNC: (f64, f64) = (0.2, 3.0);
 const STALLED: f64 = 5000.0;
-/// Time between two looks at who leads, ms.
+/// Interval at which the leader is checked, ms.
 const LOOK: f64 = 5.0;
-/// A clock that was reckoned back and forth shows that a time has come only so much later, ms.
+/// Rounding tolerance, ms: a time converted to a node's clock and back may be this much late.
 pub(super) const ROUNDING: f64 = 1e-6;
-/// Quiet at the end, ms, in which a leader must be there and all be alike.
+/// Period without faults at the end, ms, after which there must be one leader and all voters must be up to date.
 pub const QUIET: f64 = 8000.0;
-/// How soon a kernel tells the others that a process has ended, ms.
+/// Delay until the kernels notify the others that a process has ended, ms.
 const PROOF: (f64, f64) = (1.0, 100.0);
 
 #[derive(Debug, Clone)]
 pub struct Plan {
     pub voters: usize,
-    /// How long, ms, with troubles up to `QUIET` before the end.
+    /// Length of the run, ms; faults are injected up to `QUIET` before the end.
     pub length: f64,
-    /// Mean time between two troubles, ms; none if 0.
+    /// Mean time between two faults, ms; no faults if 0.
     pub every: f64,
     pub loss: f64,
     pub delay: (f64, f64),
-    /// Do disks lose what they said was synced, and come back older or empty, one at a time?
+    /// Whether disks lose data that they reported as synced and come back older or empty, one at a time.
     pub disks: bool,
-    /// Do kernels tell the others that a voter was killed?
+    /// Whether kernels notify the others that a voter was killed.
     pub proofs: bool,
-    /// A broken voter, to check the looks.
+    /// A faulty driver, to check that the invariant checks find it.
     pub fault: Option<Faulty>,
 }
 
-/// A driver with one fault.
+/// A driver with one deliberate fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Faulty {
-    /// Says that records are stored before they are.
+    /// Reports records as stored before they are synced.
     TellsStoredAtOnce,
-    /// All disks say that they have synced and have not: more than one forgets at a time.
+    /// All disks report syncs that did not happen: several voters lose data at a time.
     AllDisksLie,
-    /// A new leader holds all leases to be over that were granted before it.
+    /// A new leader regards all leases granted before its term as expired.
     CountsNoLeaseAnew,
 }
 
@@ -83,15 +83,15 @@
     pub reads: u64,
     pub terms: u64,
     pub snapshots_sent: u64,
-    /// Times without a leader that a majority follows, ms, and of each the part in which a majority was able to have one:
-    /// up, not standing still, disks not stalled, heard by one another.
+    /// Periods without a leader that a majority follows, ms; and the part of each in which a majority could have had one:
+    /// running, not paused, disks not stalled, connected to one another.
     pub leaderless: Vec<f64>,
     pub able: Vec<f64>,
     pub forgot: u64,
 }
 
 pub(super) enum Event {
-    Deliver { to: usize, came: Came },
+    Deliver { to: usize, message: Received },
     Wake { who: usize, life: u64, due: f64 },
     Stored { who: usize, life: u64, number: u64 },
     Propose,
@@ -106,7 +106,7 @@
     Above(Happens),
 }
 
-/// What a voter starts again with.
+/// Disk with which a voter restarts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Disk {
     Own,
@@ -114,68 +114,68 @@
     Empty,
 }
 
-pub(super) struct Seat {
+pub(super) struct Node {
     pub(super) name: String,
     pub(super) voter: Option<Voter>,
-    /// What is decided on the log, and the leader's side of it.
+    /// State machine applied from the log, and the leader's lease handling.
     pub(super) duties: Duties,
-    pub(super) desk: LeaseManager,
-    /// How fast its clock runs.
+    pub(super) lease_manager: LeaseManager,
+    /// Clock rate.
     pub(super) rate: f64,
     store: Option<Store<SimDisk>>,
-    /// Its disk while it is down.
+    /// The disk while the voter is down.
     disk: Option<SimDisk>,
     older: Option<SimDisk>,
     life: u64,
-    /// Stands still until then; what came meanwhile.
+    /// End of the current pause, and the messages that arrived during it.
     pub(super) until: f64,
-    waiting: Vec<Came>,
+    waiting: Vec<Received>,
     woken: f64,
-    /// The disk is busy until then.
+    /// Time until which the disk is busy.
     busy: f64,
     sync: (f64, f64),
-    /// What it applied: up to which index, and a sum over all.
+    /// Last applied index and a checksum over all applied entries.
     applied: (u64, u32),
     snapshot_at: u64,
-    /// It came back with less than it had, and has not caught up since.
+    /// It restarted with lost data and has not caught up since.
     forgot: bool,
 }
 
-/// A message of another voter, or of one that wants duties.
-pub(super) enum Came {
+/// A message from another voter, or from a process that requests duties.
+pub(super) enum Received {
     Log(Vec<u8>),
-    Ask(Vec<u8>),
+    LeaseRequest(Vec<u8>),
 }
 
 pub struct World {
     pub(super) plan: Plan,
-    pub(super) seats: Vec<Seat>,
+    pub(super) nodes: Vec<Node>,
     events: EventQueue<Event>,
-    /// Cuts so far, which number them.
+    /// Number of cuts so far; identifies each cut.
     cut: u64,
     pub(super) chance: ChaCha8Rng,
     pub(super) now: f64,
     pub(super) cuts: Vec<(u64, BTreeSet<usize>, BTreeSet<usize>)>,
     leaders: BTreeMap<u64, usize>,
-    /// By index: the term of what is committed there, and the sum over everything up to it.
+    /// By index: term of the committed entry, and checksum over all entries up to it.
     committed: BTreeMap<u64, (u64, u32)>,
-    /// Reads that wait: what was committed when each was asked.
+    /// Pending reads, with the commit index at the time of each request.
     asked: BTreeMap<u64, u64>,
     numbers: u64,
     without: Option<f64>,
     pub(super) findings: Findings,
     able_since: f64,
-    /// Those who want duties, where the play is about them.
+    /// Processes that request duties, in simulations of duties.
     pub(super) upper: Option<Upper>,
 }
 
 impl World {
     pub fn new(plan: Plan, seed: u64) -> Self {
-        let seat = |place: usize| Seat {
+        let node = |place: usize| Node {
             name: format!("v{place}"),
             voter: None,
             duties: Duties::default(),
-            desk: LeaseManager::new("", pearfront_duties::Times::default()),
+            lease_manager: LeaseManager::new("", pearfront_duties::Times::default()),
             rate: 1.0,
             store: None,
             disk: Some(SimDisk::new(seed ^ (place as u64) << 32)),
@@ -191,7 +191,7 @@
             forgot: false,
         };
         let mut world = Self {
-            seats: (0..plan.voters).map(seat).collect(),
+            nodes: (0..plan.voters).map(node).collect(),
             events: EventQueue::default(),
             cut: 0,
             chance: ChaCha8Rng::seed_from_u64(seed),
@@ -234,24 +234,24 @@
     // ---- voters ----
 
     fn start(&mut self, who: usize, with: Disk) {
-        let names: Vec<String> = self.seats.iter().map(|seat| seat.name.clone()).collect();
+        let names: Vec<String> = self.nodes.iter().map(|node| node.name.clone()).collect();
         let (now, seed) = (self.now, self.chance.random());
-        let seat = &mut self.seats[who];
-        let Some(own) = seat.disk.take() else { return };
+        let node = &mut self.nodes[who];
+        let Some(own) = node.disk.take() else { return };
         let disk = match with {
             Disk::Own => own,
-            Disk::Older => seat.older.clone().unwrap_or(own),
+            Disk::Older => node.older.clone().unwrap_or(own),
             Disk::Empty => SimDisk::new(seed),
         };
         if with != Disk::Own {
-            seat.forgot = true;
+            node.forgot = true;
             self.findings.forgot += 1;
         }
         let (mut store, recovered) = match Store::open(disk) {
             Ok(opened) => opened,
-            // It is told by file and place, and operators give it an empty folder.
+            // The voter reports the damaged file and offset, and operators give it an empty folder.
             Err(StoreError::Damaged { .. }) => {
-                seat.disk = Some(SimDisk::new(seed));
+                node.disk = Some(SimDisk::new(seed));
                 return self.put(now + 500.0, Event::Start { who, with: Disk::Empty });
             }
             Err(error) => return self.broken(format!("{names:?} {who}: {error}")),
@@ -262,30 +262,30 @@
         if self.plan.fault == Some(Faulty::AllDisksLie) {
             store.disk().inject(Fault::SyncIgnored);
         }
-        seat.life += 1;
-        seat.store = Some(store);
-        seat.applied = (0, 0);
-        seat.snapshot_at = 0;
-        seat.busy = now;
-        seat.woken = f64::INFINITY;
-        seat.until = 0.0;
-        let own = now * seat.rate;
-        seat.duties = Duties::default();
-        seat.desk =
+        node.life += 1;
+        node.store = Some(store);
+        node.applied = (0, 0);
+        node.snapshot_at = 0;
+        node.busy = now;
+        node.woken = f64::INFINITY;
+        node.until = 0.0;
+        let own = now * node.rate;
+        node.duties = Duties::default();
+        node.lease_manager =
             LeaseManager::new(&names[who], self.upper.as_ref().map(|upper| upper.times).unwrap_or_default());
-        seat.voter = Some(Voter::new(&names[who], &names, kept, Times::default(), seed, own));
+        node.voter = Some(Voter::new(&names[who], &names, kept, Times::default(), seed, own));
         self.act(who, |voter, now| voter.tick(now));
     }
 
     pub(super) fn kill(&mut self, who: usize) {
-        let seat = &mut self.seats[who];
-        let (Some(_), Some(mut store)) = (seat.voter.take(), seat.store.take()) else { return };
+        let node = &mut self.nodes[who];
+        let (Some(_), Some(mut store)) = (node.voter.take(), node.store.take()) else { return };
         let mut disk = store.disk().clone();
         disk.crash();
         disk.clear_faults();
-        seat.disk = Some(disk);
-        seat.waiting.clear();
-        seat.sync = SYNC;
+        node.disk = Some(disk);
+        node.waiting.clear();
+        node.sync = SYNC;
         if self.plan.proofs {
             let (least, most) = PROOF;
             let at = self.now + least + (most - least) * self.chance.random::<f64>();
@@ -293,79 +293,79 @@
         }
     }
 
-    /// A kernel tells those that run that a voter has ended; one that is up again is another by then.
+    /// Kernels notify the running voters that a voter has ended; if it restarted meanwhile, that is another run.
     fn proof(&mut self, of: usize) {
-        let name = self.seats[of].name.clone();
-        for who in (0..self.seats.len()).filter(|who| *who != of) {
-            if self.seats[who].until <= self.now && self.seats[of].voter.is_none() {
+        let name = self.nodes[of].name.clone();
+        for who in (0..self.nodes.len()).filter(|who| *who != of) {
+            if self.nodes[who].until <= self.now && self.nodes[of].voter.is_none() {
                 self.act(who, |voter, now| voter.process_ended(&name, now));
             }
         }
     }
 
-    /// What its own clock shows.
+    /// Time on the voter's own clock.
     pub(super) fn own_now(&self, who: usize) -> f64 {
-        self.now * self.seats[who].rate
+        self.now * self.nodes[who].rate
     }
 
     pub(super) fn act(&mut self, who: usize, call: impl FnOnce(&mut Voter, f64)) {
         let now = self.own_now(who);
-        let Some(voter) = &mut self.seats[who].voter else { return };
+        let Some(voter) = &mut self.nodes[who].voter else { return };
         call(voter, now);
         self.done(who);
         self.settle(who);
         self.look_at(who);
     }
 
-    /// Does what the voter wants done.
+    /// Carries out the voter's actions.
     fn done(&mut self, who: usize) {
-        let out = self.seats[who].voter.as_mut().map(Voter::take_actions).unwrap_or_default();
+        let out = self.nodes[who].voter.as_mut().map(Voter::take_actions).unwrap_or_default();
         for out in out {
-            if self.seats[who].voter.is_some() {
+            if self.nodes[who].voter.is_some() {
                 self.carry(who, out);
             }
         }
     }
 
-    /// Does what the leader's side wants done, until it wants nothing more.
+    /// Carries out the actions of the leader's lease handling until there are none left.
     pub(super) fn settle(&mut self, who: usize) {
         let now = self.own_now(who);
         let hasty = self.plan.fault == Some(Faulty::CountsNoLeaseAnew);
         loop {
-            let seat = &mut self.seats[who];
-            let Some(voter) = &mut seat.voter else { return };
+            let node = &mut self.nodes[who];
+            let Some(voter) = &mut node.voter else { return };
             let term = voter.has_committed_in_term().then(|| voter.term());
-            // Long ago: every lease that was granted before is over.
+            // Far in the past, so that every lease granted before counts as expired.
             let since = if hasty { now - 1e9 } else { now };
-            seat.desk.set_leadership(term, &seat.duties, since);
-            let out = seat.desk.take_actions();
+            node.lease_manager.set_leadership(term, &node.duties, since);
+            let out = node.lease_manager.take_actions();
             if out.is_empty() {
                 return;
             }
             for out in out {
-                let Some(voter) = &mut self.seats[who].voter else { return };
+                let Some(voter) = &mut self.nodes[who].voter else { return };
                 match out {
                     ManagerAction::Propose(bytes) => drop(voter.propose(bytes, now)),
                     ManagerAction::Read(read) => voter.request_read(read, now),
-                    ManagerAction::Respond(told) => self.tell(who, &told),
+                    ManagerAction::Respond(response) => self.send_response(who, &response),
                 }
             }
             self.done(who);
         }
     }
 
-    /// What must hold of it now, and when it is to be woken.
+    /// Checks the invariants of a voter and schedules its next wake-up.
     fn look_at(&mut self, who: usize) {
-        let seat = &mut self.seats[who];
-        let Some(voter) = &mut seat.voter else { return };
+        let node = &mut self.nodes[who];
+        let Some(voter) = &mut node.voter else { return };
         let (role, term) = (voter.role(), voter.term());
-        if seat.forgot && voter.may_stand() && voter.commit_index() > 0 {
-            seat.forgot = false;
+        if node.forgot && voter.may_stand() && voter.commit_index() > 0 {
+            node.forgot = false;
         }
-        let due = (voter.due().min(seat.desk.due()) / seat.rate).max(self.now) + ROUNDING;
-        let life = seat.life;
-        if due < seat.woken {
-            seat.woken = due;
+        let due = (voter.due().min(node.lease_manager.due()) / node.rate).max(self.now) + ROUNDING;
+        let life = node.life;
+        if due < node.woken {
+            node.woken = due;
             self.put(due, Event::Wake { who, life, due });
         }
         if role == Role::Leader {
@@ -383,16 +383,16 @@
             Action::Commit(entry) => self.commit(who, &entry),
             Action::Restore { index, bytes } => {
                 let sum = bytes.first_chunk::<4>().map_or(0, |bytes| u32::from_le_bytes(*bytes));
-                self.seats[who].applied = (index, sum);
-                self.seats[who].snapshot_at = index;
+                self.nodes[who].applied = (index, sum);
+                self.nodes[who].snapshot_at = index;
                 if self.committed.get(&index).is_some_and(|(_, known)| *known != sum)
                     || self.committed.len() < index as usize
                 {
                     self.broken(format!("v{who} restores {index} as something else"));
                 }
-                let (now, seat) = (self.own_now(who), &mut self.seats[who]);
-                seat.duties = bytes.get(4..).and_then(Duties::decode).unwrap_or_default();
-                seat.desk.restored(&seat.duties, now);
+                let (now, node) = (self.own_now(who), &mut self.nodes[who]);
+                node.duties = bytes.get(4..).and_then(Duties::decode).unwrap_or_default();
+                node.lease_manager.restored(&node.duties, now);
             }
             Action::ReadReady { read_id: read, .. } if self.upper.is_some() => self.read(who, read, true),
             Action::ReadFailed { read_id: read } if self.upper.is_some() => self.read(who, read, false),
@@ -408,12 +408,12 @@
 
     fn read(&mut self, who: usize, read: u64, may: bool) {
         self.findings.reads += 1;
-        let (now, seat) = (self.own_now(who), &mut self.seats[who]);
-        seat.desk.read_result(read, may, &seat.duties, now);
+        let (now, node) = (self.own_now(who), &mut self.nodes[who]);
+        node.lease_manager.read_result(read, may, &node.duties, now);
     }
 
-    /// Its disk failed: it stops being a voter, as it has to, and is started again later.
-    fn dies(&mut self, who: usize) {
+    /// Its disk failed: it has to stop being a voter, and is restarted later.
+    fn disk_failed(&mut self, who: usize) {
         self.kill(who);
         self.put(self.now + 500.0, Event::Start { who, with: Disk::Own });
     }
@@ -422,40 +422,40 @@
         let encoded: Vec<Vec<u8>> = records.iter().map(Record::encode).collect();
         let encoded: Vec<&[u8]> = encoded.iter().map(Vec::as_slice).collect();
         let took = {
-            let seat = &mut self.seats[who];
-            let (least, most) = seat.sync;
+            let node = &mut self.nodes[who];
+            let (least, most) = node.sync;
             let sync = least + (most - least) * self.chance.random::<f64>();
-            // One sync takes along all that was written before it.
-            seat.busy = seat.busy.max(self.now + sync);
-            seat.store.as_mut().map(|store| store.append(&encoded))
+            // A sync covers everything written before it.
+            node.busy = node.busy.max(self.now + sync);
+            node.store.as_mut().map(|store| store.append(&encoded))
         };
         match took {
             Some(Ok(_)) => {}
-            _ => return self.dies(who),
+            _ => return self.disk_failed(who),
         }
-        let (at, life) = (self.seats[who].busy, self.seats[who].life);
+        let (at, life) = (self.nodes[who].busy, self.nodes[who].life);
         let at = if self.plan.fault == Some(Faulty::TellsStoredAtOnce) { self.now } else { at };
         self.put(at, Event::Stored { who, life, number });
     }
 
     fn stored(&mut self, who: usize, number: u64) {
-        let told_at_once = self.plan.fault == Some(Faulty::TellsStoredAtOnce);
-        let seat = &mut self.seats[who];
-        let Some(store) = &mut seat.store else { return };
-        if !told_at_once && store.sync().is_err() {
-            return self.dies(who);
+        let reported_at_once = self.plan.fault == Some(Faulty::TellsStoredAtOnce);
+        let node = &mut self.nodes[who];
+        let Some(store) = &mut node.store else { return };
+        if !reported_at_once && store.sync().is_err() {
+            return self.disk_failed(who);
         }
-        if !told_at_once && store.log_bytes() > LOG_BYTES {
+        if !reported_at_once && store.log_bytes() > LOG_BYTES {
             compact(store);
         }
         self.act(who, |voter, now| voter.on_stored(number, now));
     }
 
     fn commit(&mut self, who: usize, entry: &Entry) {
-        let seat = &mut self.seats[who];
-        let sum = crc32c::crc32c_append(seat.applied.1, &entry.bytes);
-        let follows = entry.index == seat.applied.0 + 1;
-        seat.applied = (entry.index, sum);
+        let node = &mut self.nodes[who];
+        let sum = crc32c::crc32c_append(node.applied.1, &entry.bytes);
+        let follows = entry.index == node.applied.0 + 1;
+        node.applied = (entry.index, sum);
         if !follows {
             return self.broken(format!("v{who} applies {} out of turn", entry.index));
         }
@@ -463,15 +463,15 @@
         if known != (entry.term, sum) {
             return self.broken(format!("v{who} commits another entry at {}", entry.index));
         }
-        let (now, seat) = (self.own_now(who), &mut self.seats[who]);
-        let changes = seat.duties.apply(&entry.bytes);
-        seat.desk.applied(changes.clone(), &seat.duties, now);
-        if entry.index >= seat.snapshot_at + SNAPSHOT {
-            seat.snapshot_at = entry.index;
-            if let Some(voter) = &mut seat.voter {
-                // Longer than a piece, so that it goes in several.
+        let (now, node) = (self.own_now(who), &mut self.nodes[who]);
+        let changes = node.duties.apply(&entry.bytes);
+        node.lease_manager.applied(changes.clone(), &node.duties, now);
+        if entry.index >= node.snapshot_at + SNAPSHOT {
+            node.snapshot_at = entry.index;
+            if let Some(voter) = &mut node.voter {
+                // Larger than one snapshot chunk, so that it is sent in several.
                 let mut bytes = sum.to_le_bytes().to_vec();
-                bytes.extend(seat.duties.encode());
+                bytes.extend(node.duties.encode());
                 bytes.resize(100_000, 7);
                 voter.compact(entry.index, bytes);
             }
@@ -480,9 +480,9 @@
     }
 
     fn send(&mut self, from: usize, message: &Message) {
-        let Some(to) = self.seats.iter().position(|seat| seat.name == message.to) else { return };
+        let Some(to) = self.nodes.iter().position(|node| node.name == message.to) else { return };
         for at in self.arrivals(from, to) {
-            self.put(at, Event::Deliver { to, came: Came::Log(message.encode()) });
+            self.put(at, Event::Deliver { to, message: Received::Log(message.encode()) });
         }
     }
 
@@ -490,7 +490,7 @@
         self.cuts.iter().any(|(_, froms, tos)| froms.contains(&from) && tos.contains(&to))
     }
 
-    /// When a message arrives: not at all, once or twice.
+    /// Arrival times of a message: none, one or two.
     pub(super) fn arrivals(&mut self, from: usize, to: usize) -> Vec<f64> {
         let loss = if self.quiet() { 0.0 } else { self.plan.loss };
         if self.is_cut(from, to) || self.chance.random::<f64>() < loss {
@@ -509,18 +509,18 @@
         };
         self.now = at;
         match event {
-            Event::Deliver { to, came } => self.deliver(to, came),
+            Event::Deliver { to, message } => self.deliver(to, message),
             Event::Wake { who, life, due } => {
-                let seat = &mut self.seats[who];
-                if seat.woken == due && seat.life == life {
-                    seat.woken = f64::INFINITY;
+                let node = &mut self.nodes[who];
+                if node.woken == due && node.life == life {
+                    node.woken = f64::INFINITY;
                 }
-                if seat.life == life && seat.until <= at {
+                if node.life == life && node.until <= at {
                     self.tick(who);
                 }
             }
             Event::Stored { who, life, number } => {
-                if self.seats[who].life == life {
+                if self.nodes[who].life == life {
                     self.stored(who, number);
                 }
             }
@@ -536,7 +536,7 @@
             Event::Start { who, with } => self.start(who, with),
             Event::Resume { who } => self.resume(who),
             Event::Heal(number) => self.cuts.retain(|(one, ..)| *one != number),
-            Event::Mend { who } => self.seats[who].sync = SYNC,
+            Event::Mend { who } => self.nodes[who].sync = SYNC,
             Event::Look => self.look(),
             Event::Proof { of } => self.proof(of),
             Event::Above(what) => self.happens(what),
@@ -545,39 +545,39 @@
         self.findings.broken.is_none()
     }
 
-    fn deliver(&mut self, to: usize, came: Came) {
-        if self.seats[to].until > self.now {
-            return self.seats[to].waiting.push(came);
+    fn deliver(&mut self, to: usize, message: Received) {
+        if self.nodes[to].until > self.now {
+            return self.nodes[to].waiting.push(message);
         }
-        match came {
-            Came::Log(bytes) => {
+        match message {
+            Received::Log(bytes) => {
                 if let Some(message) = decode(&bytes) {
                     self.act(to, |voter, now| voter.receive(message, now));
                 }
             }
-            Came::Ask(bytes) => self.asked(to, &bytes),
+            Received::LeaseRequest(bytes) => self.asked(to, &bytes),
         }
     }
 
     pub(super) fn resume(&mut self, who: usize) {
-        let waiting = std::mem::take(&mut self.seats[who].waiting);
-        waiting.into_iter().for_each(|came| self.deliver(who, came));
+        let waiting = std::mem::take(&mut self.nodes[who].waiting);
+        waiting.into_iter().for_each(|message| self.deliver(who, message));
         self.tick(who);
     }
 
     fn tick(&mut self, who: usize) {
-        let (now, seat) = (self.own_now(who), &mut self.seats[who]);
-        if seat.voter.is_some() {
-            seat.desk.tick(&seat.duties, now);
+        let (now, node) = (self.own_now(who), &mut self.nodes[who]);
+        if node.voter.is_some() {
+            node.lease_manager.tick(&node.duties, now);
         }
         self.act(who, |voter, now| voter.tick(now));
     }
 
-    /// To whoever takes itself for the leader, and there may be two.
+    /// Voters that regard themselves as leader; there may be two.
     pub(super) fn leading(&self) -> Vec<usize> {
-        let leads = |seat: &Seat| seat.voter.as_ref().is_some_and(|voter| voter.role() == Role::Leader);
-        (0..self.seats.len())
-            .filter(|who| leads(&self.seats[*who]) && self.seats[*who].until <= self.now)
+        let leads = |node: &Node| node.voter.as_ref().is_some_and(|voter| voter.role() == Role::Leader);
+        (0..self.nodes.len())
+            .filter(|who| leads(&self.nodes[*who]) && self.nodes[*who].until <= self.now)
             .collect()
     }
 
@@ -613,18 +613,18 @@
         }
         let next = self.now - self.plan.every * (1.0 - self.chance.random::<f64>()).ln();
         self.put(next, Event::Trouble);
-        // Of what one has forgotten somebody else has to know: with three voters a second fault is one too many.
-        if self.seats.iter().any(|seat| seat.forgot) {
+        // Data that one voter lost must still be known to another: with three voters a second fault is one too many.
+        if self.nodes.iter().any(|node| node.forgot) {
             return;
         }
         if self.trouble_above() {
             return;
         }
-        // Leaders have more of it than others.
+        // Leaders are hit more often than other voters.
         let leader = self.leading().first().copied().filter(|_| self.chance.random::<bool>());
-        let who = leader.unwrap_or_else(|| self.chance.random_range(0..self.seats.len()));
+        let who = leader.unwrap_or_else(|| self.chance.random_range(0..self.nodes.len()));
         let lasts = 100.0 + 2500.0 * self.chance.random::<f64>();
-        // Troubles end before the quiet.
+        // Faults end before the period without faults.
         let until = (self.now + lasts).min(self.plan.length - QUIET);
         match self.chance.random_range(0..10) {
             0..=2 => {
@@ -634,26 +634,26 @@
             3 if self.plan.disks && self.all_well() => {
                 let with = if self.chance.random::<bool>() { Disk::Empty } else { Disk::Older };
                 self.kill(who);
-                self.seats[who].forgot = true;
+                self.nodes[who].forgot = true;
                 self.put(until, Event::Start { who, with });
             }
             3 => {
-                let disk = self.seats[who].store.as_mut().map(|store| store.disk().clone());
-                self.seats[who].older = disk.map(|mut disk| {
+                let disk = self.nodes[who].store.as_mut().map(|store| store.disk().clone());
+                self.nodes[who].older = disk.map(|mut disk| {
                     disk.crash();
                     disk
                 });
             }
             4 | 5 => {
-                self.seats[who].until = until;
+                self.nodes[who].until = until;
                 self.put(until, Event::Resume { who });
             }
             6 => {
-                self.seats[who].sync = (STALLED, STALLED);
+                self.nodes[who].sync = (STALLED, STALLED);
                 self.put(until, Event::Mend { who });
             }
             7 => {
-                if let Some(store) = &mut self.seats[who].store {
+                if let Some(store) = &mut self.nodes[who].store {
                     store.disk().inject(Fault::SyncFails);
                 }
             }
@@ -661,18 +661,18 @@
         }
     }
 
-    /// Nothing passes from these to those until then.
+    /// Drops all traffic from `from` to `to` until then.
     pub(super) fn cut_way(&mut self, from: BTreeSet<usize>, to: BTreeSet<usize>, until: f64) {
         self.cut += 1;
         self.cuts.push((self.cut, from, to));
         self.put(until, Event::Heal(self.cut));
     }
 
-    /// Cuts one off from all others until then, one way or both.
+    /// Cuts a process off from all others until then, in one direction or both.
     pub(super) fn cut_off(&mut self, who: usize, until: f64) {
-        let above = self.upper.as_ref().map_or(0, |upper| upper.seats.len());
-        let all = 0..self.seats.len() + above;
-        let (one, rest): (BTreeSet<usize>, BTreeSet<usize>) = all.partition(|seat| *seat == who);
+        let above = self.upper.as_ref().map_or(0, |upper| upper.nodes.len());
+        let all = 0..self.nodes.len() + above;
+        let (one, rest): (BTreeSet<usize>, BTreeSet<usize>) = all.partition(|node| *node == who);
         let sides = match self.chance.random_range(0..3) {
             0 => vec![(one, rest)],
             1 => vec![(rest, one)],
@@ -682,20 +682,20 @@
     }
 
     fn all_well(&self) -> bool {
-        let well = |seat: &Seat| seat.voter.is_some() && seat.until <= self.now && seat.sync == SYNC;
-        self.cuts.is_empty() && self.seats.iter().all(well)
+        let well = |node: &Node| node.voter.is_some() && node.until <= self.now && node.sync == SYNC;
+        self.cuts.is_empty() && self.nodes.iter().all(well)
     }
 
-    /// How long is nobody there whom a majority follows?
+    /// Measures the periods without a leader that a majority follows.
     fn look(&mut self) {
         self.put(self.now + LOOK, Event::Look);
-        let follows = |seat: &Seat, name: &str| {
-            let voter = seat.voter.as_ref().filter(|_| seat.until <= self.now);
+        let follows = |node: &Node, name: &str| {
+            let voter = node.voter.as_ref().filter(|_| node.until <= self.now);
             voter.is_some_and(|voter| voter.leader() == Some(name))
         };
         let led = self.leading().into_iter().any(|leader| {
-            let name = &self.seats[leader].name;
-            self.seats.iter().filter(|seat| follows(seat, name)).count() * 2 > self.seats.len()
+            let name = &self.nodes[leader].name;
+            self.nodes.iter().filter(|node| follows(node, name)).count() * 2 > self.nodes.len()
         });
         if !led && self.is_able() {
             self.able_since += LOOK;
@@ -711,15 +711,15 @@
         }
     }
 
-    /// Is there a majority of voters that run, whose disks do, and who hear one another?
+    /// Whether a majority of voters run, have working disks and are connected to one another.
     fn is_able(&self) -> bool {
-        let count = self.seats.len();
+        let count = self.nodes.len();
         let well = |who: usize| {
-            let seat = &self.seats[who];
-            seat.voter.is_some()
-                && seat.until <= self.now
-                && seat.sync == SYNC
-                && seat.busy < self.now + SYNC.1
+            let node = &self.nodes[who];
+            node.voter.is_some()
+                && node.until <= self.now
+                && node.sync == SYNC
+                && node.busy < self.now + SYNC.1
         };
         (0u32..1 << count).any(|set| {
             let all: Vec<usize> = (0..count).filter(|who| set & 1 << who != 0).collect();
@@ -748,9 +748,9 @@
             return self.broken(format!("{} lead after {QUIET} ms without trouble", self.leading().len()));
         }
         let last = self.committed.last_key_value().map_or(0, |(index, _)| *index);
-        for who in 0..self.seats.len() {
-            let applied = self.seats[who].applied.0;
-            // What is on its way at the last instant.
+        for who in 0..self.nodes.len() {
+            let applied = self.nodes[who].applied.0;
+            // Entries in flight at the end are tolerated.
             if applied + 50 < last {
                 self.broken(format!("v{who} has {applied} of {last} after {QUIET} ms without trouble"));
             }
@@ -758,7 +758,7 @@
     }
 }
 
-/// Puts what a store has into one snapshot of it.
+/// Compacts a store: replaces its synced records with one snapshot.
 fn compact(store: &mut Store<SimDisk>) {
     let upto = store.synced_index();
     let Ok(found) = pearfront_store::check(store.disk()) else { return };
@@ -769,11 +769,11 @@
         .filter(|entry| entry.index <= upto)
         .filter_map(|entry| decode_record(&entry.bytes));
     let bytes = encode_records(&recover(old.chain(new)).into_records());
-    // A store that could not is dead, and the next sync tells.
+    // A store that failed here is dead, which the next sync reports.
     let _ = store.snapshot(upto, &bytes);
 }
 
-/// Plays one plan under one seed.
+/// Runs one plan under one seed.
 pub fn play(plan: Plan, seed: u64) -> Findings {
     World::new(plan, seed).play()
 }
--- a/crates/pearfront-emulator/src/cores/duties.rs
+++ b/crates/pearfront-emulator/src/cores/duties.rs
@@ -1,8 +1,9 @@
-//! Duties by seed: processes that want them, above the simulated voters and their disks. Each has a clock of its own that
-//! runs up to a twentieth too fast or too slow, is killed, stands still, is cut off one way or both. Looked at after every
-//! step: how many act on a duty at this instant, tokens, and at the end whether each history is one place's.
+//! Seeded simulation of duties: processes that request leases, above the simulated voters and their disks. Each has its
+//! own clock, which runs up to a twentieth too fast or too slow, and is killed, paused or cut off in one direction or both.
+//! Checked after every step: how many processes act on a duty at that instant, and the tokens; at the end, whether each
+//! history is linearizable. Used by `pearfront prove duties` and the tests.
 
-use super::consensus::{self, Came, Event, Faulty, QUIET, ROUNDING, World};
+use super::consensus::{self, Event, Faulty, QUIET, ROUNDING, Received, World};
 use super::history::{Call, What, linearizable};
 use pearfront_duties::{
     Agent, AgentAction, Change, LeaseRequest, LeaseResponse, ProcessId, Rank, ResponseBody, Times, Want,
@@ -11,49 +12,49 @@
 use rand::prelude::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The duties: how many may hold each, the lease, ms, and whether its work may outlive the process.
+/// The duties: most holders at a time, the lease, ms, and whether the work may outlive the process.
 const DUTIES: [(&str, u32, f64, bool); 3] =
     [("reader", 1, 1500.0, false), ("export", 1, 2500.0, true), ("permit", 2, 2000.0, false)];
-/// Mean time between two changes of mind of one process, and between two acts on a duty, ms.
+/// Mean time between two changes of what one process requests, and between two acts on a duty, ms.
 const WILL: f64 = 1500.0;
 const ACT: f64 = 60.0;
-/// Longest that an act is under way, and that a holder takes to leave, ms.
+/// Longest time that an act is in flight, and that a holder takes to release a duty, ms.
 const ACT_TAKES: f64 = 40.0;
 const LEAVING: f64 = 200.0;
-/// Clocks run so unevenly at most.
+/// Largest relative error of a clock's rate.
 const UNEVEN: f64 = 0.05;
-/// How long before the end, ms, all that may be held has to have been held.
+/// Period before the end, ms, within which every duty must have been held by as many as wanted and permitted.
 const FULL: f64 = 3000.0;
 
 #[derive(Debug, Clone)]
 pub struct Plan {
     pub log: consensus::Plan,
     pub agents: usize,
-    /// Nothing befalls anybody but the holder of `reader`, and that only.
+    /// If set, the only fault is this one, injected into the holder of `reader`.
     pub only: Option<Only>,
     pub fault: Option<Fault>,
 }
 
-/// What becomes of the holder, for the time until the next one acts.
+/// How the holder of a duty is lost when the time until the next holder acts is measured.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Only {
     Word,
     Kill,
     Silence,
-    /// It is heard, and hears nobody.
+    /// Its messages arrive, but it receives none.
     Deaf,
 }
 
-/// A holder with one fault, or a leader.
+/// A deliberate fault of a holder or leader, to check that the invariant checks find it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// Acts until it is told that it is over.
+    /// Acts until it is notified that the lease has ended.
     NeverLooks,
-    /// Counts its lease from when the answer came, and the whole of it.
+    /// Counts its whole lease from the arrival of the answer.
     CountsFromTheAnswer,
-    /// Its clock does not go on while it stands still.
+    /// Its clock stops while the process is paused.
     ClockStops,
-    /// A new leader counts no lease anew.
+    /// A new leader does not restart the leases granted before its term.
     CountsNoLeaseAnew,
 }
 
@@ -63,7 +64,7 @@
         Self { log, agents, only: None, fault: None }
     }
 
-    /// Quiet weather in which the holder is befallen every five seconds.
+    /// A run without other faults in which the holder is hit every five seconds.
     pub fn handover(voters: usize, agents: usize, only: Only) -> Self {
         let log = consensus::Plan {
             every: 5000.0,
@@ -81,12 +82,12 @@
     pub granted: u64,
     pub renewed: u64,
     pub acts: u64,
-    /// Acts that came with a token below one that was seen: refused where they went to.
+    /// Acts with an outdated token, which their receiver refused.
     pub refused: u64,
     pub asks: u64,
-    /// From when something befell the holder until another acted, ms.
+    /// Times from a fault of the holder until another process acted, ms.
     pub without: Vec<f64>,
-    /// Calls in the histories that were checked.
+    /// Number of calls in the checked histories.
     pub calls: usize,
 }
 
@@ -98,41 +99,41 @@
     waiting: Vec<Vec<u8>>,
     woken: f64,
     rate: f64,
-    /// What its clock is behind.
+    /// Time, ms, by which its clock is behind.
     behind: f64,
-    /// When each ask was sent, and when it began to want each duty, and gave one up.
+    /// When each request was sent, and when it began to request and gave up each duty.
     sent: BTreeMap<u64, f64>,
     wanted: BTreeMap<String, f64>,
     given_up: BTreeMap<String, (u64, f64)>,
-    /// What a faulty one believes: until when it may act.
+    /// Until when a faulty holder believes that it may act.
     believes: BTreeMap<String, (u64, f64)>,
 }
 
 pub(super) struct Upper {
     pub times: Times,
-    pub seats: Vec<Post>,
+    pub nodes: Vec<Post>,
     only: Option<Only>,
     fault: Option<Fault>,
     lives: u64,
-    /// Who was given each token.
+    /// Holder to which each token was granted.
     given: BTreeMap<u64, (String, ProcessId)>,
-    /// Tokens that somebody was told of.
+    /// Tokens that were reported to a process.
     taken: BTreeSet<u64>,
-    /// What goes on of a process that has ended: its duty and until when.
+    /// Work that outlives an ended process: its duty and end time.
     ghosts: Vec<(String, f64)>,
-    /// The highest token that came to whoever receives the acts.
+    /// Highest token that the receiver of the acts has seen.
     received: BTreeMap<String, u64>,
     history: BTreeMap<String, Vec<Call>>,
-    /// When each duty was last held by as many as wanted and may.
+    /// When each duty was last held by as many processes as request it and are permitted.
     full: BTreeMap<String, f64>,
-    /// Since when, and above which token, the next holder is waited for.
+    /// Since when the next holder is awaited, and the token that it must exceed.
     befallen: Option<(f64, u64)>,
     findings: Findings,
 }
 
-/// What happens above the log.
+/// Events of the simulation above the log.
 pub(super) enum Happens {
-    Told { to: usize, life: u64, bytes: Vec<u8> },
+    Response { to: usize, life: u64, bytes: Vec<u8> },
     Wake { who: usize, life: u64, due: f64 },
     Will { who: usize },
     Act { who: usize, duty: &'static str },
@@ -143,7 +144,7 @@
     Proof { of: ProcessId },
 }
 
-/// Plays one plan under one seed.
+/// Runs one plan under one seed.
 pub fn play(plan: &Plan, seed: u64) -> Findings {
     let mut log = plan.log.clone();
     if plan.fault == Some(Fault::CountsNoLeaseAnew) {
@@ -160,10 +161,10 @@
 impl World {
     fn add(&mut self, plan: &Plan) {
         let times = Times { stability: 3000.0, time_interval: 5000.0, ..Times::default() };
-        for seat in &mut self.seats {
-            seat.rate = 1.0 + UNEVEN * (2.0 * self.chance.random::<f64>() - 1.0);
+        for node in &mut self.nodes {
+            node.rate = 1.0 + UNEVEN * (2.0 * self.chance.random::<f64>() - 1.0);
         }
-        let seats = (0..plan.agents).map(|_| Post {
+        let nodes = (0..plan.agents).map(|_| Post {
             agent: None,
             life: 0,
             until: 0.0,
@@ -179,7 +180,7 @@
         });
         self.upper = Some(Upper {
             times,
-            seats: seats.collect(),
+            nodes: nodes.collect(),
             only: plan.only,
             fault: plan.fault,
             lives: 0,
@@ -211,11 +212,11 @@
     }
 
     fn post(&self, who: usize) -> &Post {
-        &self.upper.as_ref().expect("played with duties").seats[who]
+        &self.upper.as_ref().expect("played with duties").nodes[who]
     }
 
     fn post_mut(&mut self, who: usize) -> &mut Post {
-        &mut self.above().seats[who]
+        &mut self.above().nodes[who]
     }
 
     fn above(&mut self) -> &mut Upper {
@@ -224,7 +225,7 @@
 
     pub(super) fn happens(&mut self, what: Happens) {
         match what {
-            Happens::Told { to, life, bytes } => self.told(to, life, bytes),
+            Happens::Response { to, life, bytes } => self.deliver_response(to, life, bytes),
             Happens::Wake { who, life, due } => {
                 let now = self.now;
                 let post = self.post_mut(who);
@@ -235,7 +236,7 @@
                     self.do_at(who, |agent, now| agent.tick(now));
                 }
             }
-            Happens::Will { who } => self.will(who),
+            Happens::Will { who } => self.change_requests(who),
             Happens::Act { who, duty } => self.acts(who, duty),
             Happens::Arrives { duty, token } => self.arrives(duty, token),
             Happens::GivesUp { who, life, duty } => {
@@ -248,8 +249,8 @@
             Happens::Proof { of } => {
                 for who in self.leading() {
                     let now = self.own_now(who);
-                    let seat = &mut self.seats[who];
-                    seat.desk.process_ended(&of, &seat.duties, now);
+                    let node = &mut self.nodes[who];
+                    node.lease_manager.process_ended(&of, &node.duties, now);
                     self.settle(who);
                 }
             }
@@ -259,7 +260,7 @@
     // ---- processes ----
 
     fn start_post(&mut self, who: usize) {
-        let voters: Vec<String> = self.seats.iter().map(|seat| seat.name.clone()).collect();
+        let voters: Vec<String> = self.nodes.iter().map(|node| node.name.clone()).collect();
         let at = self.now;
         let upper = self.above();
         upper.lives += 1;
@@ -301,7 +302,7 @@
         let Some(agent) = post.agent.take() else { return };
         let of = ProcessId { name: format!("n{who}"), life: post.life };
         let outlive = |duty: &str| DUTIES.iter().any(|(name, .., outlives)| *name == duty && *outlives);
-        // What its process had begun may go on until then.
+        // Work that the process had begun may go on until then.
         let ghosts: Vec<(String, f64)> = agent
             .held(now)
             .into_iter()
@@ -330,7 +331,7 @@
             post.behind += (now - post.since) * post.rate;
         }
         let (waiting, life) = (std::mem::take(&mut post.waiting), post.life);
-        waiting.into_iter().for_each(|bytes| self.told(who, life, bytes));
+        waiting.into_iter().for_each(|bytes| self.deliver_response(who, life, bytes));
         self.do_at(who, |agent, now| agent.tick(now));
     }
 
@@ -339,7 +340,7 @@
         let post = self.post_mut(who);
         let Some(agent) = &mut post.agent else { return };
         call(agent, now);
-        // What it wants done may make it due at once.
+        // Its actions may make it due at once.
         agent.tick(now);
         let out = agent.take_actions();
         let (due, life) = (agent.due(), post.life);
@@ -358,10 +359,10 @@
                 self.above().findings.asks += 1;
                 let post = self.post_mut(who);
                 post.sent.insert(ask.number, at);
-                let Some(voter) = self.seats.iter().position(|seat| seat.name == to) else { return };
-                let from = self.seats.len() + who;
+                let Some(voter) = self.nodes.iter().position(|node| node.name == to) else { return };
+                let from = self.nodes.len() + who;
                 for at in self.arrivals(from, voter) {
-                    self.put(at, Event::Deliver { to: voter, came: Came::Ask(encode(&ask)) });
+                    self.put(at, Event::Deliver { to: voter, message: Received::LeaseRequest(encode(&ask)) });
                 }
             }
             AgentAction::Acquired { duty, token, .. } => {
@@ -386,7 +387,7 @@
         }
     }
 
-    /// A call whose answer has just come.
+    /// Records a call whose answer has just arrived.
     fn call(&mut self, duty: &str, what: What, from: f64) {
         let to = self.now;
         self.above().history.entry(duty.into()).or_default().push(Call { what, from, to });
@@ -400,8 +401,8 @@
         }
     }
 
-    /// It changes its mind about a duty, or is done with one.
-    fn will(&mut self, who: usize) {
+    /// Requests a duty, stops requesting it, or finishes releasing it.
+    fn change_requests(&mut self, who: usize) {
         let at = self.after(WILL);
         self.put(at, Event::Above(Happens::Will { who }));
         let runs = self.post(who).agent.is_some() && self.post(who).until <= self.now;
@@ -424,7 +425,7 @@
         self.do_at(who, |agent, now| agent.give_up(duty, well, now));
     }
 
-    /// The token under which it may act now.
+    /// Token under which it may act now.
     fn token(&self, who: usize, duty: &str) -> Option<u64> {
         let agent = self.post(who).agent.as_ref()?;
         agent.may_act(duty, self.post_now(who)).map(|(token, _)| token)
@@ -441,7 +442,7 @@
 
     // ---- acts ----
 
-    /// It looks at its clock, and what it does arrives later, much later if it stands still between the two.
+    /// Checks the clock and sends an act, which arrives later; much later if the process is paused in between.
     fn acts(&mut self, who: usize, duty: &'static str) {
         let at = self.after(ACT);
         self.put(at, Event::Above(Happens::Act { who, duty }));
@@ -473,47 +474,48 @@
 
     pub(super) fn asked(&mut self, to: usize, bytes: &[u8]) {
         let now = self.own_now(to);
-        let seat = &mut self.seats[to];
-        let (Some(voter), Some(ask)) = (&seat.voter, decode::<LeaseRequest>(bytes)) else { return };
-        seat.desk.receive(ask, voter.leader(), now);
+        let node = &mut self.nodes[to];
+        let (Some(voter), Some(ask)) = (&node.voter, decode::<LeaseRequest>(bytes)) else { return };
+        node.lease_manager.receive(ask, voter.leader(), now);
         self.settle(to);
         self.act(to, |_, _| {});
     }
 
-    pub(super) fn tell(&mut self, from: usize, told: &LeaseResponse) {
-        let Some(to) = told.to.name.strip_prefix('n').and_then(|number| number.parse::<usize>().ok()) else {
+    pub(super) fn send_response(&mut self, from: usize, response: &LeaseResponse) {
+        let Some(to) = response.to.name.strip_prefix('n').and_then(|number| number.parse::<usize>().ok())
+        else {
             return;
         };
-        let place = self.seats.len() + to;
+        let place = self.nodes.len() + to;
         for at in self.arrivals(from, place) {
-            let (life, bytes) = (told.to.life, encode(told));
-            self.put(at, Event::Above(Happens::Told { to, life, bytes }));
+            let (life, bytes) = (response.to.life, encode(response));
+            self.put(at, Event::Above(Happens::Response { to, life, bytes }));
         }
     }
 
-    fn told(&mut self, to: usize, life: u64, bytes: Vec<u8>) {
+    fn deliver_response(&mut self, to: usize, life: u64, bytes: Vec<u8>) {
         let at = self.now;
         let post = self.post_mut(to);
         if post.until > at {
             return post.waiting.push(bytes);
         }
-        let Some(told) = decode::<LeaseResponse>(&bytes).filter(|_| post.life == life) else { return };
-        self.remember(to, &told);
-        self.do_at(to, |agent, now| agent.receive(told, now));
+        let Some(response) = decode::<LeaseResponse>(&bytes).filter(|_| post.life == life) else { return };
+        self.record_response(to, &response);
+        self.do_at(to, |agent, now| agent.receive(response, now));
     }
 
-    /// For the history, and what a faulty holder makes of it.
-    fn remember(&mut self, who: usize, told: &LeaseResponse) {
+    /// Records an answer in the history, and applies the fault of a faulty holder.
+    fn record_response(&mut self, who: usize, response: &LeaseResponse) {
         let now = self.post_now(who);
-        let Some(sent) = self.post(who).sent.get(&told.number).copied() else { return };
-        let held = match &told.body {
+        let Some(sent) = self.post(who).sent.get(&response.number).copied() else { return };
+        let held = match &response.body {
             ResponseBody::Status { held, .. } => held.clone(),
             ResponseBody::Granted(held) => vec![held.clone()],
             ResponseBody::NotLeader { .. } => return,
         };
         for one in held.iter().filter(|one| one.renewed) {
             self.above().findings.renewed += 1;
-            // Told so for the first time: it was given since this process wants it.
+            // First report of this token: it was granted after this process began to request the duty.
             if self.above().taken.insert(one.token) {
                 let from = self.post(who).wanted.get(&one.duty).copied().unwrap_or(sent);
                 self.call(&one.duty, What::Take(one.token), from);
@@ -524,7 +526,7 @@
                 post.believes.insert(one.duty.clone(), (one.token, now + one.lease));
             }
         }
-        if let ResponseBody::Status { .. } = told.body {
+        if let ResponseBody::Status { .. } = response.body {
             let post = self.post_mut(who);
             let gone = |(duty, (token, since)): (&String, &(u64, f64))| {
                 let over = *since <= sent && !held.iter().any(|one| one.duty == *duty && one.token == *token);
@@ -539,12 +541,12 @@
         }
     }
 
-    // ---- troubles ----
+    // ---- faults ----
 
-    /// Something befalls one of those who want duties, instead of a voter.
+    /// Injects a fault into a process that requests duties, instead of into a voter.
     pub(super) fn trouble_above(&mut self) -> bool {
         let Some(upper) = &self.upper else { return false };
-        let (only, count) = (upper.only, upper.seats.len());
+        let (only, count) = (upper.only, upper.nodes.len());
         if let Some(only) = only {
             self.befalls_holder(only);
             return true;
@@ -564,14 +566,14 @@
                 self.put(until, Event::Above(Happens::Start { who }));
             }
             1 => self.stop_post(who, until),
-            _ => self.cut_off(self.seats.len() + who, until),
+            _ => self.cut_off(self.nodes.len() + who, until),
         }
         true
     }
 
     fn befalls_holder(&mut self, only: Only) {
         let (duty, ..) = DUTIES[0];
-        let count = self.above().seats.len();
+        let count = self.above().nodes.len();
         let Some(who) = (0..count).find(|who| !self.acting(*who, duty).is_empty()) else { return };
         let under = self.acting(who, duty).first().copied().unwrap_or(0);
         self.above().befallen = Some((self.now, under));
@@ -584,15 +586,15 @@
             }
             Only::Silence => self.stop_post(who, until),
             Only::Deaf => {
-                let voters = (0..self.seats.len()).collect();
-                self.cut_way(voters, [self.seats.len() + who].into(), until);
+                let voters = (0..self.nodes.len()).collect();
+                self.cut_way(voters, [self.nodes.len() + who].into(), until);
             }
         }
     }
 
-    // ---- looks ----
+    // ---- checks ----
 
-    /// The token under which it acts at this instant, if it does.
+    /// Token under which it acts at this instant, if it does.
     fn acting(&self, who: usize, duty: &str) -> Vec<u64> {
         let (post, now) = (self.post(who), self.post_now(who));
         let fault = self.upper.as_ref().and_then(|upper| upper.fault);
@@ -608,7 +610,7 @@
         sound.or(believed).into_iter().collect()
     }
 
-    /// An entry that granted or ended something was applied by one voter, the first or not.
+    /// Called when a voter applies an entry that granted or ended leases; other voters may have applied it before.
     pub(super) fn granted(&mut self, changes: &[Change]) {
         if self.upper.is_none() {
             return;
@@ -653,10 +655,10 @@
     }
 
     fn post_count(&self) -> usize {
-        self.upper.as_ref().map_or(0, |upper| upper.seats.len())
+        self.upper.as_ref().map_or(0, |upper| upper.nodes.len())
     }
 
-    /// At the end: everything that may be held is, and each history is that of one place.
+    /// Final checks: every duty that may be held is held, and each history is linearizable.
     fn judge_above(&mut self) {
         if self.findings.broken.is_some() {
             return;
--- a/crates/pearfront-emulator/src/cores/exhaustive.rs
+++ b/crates/pearfront-emulator/src/cores/exhaustive.rs
@@ -1,49 +1,50 @@
-//! All that may happen to three voters, up to a depth: every order of messages, each delivered never, once or again; every
-//! time-out, sync and crash. The cores are those that run, not a copy; a state that was seen is not gone through again.
+//! Bounded model checking of three voters: every order of messages, each delivered never, once or again, and every
+//! time-out, sync and crash, up to a depth. It drives the production cores, not a model of them, and visits each state
+//! once. Used by `pearfront prove` and the tests.
 
 use pearfront_consensus::{Action, Message, PersistentState, Record, Role, Times, Voter, decode, recover};
 use pearfront_duties::{Command, Duties, Entry, Grantee, ProcessId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// A time after which every time-out has come, ms.
+/// A time step after which every time-out has expired, ms.
 const LONG: f64 = 10_000.0;
 
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
-    /// Steps from the beginning.
+    /// Most steps from the initial state.
     pub depth: usize,
-    /// States that are gone through, whatever the depth.
+    /// Most states visited, whatever the depth.
     pub states: usize,
-    /// Terms that may begin.
+    /// Most terms that may begin.
     pub terms: u64,
-    /// Grants that may be proposed: of two duties in turn, to two processes.
+    /// Most grants that may be proposed: of two duties in turn, to two processes.
     pub proposals: u8,
-    /// Voters that may crash; what was not synced is lost. Without any a sync comes at once: to come later is the same as
-    /// a message that does.
+    /// Most crashes of voters; unsynced data is lost. Without crashes a sync completes at once, since a later sync is
+    /// equivalent to a later message.
     pub crashes: u8,
-    /// Begin with a leader, and with so many grants that it has proposed.
+    /// Begin with an elected leader that has proposed its grants.
     pub led: bool,
-    /// A broken driver: says that records are stored, and loses all of them at a crash.
+    /// A faulty driver: reports records as stored, and loses all of them in a crash.
     pub forgets: bool,
-    /// Begin after all have forgotten everything: more than any voters bear, which has to be found.
+    /// Begin after all voters lost all data: more than the protocol tolerates, which the check has to find.
     pub all_forgot: bool,
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Found {
     pub states: usize,
-    /// All states up to so many steps were gone through.
+    /// Number of steps up to which all states were visited.
     pub depth: usize,
-    /// What must never be, and the steps to it.
+    /// First violation of an invariant, and the steps that lead to it.
     pub broken: Option<(String, Vec<String>)>,
 }
 
 #[derive(Clone)]
-struct Seat {
+struct Node {
     voter: Voter,
     now: f64,
-    /// Groups that are not synced, and what is.
+    /// Groups of records not yet synced, and the synced records.
     waiting: VecDeque<(u64, Vec<Record>)>,
     stable: Vec<Record>,
     applied: u64,
@@ -52,8 +53,8 @@
 
 #[derive(Clone)]
 struct World {
-    seats: Vec<Seat>,
-    /// All that was ever sent: a network may lose, delay and double.
+    nodes: Vec<Node>,
+    /// Every message ever sent: the network may lose, delay and duplicate each.
     sent: BTreeSet<Vec<u8>>,
     leaders: BTreeMap<u64, usize>,
     committed: BTreeMap<u64, (u64, Vec<u8>)>,
@@ -90,15 +91,15 @@
 
 impl World {
     fn new(bounds: &Bounds) -> Self {
-        let seat = |place: usize| {
+        let node = |place: usize| {
             let names = names();
             let voter =
                 Voter::new(&names[place], &names, PersistentState::default(), Times::default(), 1, 0.0);
             let (waiting, stable, duties) = (VecDeque::new(), Vec::new(), Duties::default());
-            Seat { voter, now: 0.0, waiting, stable, applied: 0, duties }
+            Node { voter, now: 0.0, waiting, stable, applied: 0, duties }
         };
         let mut world = Self {
-            seats: (0..3).map(seat).collect(),
+            nodes: (0..3).map(node).collect(),
             sent: BTreeSet::new(),
             leaders: BTreeMap::new(),
             committed: BTreeMap::new(),
@@ -106,11 +107,11 @@
             crashes: bounds.crashes,
             broken: None,
         };
-        // All have told one another that they have nothing: from here on anything may happen.
+        // All voters have reported to one another that they hold nothing; from here on any step may follow.
         (0..3).for_each(|place| world.act(place, true, |voter, now| voter.tick(now)));
         world.deliver_all();
         if bounds.led {
-            world.seats[0].now += LONG;
+            world.nodes[0].now += LONG;
             world.act(0, true, |voter, now| voter.tick(now));
             world.deliver_all();
         }
@@ -138,12 +139,12 @@
         self.act(to, syncs, |voter, now| voter.receive(message, now));
     }
 
-    /// Does what the voter wants done, and looks at what must hold.
+    /// Carries out the voter's actions and checks the invariants.
     fn act(&mut self, who: usize, syncs: bool, call: impl FnOnce(&mut Voter, f64)) {
-        let now = self.seats[who].now;
-        call(&mut self.seats[who].voter, now);
+        let now = self.nodes[who].now;
+        call(&mut self.nodes[who].voter, now);
         loop {
-            let out = self.seats[who].voter.take_actions();
+            let out = self.nodes[who].voter.take_actions();
             if out.is_empty() {
                 break;
             }
@@ -152,7 +153,7 @@
                 self.sync(who);
             }
         }
-        let voter = &self.seats[who].voter;
+        let voter = &self.nodes[who].voter;
         if voter.role() == Role::Leader && *self.leaders.entry(voter.term()).or_insert(who) != who {
             self.broken = Some(format!("two leaders in term {}", voter.term()));
         }
@@ -160,13 +161,13 @@
 
     fn carry(&mut self, who: usize, out: Action) {
         match out {
-            Action::Store { number, records } => self.seats[who].waiting.push_back((number, records)),
+            Action::Store { number, records } => self.nodes[who].waiting.push_back((number, records)),
             Action::Send(message) => self.send(&message),
             Action::Commit(entry) => {
-                let seat = &mut self.seats[who];
-                seat.duties.apply(&entry.bytes);
-                let follows = entry.index == seat.applied + 1;
-                seat.applied = entry.index;
+                let node = &mut self.nodes[who];
+                node.duties.apply(&entry.bytes);
+                let follows = entry.index == node.applied + 1;
+                node.applied = entry.index;
                 let is = (entry.term, entry.bytes);
                 let known = self.committed.entry(entry.index).or_insert(is.clone());
                 if *known != is || !follows {
@@ -181,26 +182,26 @@
         self.sent.insert(message.encode());
     }
 
-    /// The next group is on disk.
+    /// Completes the sync of the next group.
     fn sync(&mut self, who: usize) {
-        let seat = &mut self.seats[who];
-        let Some((number, records)) = seat.waiting.pop_front() else { return };
-        seat.stable.extend(records);
+        let node = &mut self.nodes[who];
+        let Some((number, records)) = node.waiting.pop_front() else { return };
+        node.stable.extend(records);
         self.act(who, false, |voter, now| voter.on_stored(number, now));
     }
 
     fn crash(&mut self, who: usize, forgets: bool) {
         self.crashes -= 1;
         let names = names();
-        let seat = &mut self.seats[who];
-        seat.waiting.clear();
+        let node = &mut self.nodes[who];
+        node.waiting.clear();
         if forgets {
-            seat.stable.clear();
+            node.stable.clear();
         }
-        let kept = recover(seat.stable.iter().cloned());
-        seat.now += LONG;
-        seat.voter = Voter::new(&names[who], &names, kept, Times::default(), 1, seat.now);
-        (seat.applied, seat.duties) = (0, Duties::default());
+        let kept = recover(node.stable.iter().cloned());
+        node.now += LONG;
+        node.voter = Voter::new(&names[who], &names, kept, Times::default(), 1, node.now);
+        (node.applied, node.duties) = (0, Duties::default());
         self.act(who, false, |voter, now| voter.tick(now));
     }
 
@@ -222,16 +223,16 @@
 
     fn steps(&self, bounds: &Bounds) -> Vec<Step> {
         let mut steps: Vec<Step> = self.sent.iter().cloned().map(Step::Deliver).collect();
-        for (who, seat) in self.seats.iter().enumerate() {
-            if seat.voter.role() == Role::Leader {
+        for (who, node) in self.nodes.iter().enumerate() {
+            if node.voter.role() == Role::Leader {
                 steps.push(Step::Beat(who));
                 if self.proposals > 0 {
                     steps.push(Step::Propose(who));
                 }
-            } else if seat.voter.term() < bounds.terms && seat.voter.may_stand() {
+            } else if node.voter.term() < bounds.terms && node.voter.may_stand() {
                 steps.push(Step::TimeOut(who));
             }
-            if !seat.waiting.is_empty() {
+            if !node.waiting.is_empty() {
                 steps.push(Step::Sync(who));
             }
             if self.crashes > 0 {
@@ -247,11 +248,11 @@
         match step {
             Step::Deliver(bytes) => next.deliver(bytes, syncs),
             Step::TimeOut(who) => {
-                next.seats[*who].now += LONG;
+                next.nodes[*who].now += LONG;
                 next.act(*who, syncs, |voter, now| voter.tick(now));
             }
             Step::Beat(who) => {
-                next.seats[*who].now += Times::default().heartbeat;
+                next.nodes[*who].now += Times::default().heartbeat;
                 next.act(*who, syncs, |voter, now| voter.tick(now));
             }
             Step::Propose(who) => next.propose(*who),
@@ -262,10 +263,10 @@
         next
     }
 
-    /// Those who have applied as much hold the same, and no duty has two holders.
+    /// Voters with the same applied index must hold the same state, and no duty may have two holders.
     fn look(&mut self) {
-        for one in &self.seats {
-            for other in &self.seats {
+        for one in &self.nodes {
+            for other in &self.nodes {
                 if one.applied == other.applied && one.duties != other.duties {
                     self.broken = Some(format!("two voters differ at entry {}", one.applied));
                 }
@@ -276,14 +277,14 @@
         }
     }
 
-    /// What tells this state from others.
+    /// Encoding that distinguishes this state from others.
     fn key(&self) -> u128 {
         let half = |salt: u8| {
             let mut hasher = DefaultHasher::new();
             salt.hash(&mut hasher);
-            for seat in &self.seats {
-                seat.voter.fingerprint(seat.now).hash(&mut hasher);
-                format!("{:?}{:?}", seat.waiting, seat.stable).hash(&mut hasher);
+            for node in &self.nodes {
+                node.voter.fingerprint(node.now).hash(&mut hasher);
+                format!("{:?}{:?}", node.waiting, node.stable).hash(&mut hasher);
             }
             self.sent.hash(&mut hasher);
             self.leaders.hash(&mut hasher);
@@ -295,11 +296,11 @@
     }
 }
 
-/// Goes through all states, the nearest first, until the depth or the number of states is reached or something is broken.
+/// Visits all states, breadth first, until a bound on depth or number of states is reached or an invariant is violated.
 pub fn check(bounds: &Bounds) -> Found {
     let begin = World::new(bounds);
     let mut seen = BTreeSet::from([begin.key()]);
-    // How each state was come to: the one before it, and the step.
+    // Predecessor of each state, and the step from it.
     let mut ways: Vec<(usize, String)> = vec![(0, String::new())];
     let mut open = VecDeque::from([(begin, 0, 0)]);
     let mut found = Found { states: 1, ..Found::default() };
@@ -322,12 +323,12 @@
             open.push_back((next, ways.len() - 1, depth + 1));
         }
     }
-    // There is nothing further.
+    // No states are left.
     found.depth = bounds.depth;
     found
 }
 
-/// The steps to the last state.
+/// The steps that lead to the last state.
 fn way(ways: &[(usize, String)]) -> Vec<String> {
     let (mut steps, mut at) = (Vec::new(), ways.len() - 1);
     while at > 0 {
--- a/crates/pearfront-emulator/src/cores/membership.rs
+++ b/crates/pearfront-emulator/src/cores/membership.rs
@@ -1,4 +1,5 @@
-//! Membership by seed: up to a thousand cores, a network with weather between them, kills, pauses, cuts and restarts.
+//! Seeded simulation of the membership protocol: up to a thousand cores, a network that loses, duplicates and delays, and
+//! kills, pauses, cuts and restarts. Used by `pearfront prove membership` and the tests.
 
 use crate::event_queue::EventQueue;
 use pearfront_membership::{
@@ -10,45 +11,48 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Datagrams that wait for one that stands still; the kernel drops further ones.
-const WAITING: usize = 256;
-/// Time, ms, from a kill to the kernel's word at the other end of a link and the refused question after it, at most.
-const PROOF: f64 = 20.0;
-/// Neighbours on each side that a process has a link to.
+/// Receive buffer of a paused process, datagrams; the kernel drops further ones.
+const RECEIVE_BUFFER_DATAGRAMS: usize = 256;
+/// Longest time, ms, from a kill until the other end of a link sees the connection closed by the kernel and its check
+/// refused.
+const MAX_PROOF_DELAY_MS: f64 = 20.0;
+/// Number of neighbours on each side that a process has a link to.
 pub const LINKS: usize = 8;
-/// Longest stand-still, ms, of which nobody may be held to be gone.
-const BORNE: f64 = 3000.0;
-/// How much longer, ms, one that stood still for longer may be held so: the news of it are still on their way.
-const EXCUSED: f64 = 2000.0;
-/// How often the views are looked at for agreement, ms.
-const LOOK: f64 = 50.0;
-
-/// What the network and the machines do all the while.
+/// Longest pause, ms, during which a process may not be reported as gone.
+const TOLERATED_PAUSE_MS: f64 = 3000.0;
+/// Time, ms, after a longer pause during which it may still be reported so, since reports of it are still spreading.
+const REPORT_GRACE_MS: f64 = 2000.0;
+/// Interval at which the views are checked for agreement, ms.
+const CHECK_INTERVAL_MS: f64 = 50.0;
+
+/// Conditions of the network and the machines during a run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Weather {
-    /// Chance that a datagram is lost, and that it comes twice.
+    /// Probability that a datagram is lost, and that it is duplicated.
     pub loss: f64,
     pub doubled: f64,
-    /// One-way delay, ms, drawn evenly.
+    /// Range of the one-way delay, ms, drawn uniformly.
     pub delay: (f64, f64),
-    /// Mean time between two stand-stills of a process, ms, and the longest of them; none if 0.
+    /// Mean time between two pauses of a process, ms, none if 0; and the longest pause, ms.
     pub pause_every: f64,
     pub pause_most: f64,
 }
 
 impl Weather {
-    /// A quiet site.
+    /// A network without loss, and no pauses.
     pub const CALM: Self =
         Self { loss: 0.0, doubled: 0.0, delay: (0.1, 0.5), pause_every: 0.0, pause_most: 0.0 };
-    /// What no false death may come of: 20 % lost, delays to 500 ms, pauses to 3 s.
+    /// Conditions under which no running process may be reported as gone: 20 % loss, delays up to 500 ms, pauses
+    /// up to 3 s.
     pub const STORM: Self =
         Self { loss: 0.2, doubled: 0.1, delay: (0.5, 500.0), pause_every: 30_000.0, pause_most: 3000.0 };
 }
 
-/// What befalls whom; names are places.
+/// A fault to inject; processes are given by index.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Trouble {
-    /// Killed; the others' kernels say so where there are links, unless the machine goes with it.
+    /// Kills a process. With `proof` its linked neighbours learn of it from their kernels; without, the machine
+    /// is lost too.
     Kill {
         who: usize,
         proof: bool,
@@ -57,20 +61,20 @@
         who: usize,
         lasts: f64,
     },
-    /// Nothing passes from any of these to any of those.
+    /// Drops all traffic from `from` to `to`.
     Cut {
         from: Vec<usize>,
         to: Vec<usize>,
     },
-    /// All cuts are over.
+    /// Ends all cuts.
     Heal,
-    /// One that was killed starts again: with what its folder kept or without, at its address or another.
+    /// Restarts a killed process: with or without its stored incarnation, at its address or another.
     Start {
         who: usize,
         kept: bool,
         moved: bool,
     },
-    /// Another process under the name of this one, at an address of its own.
+    /// Starts a second process under the same name, at its own address.
     Double {
         of: usize,
     },
@@ -82,18 +86,18 @@
 #[derive(Debug, Clone)]
 pub struct Plan {
     pub instances: usize,
-    /// How long, ms.
+    /// Length of the run, ms.
     pub length: f64,
     pub weather: Weather,
     pub links: bool,
     pub times: Times,
-    /// When, ms, and what.
+    /// Time, ms, and fault.
     pub troubles: Vec<(f64, Trouble)>,
 }
 
 impl Plan {
-    /// Weather for a minute, in which one in ten is killed, and quiet after it so that views can be held against each
-    /// other.
+    /// A run of a minute under bad conditions, in which one process in ten is killed; the kills end early enough for the
+    /// views to be compared.
     pub fn storm(instances: usize, seed: u64) -> Self {
         let mut chance = ChaCha8Rng::seed_from_u64(seed);
         chance.set_stream(9);
@@ -110,26 +114,26 @@
     }
 }
 
-/// What came of it. Times are ms from the trouble.
+/// Results of a run. Times are ms from the fault.
 #[derive(Debug, Clone, Default)]
 pub struct Findings {
-    /// The first thing that must never be and was, with its time.
+    /// First violation of an invariant, with its time.
     pub broken: Option<String>,
-    /// Running processes that somebody held to be gone, beyond cuts.
+    /// Reports of running processes as gone, before the first cut.
     pub false_deaths: usize,
-    /// The same, with those that were cut off from whoever held them so.
+    /// Reports of running processes as gone, after the first cut.
     pub deaths_in_cuts: usize,
     pub suspicions: u64,
     pub refutations: u64,
-    /// For each killed one: how long until the first knew, half of all, and the last.
+    /// For each killed process: detection time of the first member, the median and the last.
     pub found: Vec<(f64, f64, f64)>,
-    /// Killed ones that somebody still held to be there at the end.
+    /// Killed processes that some member had not detected at the end.
     pub not_found: usize,
-    /// Do all views agree at the end?
+    /// Whether all views agree at the end.
     pub agreed: bool,
-    /// When views came to agree after the last trouble for good, if they did.
+    /// Time from the last fault until the views agreed for good, if they did.
     pub agreed_after: Option<f64>,
-    /// Datagrams, frames and bytes that a process sent in a second, on the mean, and the most datagrams in any second.
+    /// Mean datagrams, frames and bytes that a process sent per second, and the most datagrams in any second.
     pub datagrams: f64,
     pub frames: f64,
     pub bytes: f64,
@@ -152,7 +156,7 @@
     name: String,
     address: SocketAddr,
     running: bool,
-    /// Stands still until then; and, if that is longer than must be borne, may be held to be gone until then.
+    /// End of the current pause; and, if that is longer than `TOLERATED_PAUSE_MS`, until when it may be reported as gone.
     until: f64,
     excused: f64,
     waiting: Vec<Vec<u8>>,
@@ -161,7 +165,7 @@
     datagrams: u64,
 }
 
-/// The play itself; `step` shows it piece by piece.
+/// State of a simulation run; `step` advances it by one event.
 pub struct World {
     plan: Plan,
     processes: Vec<Process>,
@@ -176,8 +180,8 @@
     last_trouble: f64,
     sent: (u64, u64, u64),
     second: (f64, u64),
-    /// Changes that cores told of, not yet shown.
-    told: Vec<String>,
+    /// Changes that cores reported and that are not yet shown.
+    unshown_changes: Vec<String>,
 }
 
 fn address(place: usize) -> SocketAddr {
@@ -200,7 +204,7 @@
             last_trouble: plan.troubles.iter().fold(0.0, |last, (at, _)| last.max(*at)),
             sent: (0, 0, 0),
             second: (0.0, 0),
-            told: Vec::new(),
+            unshown_changes: Vec::new(),
             plan,
         };
         for place in 0..world.plan.instances {
@@ -212,7 +216,7 @@
         for who in 0..world.plan.instances {
             world.next_pause(who);
         }
-        world.put(LOOK, Event::Look);
+        world.put(CHECK_INTERVAL_MS, Event::Look);
         world
     }
 
@@ -267,25 +271,25 @@
         self.findings.broken.get_or_insert_with(|| format!("at {at:.3} s: {what}"));
     }
 
-    /// Calls a core and does what it wants done.
+    /// Calls a core and carries out its actions.
     fn act(&mut self, place: usize, call: impl FnOnce(&mut Membership, f64)) {
         let now = self.now;
         let process = &mut self.processes[place];
         call(&mut process.core, now);
         let out = process.core.take_actions();
         for out in out {
-            self.carry(place, out);
+            self.perform(place, out);
         }
         let due = self.processes[place].core.due().max(now);
         let process = &mut self.processes[place];
-        // One wake is on its way at a time, unless an earlier one is wanted.
+        // At most one wake-up is scheduled at a time, unless an earlier one is needed.
         if due < process.woken {
             process.woken = due;
             self.put(due, Event::Wake { who: place, due });
         }
     }
 
-    fn carry(&mut self, from: usize, out: Action) {
+    fn perform(&mut self, from: usize, out: Action) {
         match out {
             Action::Datagram { to, bytes } => {
                 self.processes[from].datagrams += 1;
@@ -318,7 +322,7 @@
 
     fn send(&mut self, from: usize, to: &Destination, bytes: Vec<u8>, may_be_lost: bool) {
         let Some(&place) = self.by_address.get(&to.address) else { return };
-        // A stream needs both ways.
+        // A stream needs both directions.
         let cut = self.is_cut(from, place) || (!may_be_lost && self.is_cut(place, from));
         let weather = self.plan.weather;
         let lost = may_be_lost && self.chance.random::<f64>() < weather.loss;
@@ -328,7 +332,7 @@
         let copies = if may_be_lost && self.chance.random::<f64>() < weather.doubled { 2 } else { 1 };
         for _ in 0..copies {
             let (least, most) = weather.delay;
-            // A stream stands first, and makes good what is lost.
+            // A stream needs a handshake first, and retransmits what is lost.
             let trips = if may_be_lost { 1.0 } else { 3.0 };
             let delay = trips * (least + (most - least) * self.chance.random::<f64>());
             self.put(self.now + delay, Event::Deliver { to: place, bytes: bytes.clone() });
@@ -336,7 +340,7 @@
     }
 
     fn changed(&mut self, at: usize, change: Change) {
-        self.told.push(format!("{}: {change:?}", self.processes[at].name));
+        self.unshown_changes.push(format!("{}: {change:?}", self.processes[at].name));
         match &change {
             Change::Suspected { .. } => self.findings.suspicions += 1,
             Change::Refuted { .. } => self.findings.refutations += 1,
@@ -347,7 +351,7 @@
             Change::Ended { name, .. } => (name, Status::Ended),
             _ => return,
         };
-        // It is that life that is held to be gone: a later one of the name may run already.
+        // The report concerns this run of the process: a later one under the same name may run already.
         let life = self.processes[at].core.member(&name).map(|member| member.card.life);
         let place = self.processes.iter().position(|process| Some(process.core.me().life) == life);
         let Some(place) = place else { return };
@@ -365,8 +369,8 @@
         }
     }
 
-    /// Goes one event further; false at the end. `shows` hears what it was.
-    pub fn step(&mut self, shows: &mut dyn FnMut(f64, String)) -> bool {
+    /// Processes one event and passes its description to `show`; false at the end.
+    pub fn step(&mut self, show: &mut dyn FnMut(f64, String)) -> bool {
         let Some((at, event)) = self.events.next(self.plan.length) else {
             return false;
         };
@@ -379,7 +383,7 @@
         }
         match event {
             Event::Deliver { to, bytes } => {
-                shows(at, format!("{} hears {} bytes", self.processes[to].name, bytes.len()));
+                show(at, format!("{} hears {} bytes", self.processes[to].name, bytes.len()));
                 self.deliver(to, bytes);
             }
             Event::Wake { who, due } => {
@@ -387,7 +391,7 @@
                     self.processes[who].woken = f64::INFINITY;
                 }
                 if self.processes[who].running && self.processes[who].until <= at {
-                    shows(at, format!("{} wakes", self.processes[who].name));
+                    show(at, format!("{} wakes", self.processes[who].name));
                     self.act(who, |core, now| core.tick(now));
                 }
             }
@@ -399,13 +403,13 @@
             }
             Event::Pause { who, lasts } => {
                 self.next_pause(who);
-                self.pause(who, lasts, shows);
+                self.pause(who, lasts, show);
             }
-            Event::Resume { who } => self.resume(who, shows),
-            Event::Trouble(number) => self.trouble(number, shows),
+            Event::Resume { who } => self.resume(who, show),
+            Event::Trouble(number) => self.trouble(number, show),
             Event::Look => self.look(),
         }
-        self.told.drain(..).for_each(|what| shows(at, what));
+        self.unshown_changes.drain(..).for_each(|what| show(at, what));
         self.findings.broken.is_none()
     }
 
@@ -415,44 +419,44 @@
             return;
         }
         if process.until > self.now {
-            if process.waiting.len() < WAITING {
+            if process.waiting.len() < RECEIVE_BUFFER_DATAGRAMS {
                 process.waiting.push(bytes);
             }
             return;
         }
         self.act(to, |core, now| {
-            // What is refused is counted by the core.
+            // The core counts refused datagrams.
             let _ = core.receive_bytes(&bytes, now);
         });
     }
 
-    fn pause(&mut self, who: usize, lasts: f64, shows: &mut dyn FnMut(f64, String)) {
+    fn pause(&mut self, who: usize, lasts: f64, show: &mut dyn FnMut(f64, String)) {
         if self.processes[who].running && self.processes[who].until <= self.now {
-            shows(self.now, format!("{} stands still for {lasts:.0} ms", self.processes[who].name));
+            show(self.now, format!("{} stands still for {lasts:.0} ms", self.processes[who].name));
             self.processes[who].until = self.now + lasts;
-            if lasts > BORNE {
-                self.processes[who].excused = self.now + lasts + EXCUSED;
+            if lasts > TOLERATED_PAUSE_MS {
+                self.processes[who].excused = self.now + lasts + REPORT_GRACE_MS;
             }
             self.put(self.now + lasts, Event::Resume { who });
         }
     }
 
-    fn resume(&mut self, who: usize, shows: &mut dyn FnMut(f64, String)) {
+    fn resume(&mut self, who: usize, show: &mut dyn FnMut(f64, String)) {
         if !self.processes[who].running {
             return;
         }
-        shows(self.now, format!("{} goes on", self.processes[who].name));
+        show(self.now, format!("{} goes on", self.processes[who].name));
         let waiting = std::mem::take(&mut self.processes[who].waiting);
         waiting.into_iter().for_each(|bytes| self.deliver(who, bytes));
         self.act(who, |core, now| core.tick(now));
     }
 
-    fn trouble(&mut self, number: usize, shows: &mut dyn FnMut(f64, String)) {
+    fn trouble(&mut self, number: usize, show: &mut dyn FnMut(f64, String)) {
         let trouble = self.plan.troubles[number].1.clone();
-        shows(self.now, format!("{trouble:?}"));
+        show(self.now, format!("{trouble:?}"));
         match trouble {
             Trouble::Kill { who, proof } => self.kill(who, proof),
-            Trouble::Pause { who, lasts } => self.pause(who, lasts, shows),
+            Trouble::Pause { who, lasts } => self.pause(who, lasts, show),
             Trouble::Cut { from, to } => {
                 self.ever_cut = true;
                 self.cuts.push((from.into_iter().collect(), to.into_iter().collect()));
@@ -485,14 +489,14 @@
         let all = self.plan.instances;
         for step in 1..=LINKS.min(all / 2) {
             for at in [(who + step) % all, (who + all - step) % all] {
-                let delay = PROOF * self.chance.random::<f64>();
+                let delay = MAX_PROOF_DELAY_MS * self.chance.random::<f64>();
                 self.put(self.now + delay, Event::Proof { at, of: who, life });
             }
         }
     }
 
-    /// Those that run and take part.
-    fn partaking(&self) -> Vec<usize> {
+    /// Running processes that are not barred.
+    fn participants(&self) -> Vec<usize> {
         let places = 0..self.processes.len();
         let fits = |place: &usize| {
             let process = &self.processes[*place];
@@ -502,16 +506,16 @@
     }
 
     fn agreed(&self) -> bool {
-        let partaking = self.partaking();
+        let participants = self.participants();
         let sums: BTreeSet<u32> =
-            partaking.iter().map(|place| self.processes[*place].core.view_checksum()).collect();
+            participants.iter().map(|place| self.processes[*place].core.view_checksum()).collect();
         let here =
             |place: &usize| self.processes[*place].core.members().filter(|one| one.is_present()).count() + 1;
-        sums.len() == 1 && partaking.first().is_some_and(|place| here(place) == partaking.len())
+        sums.len() == 1 && participants.first().is_some_and(|place| here(place) == participants.len())
     }
 
     fn look(&mut self) {
-        self.put(self.now + LOOK, Event::Look);
+        self.put(self.now + CHECK_INTERVAL_MS, Event::Look);
         let agreed = self.agreed();
         self.findings.agreed = agreed;
         if agreed && self.findings.joined_after.is_none() {
@@ -524,14 +528,14 @@
         }
     }
 
-    /// The core of a place, to be asked.
+    /// The core of the process with that index.
     pub fn core(&self, place: usize) -> &Membership {
         &self.processes[place].core
     }
 
-    /// Plays to the end.
-    pub fn play(mut self, shows: &mut dyn FnMut(f64, String)) -> (Findings, Self) {
-        while self.step(shows) {}
+    /// Runs the simulation to the end.
+    pub fn play(mut self, show: &mut dyn FnMut(f64, String)) -> (Findings, Self) {
+        while self.step(show) {}
         let running: Vec<usize> =
             (0..self.processes.len()).filter(|place| self.processes[*place].running).collect();
         for (at, found) in self.killed.values() {
@@ -553,7 +557,7 @@
     }
 }
 
-/// Plays one plan under one seed.
+/// Runs one plan under one seed.
 pub fn play(plan: Plan, seed: u64) -> Findings {
     World::new(plan, seed).play(&mut |_, _| {}).0
 }
--- a/crates/pearfront-emulator/src/processes/judge.rs
+++ b/crates/pearfront-emulator/src/processes/judge.rs
@@ -1,13 +1,13 @@
-//! What must hold of the views that processes told, held against what was truly done to them. It reads the records and
-//! nothing else.
+//! Checks the membership views that processes reported against what was really done to the processes. It reads only the
+//! records of a test cluster; scenarios and tests use it for their verdict.
 
 use super::test_cluster::{Act, Records};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Longest stand-still of a process, ms, for which nobody may hold it to be gone, and how long the news of a longer one
-/// may still be on their way.
-const BORNE: f64 = 2500.0;
-const EXCUSED: f64 = 10_000.0;
+/// Longest pause of a process, ms, during which no member may report it as gone; and how long, ms, after a longer pause
+/// reports of it may still spread.
+const TOLERATED_PAUSE_MS: f64 = 2500.0;
+const REPORT_GRACE_MS: f64 = 10_000.0;
 
 #[derive(Debug, Clone, PartialEq)]
 pub struct Finding {
@@ -18,31 +18,33 @@
 #[derive(Debug, Clone, Default)]
 pub struct Verdict {
     pub broken: Vec<Finding>,
-    /// For each life that was killed: when each that ran on first held it to be gone, ms after.
+    /// For each killed process run: detection times of the other members, ms after the kill.
     pub found: Vec<(String, Vec<f64>)>,
-    /// For each that stood still for longer than must be borne: when each first held it silent, ms after it stopped.
+    /// For each pause longer than `TOLERATED_PAUSE_MS`: when each other member first reported the process silent, ms after
+    /// it began.
     pub silent: Vec<(String, Vec<f64>)>,
-    /// The test cluster itself was late at the hundredth by so much, us.
+    /// 99th percentile of the test cluster's own scheduling delay, us.
     pub late_p99_us: u64,
 }
 
-/// One start of a process to its end.
+/// One run of a process, from its start to its end.
 struct Life {
     who: usize,
     from: f64,
-    /// When it was ended, and whether it was killed.
+    /// When it ended, and whether it was killed.
     to: Option<(f64, bool)>,
-    /// When it stood still for longer than must be borne, to the end of what is excused.
-    still: Vec<(f64, f64)>,
+    /// Pauses longer than `TOLERATED_PAUSE_MS`, each with the `REPORT_GRACE_MS` time after it.
+    pauses: Vec<(f64, f64)>,
 }
 
-/// Looks at all views. `cuts_excuse` says that ways were cut for so long that silence was true: then only the end counts.
+/// Checks all views. `cuts_excuse` means that links were cut for so long that members were rightly reported silent; then
+/// false reports count only at the end.
 pub fn judge(records: &Records, cuts_excuse: bool) -> Verdict {
     let lives = lives(records);
     let mut verdict = Verdict::default();
     let mut gone: BTreeMap<(usize, String), f64> = BTreeMap::new();
-    let mut over: BTreeSet<(usize, String)> = BTreeSet::new();
-    let mut told: Vec<(usize, String)> = Vec::new();
+    let mut seen_gone: BTreeSet<(usize, String)> = BTreeSet::new();
+    let mut reported: Vec<(usize, String)> = Vec::new();
     for (at, who, view) in &records.views {
         for member in &view.members {
             let Some(life) = lives.get(&member.life) else { continue };
@@ -50,35 +52,38 @@
             if !member.is_here() {
                 let runs = life.to.is_none_or(|(to, _)| *at < to);
                 gone.entry(key.clone()).or_insert(*at);
-                // Who was held silent while it ran may say so and die before its word has come to all.
+                // A process reported silent while it runs may refute it and die before the refutation reaches everyone.
                 if !runs || member.state != "silent" {
-                    over.insert(key.clone());
+                    seen_gone.insert(key.clone());
                 }
-                let excused = life.still.iter().any(|(from, to)| (*from..*to).contains(at)) || cuts_excuse;
-                if runs && !excused && !told.contains(&key) {
-                    told.push(key);
+                let excused = life.pauses.iter().any(|(from, to)| (*from..*to).contains(at)) || cuts_excuse;
+                if runs && !excused && !reported.contains(&key) {
+                    reported.push(key);
                     let what =
                         format!("{} holds {}, which runs, to be {}", view.name, member.name, member.state);
                     verdict.broken.push(Finding { at: *at, what });
                 }
-            } else if over.contains(&key) && life.to.is_some_and(|(to, _)| *at > to) && !told.contains(&key) {
-                told.push(key);
+            } else if seen_gone.contains(&key)
+                && life.to.is_some_and(|(to, _)| *at > to)
+                && !reported.contains(&key)
+            {
+                reported.push(key);
                 let what = format!("{} brings back {}, a life that is over", view.name, member.name);
                 verdict.broken.push(Finding { at: *at, what });
             }
         }
     }
-    at_the_end(records, &lives, &mut verdict);
+    check_final_views(records, &lives, &mut verdict);
     for (name, life) in &lives {
         if let Some((to, true)) = life.to {
-            // Whoever was cut off may have held it to be gone before.
+            // Members that were cut off may have reported it gone before the kill.
             let times =
                 gone.iter().filter(|((_, of), at)| of == name && **at >= to).map(|(_, at)| at - to).collect();
             verdict.found.push((records.names[life.who].clone(), times));
         }
     }
     for (name, life) in &lives {
-        for (since, until) in &life.still {
+        for (since, until) in &life.pauses {
             let times = gone.iter().filter(|((_, of), at)| of == name && (*since..*until).contains(*at));
             let times = times.map(|(_, at)| at - since).collect();
             verdict.silent.push((records.names[life.who].clone(), times));
@@ -90,8 +95,8 @@
     verdict
 }
 
-/// Nobody who runs is held to be gone for good, nobody who does not to be here.
-fn at_the_end(records: &Records, lives: &BTreeMap<String, Life>, verdict: &mut Verdict) {
+/// At the end, no view may report a running process as gone or an ended one as present.
+fn check_final_views(records: &Records, lives: &BTreeMap<String, Life>, verdict: &mut Verdict) {
     let mut last = BTreeMap::new();
     for (_, who, view) in &records.views {
         last.insert(*who, view);
@@ -117,7 +122,7 @@
     for (at, act) in &records.acts {
         let (who, killed) = match act {
             Act::Started { who, life } => {
-                let new = Life { who: *who, from: *at, to: None, still: Vec::new() };
+                let new = Life { who: *who, from: *at, to: None, pauses: Vec::new() };
                 lives.insert(life.clone(), new);
                 continue;
             }
@@ -126,9 +131,9 @@
                 continue;
             }
             Act::Continued { who } => {
-                let since = stopped.remove(who).filter(|since| at - since > BORNE);
-                if let (Some(since), Some(life)) = (since, last_of(&mut lives, *who)) {
-                    life.still.push((since, at + EXCUSED));
+                let since = stopped.remove(who).filter(|since| at - since > TOLERATED_PAUSE_MS);
+                if let (Some(since), Some(life)) = (since, latest_life(&mut lives, *who)) {
+                    life.pauses.push((since, at + REPORT_GRACE_MS));
                 }
                 continue;
             }
@@ -136,14 +141,14 @@
             Act::Ended { who } => (*who, false),
             Act::Way { .. } | Act::Note(_) => continue,
         };
-        if let Some(life) = last_of(&mut lives, who) {
+        if let Some(life) = latest_life(&mut lives, who) {
             life.to = Some((*at, killed));
         }
     }
     lives
 }
 
-fn last_of(lives: &mut BTreeMap<String, Life>, who: usize) -> Option<&mut Life> {
+fn latest_life(lives: &mut BTreeMap<String, Life>, who: usize) -> Option<&mut Life> {
     let of = lives.values_mut().filter(|life| life.who == who);
     of.max_by(|a, b| a.from.total_cmp(&b.from))
 }
--- a/crates/pearfront-emulator/src/processes/test_cluster.rs
+++ b/crates/pearfront-emulator/src/processes/test_cluster.rs
@@ -1,5 +1,5 @@
-//! Starts the programs, stands between them and does to them what a scenario or a test says. All of it runs on one thread
-//! of its own runtime; programs are ended with it.
+//! Starts the node processes, relays the traffic between them and injects the faults that a scenario or test requests.
+//! Everything runs on one thread with its own runtime; the processes are ended with it.
 
 use super::relay::{Relay, Way, Weather};
 use crate::operators;
@@ -22,21 +22,21 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// Time between two looks at a process's view.
-const LOOK: Duration = Duration::from_millis(100);
-/// Longest that an operator's call may take.
-const CALL: Duration = Duration::from_secs(1);
-/// Longest that a program may take to be up, and to end after SIGTERM.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// Addresses on the last part of an IP address.
+/// Interval at which each process's view is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Time-out of a call to an admin address.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time-out for a process to come up, and to end after SIGTERM.
+const START_STOP_TIMEOUT: Duration = Duration::from_secs(30);
+/// Number of ports used on each IP address.
 const PORTS: usize = 200;
-/// Most processes of a test cluster.
+/// Largest number of processes in a test cluster.
 pub const MOST: usize = 32;
 
-/// The file of a node without its cluster: nothing is asked of it here.
+/// Node configuration without `cluster`; the test cluster sends no requests for its services.
 const FILE: &str = include_str!("../../../../deploy/example.json");
 
-/// Kinds of places.
+/// Kinds of addresses; each has its own port range.
 const CLUSTER: usize = 0;
 const MOVED: usize = 1;
 const ADMIN: usize = 2;
@@ -44,28 +44,28 @@
 const DISCOVERY: usize = 4;
 const RELAY: usize = 5;
 
-/// What a program is started with.
+/// State of the data folder with which a process is started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Start {
-    /// Its folder as it left it.
+    /// The folder as the process left it.
     Kept,
-    /// Its folder as it was when `TestCluster::copy_folder` was called.
+    /// The folder as it was when `TestCluster::copy_folder` was called.
     Older,
     /// An empty folder.
     Empty,
 }
 
-/// How many, and with what.
+/// The processes of a test cluster: command, number and configuration.
 #[derive(Debug, Clone)]
 pub struct Program {
     pub command: NodeCommand,
     pub count: usize,
     pub zones: usize,
-    /// Put over the `cluster` of each process's file.
+    /// Overrides `cluster` in each process's configuration file.
     pub cluster: Value,
 }
 
-/// One member in one process's view, as its operators' address tells it.
+/// One member in one process's view, as `/_members` reports it.
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 pub struct Member {
     pub name: String,
@@ -101,7 +101,7 @@
         self.members.iter().find(|member| member.name == name)
     }
 
-    /// Names that it holds to be here, its own with them.
+    /// Names of the members that it regards as present, with its own.
     pub fn here(&self) -> Vec<&str> {
         let mut names: Vec<&str> = self
             .members
@@ -115,7 +115,7 @@
     }
 }
 
-/// What was done, and what was seen, ms from the start.
+/// One action of the test cluster on a process or link.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Act {
     Started {
@@ -134,7 +134,7 @@
     Continued {
         who: usize,
     },
-    /// The weather of a way has changed.
+    /// The network conditions of a link direction have changed.
     Way {
         from: usize,
         to: usize,
@@ -147,23 +147,23 @@
 pub struct Records {
     pub names: Vec<String>,
     pub acts: Vec<(f64, Act)>,
-    /// When whose view was what; only where it changed.
+    /// Time in ms, process and its view; only changed views are recorded.
     pub views: Vec<(f64, usize, View)>,
-    /// How late the test cluster itself was, us.
+    /// Scheduling delay of the test cluster itself, us.
     pub late: Option<Histogram<u64>>,
     pub length: f64,
 }
 
-struct Seat {
+struct Process {
     name: String,
     child: RefCell<Option<Child>>,
-    /// The process itself, not a shell before it.
+    /// Id of the node process itself, not of a shell that started it.
     pid: Cell<u32>,
     running: watch::Sender<bool>,
-    /// Its true address for the others.
+    /// Its real cluster address, behind the relays.
     cluster: Rc<Cell<SocketAddr>>,
     stopped: Cell<bool>,
-    /// Another's name, which its file gives it.
+    /// Name that its configuration file gives it, if not its own.
     called: RefCell<Option<String>>,
     view: RefCell<Option<View>>,
 }
@@ -172,8 +172,8 @@
     program: Program,
     network: (u8, u8),
     start: Instant,
-    seats: Vec<Rc<Seat>>,
-    /// By who uses it and whom it leads to.
+    processes: Vec<Rc<Process>>,
+    /// Indexed by sender, then by receiver.
     ways: Vec<Vec<Rc<Way>>>,
     records: RefCell<Records>,
     late: RefCell<Histogram<u64>>,
@@ -181,20 +181,20 @@
 
 static TEST_CLUSTERS: AtomicU32 = AtomicU32::new(0);
 
-/// Runs work that needs a test cluster on a runtime of its own.
+/// Runs a future that needs a test cluster on a runtime of its own.
 ///
 /// # Errors
-/// What the work could not do.
+/// The runtime could not be built, or the future's own error.
 pub fn run<T>(work: impl Future<Output = Result<T, String>>) -> Result<T, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     LocalSet::new().block_on(&runtime.map_err(|error| format!("runtime: {error}"))?, work)
 }
 
 impl TestCluster {
-    /// Puts relays between all, starts nothing yet.
+    /// Starts the relays between all processes; starts no process yet.
     ///
     /// # Errors
-    /// What could not be bound or written.
+    /// An address could not be bound or the folder not created.
     pub fn new(program: Program, seed: u64) -> Result<Rc<Self>, String> {
         if !(2..=MOST).contains(&program.count) {
             return Err(format!("{} processes, not 2 to {MOST}", program.count));
@@ -204,8 +204,8 @@
         let [.., high, low] = mixed.to_be_bytes();
         let network = (64 | (high & 0x3f), low);
         let chance = Rc::new(RefCell::new(ChaCha8Rng::seed_from_u64(seed)));
-        let seat = |place: usize| {
-            Rc::new(Seat {
+        let process = |place: usize| {
+            Rc::new(Process {
                 name: format!("n{place}"),
                 child: RefCell::default(),
                 pid: Cell::new(0),
@@ -221,13 +221,13 @@
         let test_cluster = Rc::new(Self {
             network,
             start: Instant::now(),
-            seats: (0..program.count).map(seat).collect(),
+            processes: (0..program.count).map(process).collect(),
             ways: (0..program.count).map(|_| ways()).collect(),
             records: RefCell::default(),
             late: RefCell::new(late),
             program,
         });
-        let names = test_cluster.seats.iter().map(|seat| seat.name.clone()).collect();
+        let names = test_cluster.processes.iter().map(|process| process.name.clone()).collect();
         test_cluster.records.borrow_mut().names = names;
         std::fs::create_dir_all(&test_cluster.program.command.folder)
             .map_err(|error| format!("{}: {error}", test_cluster.program.command.folder.display()))?;
@@ -235,10 +235,10 @@
             for to in (0..test_cluster.count()).filter(|to| *to != from) {
                 let relay = Relay {
                     at: test_cluster.place(RELAY, from * MOST + to),
-                    target: test_cluster.seats[to].cluster.clone(),
+                    target: test_cluster.processes[to].cluster.clone(),
                     there: test_cluster.ways[from][to].clone(),
                     back: test_cluster.ways[to][from].clone(),
-                    running: test_cluster.seats[to].running.subscribe(),
+                    running: test_cluster.processes[to].running.subscribe(),
                     chance: chance.clone(),
                 };
                 relay.start()?;
@@ -251,7 +251,7 @@
     }
 
     pub fn count(&self) -> usize {
-        self.seats.len()
+        self.processes.len()
     }
 
     /// Milliseconds since the start.
@@ -263,19 +263,19 @@
         place_at(self.network, kind, number)
     }
 
-    /// Where operators call a process.
+    /// Admin address of a process.
     pub fn operators(&self, who: usize) -> SocketAddr {
         self.place(ADMIN, who)
     }
 
-    /// Where jobs come to it.
+    /// Address at which a process takes requests.
     pub fn listens(&self, who: usize) -> SocketAddr {
         self.place(LISTEN, who)
     }
 
-    /// Its true address for the others, behind all relays.
+    /// Its real cluster address, behind the relays.
     pub fn cluster(&self, who: usize) -> SocketAddr {
-        self.seats[who].cluster.get()
+        self.processes[who].cluster.get()
     }
 
     fn act(&self, act: Act) {
@@ -291,13 +291,14 @@
 
     /// Its folder.
     pub fn folder(&self, who: usize) -> PathBuf {
-        self.program.command.folder.join(format!("{}.folder", self.seats[who].name))
+        self.program.command.folder.join(format!("{}.folder", self.processes[who].name))
     }
 
     fn file(&self, who: usize) -> Result<Value, String> {
         let mut file: Value = serde_json::from_str(FILE).map_err(|error| error.to_string())?;
         let peers = (0..self.count()).filter(|other| *other != who);
-        let peers = peers.map(|other| (self.seats[other].name.clone(), json!(self.reached_by(who, other))));
+        let peers =
+            peers.map(|other| (self.processes[other].name.clone(), json!(self.reached_by(who, other))));
         let peers: serde_json::Map<String, Value> = peers.collect();
         let mut cluster = json!({
             "installation": "test-cluster", "zone": format!("z{}", who % self.program.zones.max(1)),
@@ -306,7 +307,7 @@
         if let (Some(cluster), Some(over)) = (cluster.as_object_mut(), self.program.cluster.as_object()) {
             cluster.extend(over.clone());
         }
-        if let Some(name) = self.seats[who].called.borrow().as_ref() {
+        if let Some(name) = self.processes[who].called.borrow().as_ref() {
             cluster["name"] = json!(name);
         }
         file["admin"] = json!(self.operators(who));
@@ -319,12 +320,12 @@
         self.place(RELAY, who * MOST + other)
     }
 
-    /// Starts one, and waits until it tells its view.
+    /// Starts a process and waits until it reports its view.
     ///
     /// # Errors
-    /// It could not be started, or did not come up in time.
+    /// The process could not be started, or did not come up in time.
     pub async fn start(self: &Rc<Self>, who: usize, with: Start) -> Result<(), String> {
-        let seat = &self.seats[who];
+        let process = &self.processes[who];
         let folder = self.folder(who);
         let told = |error: std::io::Error| format!("{}: {error}", folder.display());
         match with {
@@ -336,25 +337,25 @@
             }
         }
         let (listen, discovery) = (self.listens(who), self.place(DISCOVERY, who));
-        let child = self.program.command.spawn(&seat.name, listen, discovery, &self.file(who)?)?;
-        seat.pid.set(child.id().unwrap_or(0));
-        seat.child.replace(Some(child));
-        seat.stopped.set(false);
-        *seat.view.borrow_mut() = None;
-        seat.running.send_replace(true);
-        let up = self.until(PATIENCE, |test_cluster| test_cluster.view(who).is_some()).await;
+        let child = self.program.command.spawn(&process.name, listen, discovery, &self.file(who)?)?;
+        process.pid.set(child.id().unwrap_or(0));
+        process.child.replace(Some(child));
+        process.stopped.set(false);
+        *process.view.borrow_mut() = None;
+        process.running.send_replace(true);
+        let up = self.until(START_STOP_TIMEOUT, |test_cluster| test_cluster.view(who).is_some()).await;
         if !up {
-            return Err(format!("{} did not come up", seat.name));
+            return Err(format!("{} did not come up", process.name));
         }
         let life = self.view(who).map(|view| view.life).unwrap_or_default();
         self.act(Act::Started { who, life });
         Ok(())
     }
 
-    /// Starts all at once.
+    /// Starts all processes at once.
     ///
     /// # Errors
-    /// The first that did not come up.
+    /// The first process that did not come up.
     pub async fn start_all(self: &Rc<Self>) -> Result<(), String> {
         let starts: Vec<_> = (0..self.count())
             .map(|who| {
@@ -368,20 +369,20 @@
         Ok(())
     }
 
-    /// Keeps a copy of its folder, for `Start::Older`.
+    /// Keeps a copy of a process's folder for `Start::Older`.
     ///
     /// # Errors
-    /// What can't be read or written.
+    /// A file could not be read or written.
     pub fn copy_folder(&self, who: usize) -> Result<(), String> {
         let folder = self.folder(who);
         copy(&folder, &folder.with_extension("older"))
             .map_err(|error| format!("{}: {error}", folder.display()))
     }
 
-    /// Turns a bit of a file in its folder.
+    /// Flips a bit of a file in a process's folder.
     ///
     /// # Errors
-    /// What can't be read or written.
+    /// The file could not be read or written, or is too short.
     pub fn spoil_folder(&self, who: usize, file: &str, at: usize) -> Result<(), String> {
         let path = self.folder(who).join(file);
         let told = |error: std::io::Error| format!("{}: {error}", path.display());
@@ -390,85 +391,85 @@
         std::fs::write(&path, bytes).map_err(told)
     }
 
-    /// What it has logged, in all its lives.
+    /// Log of a process over all its runs.
     pub fn log(&self, who: usize) -> String {
-        let log = self.program.command.folder.join(format!("{}.log", self.seats[who].name));
+        let log = self.program.command.folder.join(format!("{}.log", self.processes[who].name));
         std::fs::read_to_string(log).unwrap_or_default()
     }
 
     pub async fn kill(&self, who: usize) {
-        let child = self.seats[who].child.take();
+        let child = self.processes[who].child.take();
         if let Some(mut child) = child {
-            // Stamped before: whoever knows of it earlier than this would be a seer.
+            // Recorded before the kill, so that no process can detect it earlier than the record says.
             self.act(Act::Killed { who });
             if let Err(error) = child.kill().await {
-                log::warn!("{}: kill: {error}", self.seats[who].name);
+                log::warn!("{}: kill: {error}", self.processes[who].name);
             }
-            self.over(who);
+            self.mark_ended(who);
         }
     }
 
-    /// SIGTERM, and its end.
+    /// Sends SIGTERM and waits for the end; kills the process after the time-out.
     pub async fn terminate(&self, who: usize) {
-        let child = self.seats[who].child.take();
+        let child = self.processes[who].child.take();
         if let Some(mut child) = child {
             self.act(Act::Ended { who });
             self.signal(who, Signal::TERM);
-            if timeout(PATIENCE, child.wait()).await.is_err() {
+            if timeout(START_STOP_TIMEOUT, child.wait()).await.is_err() {
                 drop(child.kill().await);
             }
-            self.over(who);
+            self.mark_ended(who);
         }
     }
 
-    fn over(&self, who: usize) {
-        let seat = &self.seats[who];
-        seat.running.send_replace(false);
-        seat.pid.set(0);
-        *seat.view.borrow_mut() = None;
+    fn mark_ended(&self, who: usize) {
+        let process = &self.processes[who];
+        process.running.send_replace(false);
+        process.pid.set(0);
+        *process.view.borrow_mut() = None;
     }
 
     pub fn stop(&self, who: usize) {
-        self.seats[who].stopped.set(true);
+        self.processes[who].stopped.set(true);
         self.act(Act::Stopped { who });
         self.signal(who, Signal::STOP);
     }
 
     pub fn go_on(&self, who: usize) {
         self.signal(who, Signal::CONT);
-        self.seats[who].stopped.set(false);
+        self.processes[who].stopped.set(false);
         self.act(Act::Continued { who });
     }
 
     fn signal(&self, who: usize, signal: Signal) {
-        let pid = rustix::process::Pid::from_raw(self.seats[who].pid.get() as i32);
+        let pid = rustix::process::Pid::from_raw(self.processes[who].pid.get() as i32);
         if let Some(Err(error)) = pid.map(|pid| rustix::process::kill_process(pid, signal)) {
-            log::warn!("{}: signal: {error}", self.seats[who].name);
+            log::warn!("{}: signal: {error}", self.processes[who].name);
         }
     }
 
     pub fn runs(&self, who: usize) -> bool {
-        self.seats[who].child.borrow().is_some()
+        self.processes[who].child.borrow().is_some()
     }
 
-    /// Its process, as the kernel numbers it; 0 if it does not run.
+    /// Process id; 0 if it does not run.
     pub fn pid(&self, who: usize) -> u32 {
-        self.seats[who].pid.get()
+        self.processes[who].pid.get()
     }
 
-    /// From its next start on its file gives it that name.
+    /// Sets the name in its configuration file, from its next start on.
     pub fn call_as(&self, who: usize, name: &str) {
-        *self.seats[who].called.borrow_mut() = Some(name.into());
+        *self.processes[who].called.borrow_mut() = Some(name.into());
     }
 
-    /// From its next start on it is at another address; the relays follow it.
+    /// Gives it another cluster address from its next start on; the relays use that as their target.
     pub fn move_to_new_address(&self, who: usize) {
-        self.seats[who].cluster.set(self.place(MOVED, who));
+        self.processes[who].cluster.set(self.place(MOVED, who));
     }
 
-    // ---- what stands between ----
+    // ---- network ----
 
-    /// Changes the weather of the ways from any of these to any of those.
+    /// Changes the network conditions of all links from `from` to `to`.
     pub fn weather(&self, from: &[usize], to: &[usize], change: impl Fn(&mut Weather)) {
         for (from, to) in from.iter().flat_map(|from| to.iter().map(move |to| (*from, *to))) {
             if from != to {
@@ -480,18 +481,18 @@
         }
     }
 
-    /// Nothing passes from these to those; the other way it does.
+    /// Drops all traffic from `from` to `to`; the opposite direction is unaffected.
     pub fn cut(&self, from: &[usize], to: &[usize]) {
         self.weather(from, to, |weather| *weather = Weather::CUT);
     }
 
-    /// All ways are fine again.
+    /// Restores all links.
     pub fn heal(&self) {
         let all: Vec<usize> = (0..self.count()).collect();
         self.weather(&all, &all, |weather| *weather = Weather::FINE);
     }
 
-    /// Streams between these and those end at once, without any process having ended.
+    /// Resets all streams from `from` to `to`, while the processes go on.
     pub fn reset(&self, from: &[usize], to: &[usize]) {
         for (from, to) in from.iter().flat_map(|from| to.iter().map(move |to| (*from, *to))) {
             if from != to {
@@ -501,26 +502,27 @@
         self.note("streams reset");
     }
 
-    // ---- what is seen ----
+    // ---- observation ----
 
-    /// The last view that a running process told.
+    /// Last view that a running process reported.
     pub fn view(&self, who: usize) -> Option<View> {
-        self.seats[who].view.borrow().clone()
+        self.processes[who].view.borrow().clone()
     }
 
-    /// One's standing in another's view; nothing if that is not known.
+    /// State of member `of` in the view of `at`, if known.
     pub fn standing(&self, at: usize, of: usize) -> Option<String> {
-        let view = self.seats[at].view.borrow();
-        view.as_ref()?.member(&self.seats[of].name).map(|member| member.state.clone())
+        let view = self.processes[at].view.borrow();
+        view.as_ref()?.member(&self.processes[of].name).map(|member| member.state.clone())
     }
 
-    /// Do all that run hold just those that run to be here, under the same incarnations, and are sure of it?
+    /// Whether every running process is settled and regards exactly the running processes as present, with the same
+    /// incarnations.
     pub fn agreed(&self) -> bool {
         let running: Vec<usize> = (0..self.count()).filter(|who| self.runs(*who)).collect();
-        let names: Vec<&str> = running.iter().map(|who| self.seats[*who].name.as_str()).collect();
+        let names: Vec<&str> = running.iter().map(|who| self.processes[*who].name.as_str()).collect();
         let mut sums = Vec::new();
         for who in &running {
-            let view = self.seats[*who].view.borrow();
+            let view = self.processes[*who].view.borrow();
             let Some(view) = view.as_ref().filter(|view| view.sure && view.state == "member") else {
                 return false;
             };
@@ -536,7 +538,7 @@
         sums.windows(2).all(|pair| pair[0] == pair[1])
     }
 
-    /// Waits for an event; false if it did not come in a generous time.
+    /// Waits for an event; false if it did not occur before the time-out.
     pub async fn until(self: &Rc<Self>, patience: Duration, event: impl Fn(&Self) -> bool) -> bool {
         let end = Instant::now() + patience;
         while !event(self) {
@@ -545,35 +547,35 @@
             }
             let due = Instant::now() + Duration::from_millis(20);
             sleep_until(due).await;
-            self.note_late(due);
+            self.record_delay(due);
         }
         true
     }
 
-    fn note_late(&self, due: Instant) {
+    fn record_delay(&self, due: Instant) {
         let late = Instant::now().saturating_duration_since(due).as_micros() as u64;
         self.late.borrow_mut().saturating_record(late);
     }
 
     async fn watch(self: Rc<Self>, who: usize) {
         loop {
-            let due = Instant::now() + LOOK;
+            let due = Instant::now() + POLL_INTERVAL;
             sleep_until(due).await;
-            self.note_late(due);
-            let seat = &self.seats[who];
-            if !self.runs(who) || seat.stopped.get() {
+            self.record_delay(due);
+            let process = &self.processes[who];
+            if !self.runs(who) || process.stopped.get() {
                 continue;
             }
-            let pid = seat.pid.get();
+            let pid = process.pid.get();
             let Some(text) = call(self.operators(who), "GET", "/_members").await else { continue };
             let Ok(view) = serde_json::from_str::<View>(&text) else { continue };
-            // It may have been ended, and started again, while it was asked.
-            if seat.pid.get() != pid {
+            // The process may have been restarted while the call was under way.
+            if process.pid.get() != pid {
                 continue;
             }
             let at = self.now();
-            let mut last = seat.view.borrow_mut();
-            let same = last.as_ref().is_some_and(|last| alike(last, &view));
+            let mut last = process.view.borrow_mut();
+            let same = last.as_ref().is_some_and(|last| same_state(last, &view));
             if !same {
                 self.records.borrow_mut().views.push((at, who, view.clone()));
             }
@@ -581,17 +583,17 @@
         }
     }
 
-    /// Ends all programs; what was done and seen.
+    /// Ends all processes and returns the records.
     pub async fn end(&self) -> Records {
-        // Taken first: those that are ended last would be seen to hold those before them to be gone.
+        // Taken first: processes that are ended last would report those ended before them as gone.
         let mut records = self.records.take();
         records.length = self.now();
         for who in 0..self.count() {
-            let child = self.seats[who].child.take();
+            let child = self.processes[who].child.take();
             if let Some(mut child) = child {
                 drop(child.kill().await);
             }
-            self.over(who);
+            self.mark_ended(who);
         }
         records.late = Some(self.late.borrow().clone());
         records
@@ -604,8 +606,8 @@
     SocketAddr::from((Ipv4Addr::new(127, high, low, last), port))
 }
 
-/// Nothing but times and counts is different.
-fn alike(one: &View, other: &View) -> bool {
+/// Whether two views differ in nothing but times and counts.
+fn same_state(one: &View, other: &View) -> bool {
     let key = |view: &View| {
         (view.life.clone(), view.state.clone(), view.sure, view.deaf_s.is_some(), view.incarnation)
     };
@@ -626,18 +628,18 @@
     Ok(())
 }
 
-/// One call to an operators' address; its body, if it was answered with 200 in time.
+/// Sends one call to an admin address; returns the body if the answer was 200 and in time.
 pub async fn call(address: SocketAddr, method: &str, path: &str) -> Option<String> {
     call_with(address, method, path, "").await
 }
 
-/// The same with further lines in its head, each with its end.
+/// As `call`, with further header lines, each with its line end.
 pub async fn call_with(address: SocketAddr, method: &str, path: &str, lines: &str) -> Option<String> {
-    let told = operators::ask(address, method, path, lines, CALL).await.ok();
+    let told = operators::ask(address, method, path, lines, CALL_TIMEOUT).await.ok();
     told.filter(|(status, _)| *status == 200).map(|(_, body)| body)
 }
 
-/// Sleeps by the test cluster's own clock.
+/// Sleeps for `ms` milliseconds; not at all if negative.
 pub async fn wait(ms: f64) {
     sleep(Duration::from_secs_f64(ms.max(0.0) / 1000.0)).await;
 }
